--- a/crates/cloud/src/lib.rs
+++ b/crates/cloud/src/lib.rs
@@ -3,7 +3,7 @@
 #![warn(missing_docs)]
 
 use corkfield_http::{Client, ClientError, Network, Reply};
-use corkfield_state::{Budget, Use};
+use corkfield_state::{RateLimiter, RequestClass};
 use corkfield_wire::cloud::{
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, MAX_LIST,
     PATH_DELETE, PATH_MACHINES, PATH_TYPES,
@@ -36,21 +36,21 @@
     NoAnswer(#[from] ClientError),
     /// The answer can't be read.
     #[error("nonsense from the cloud: {0}")]
-    Nonsense(String),
+    MalformedAnswer(String),
 }
 
 /// Speaks to the cloud, within its limit.
 pub struct CloudClient {
     http: Client,
-    budget: Budget,
+    budget: RateLimiter,
 }
 
 impl CloudClient {
     /// A client for the cloud at `addr`, which takes so many requests a second.
     pub fn new(network: Rc<dyn Network>, addr: SocketAddr, rps: f64) -> Self {
-        // Two planners may overlap for a moment at a take-over, hence not the whole rate, nor
+        // Two leaders may overlap for a moment at a failover, hence not the whole rate, nor
         // the whole of the two seconds' worth that may come at once.
-        let budget = Budget::new(rps * 0.75, rps * 1.5);
+        let budget = RateLimiter::new(rps * 0.75, rps * 1.5);
         let connections = (rps * CONNECTION_S) as usize;
         let connections = connections.clamp(LEAST_CONNECTIONS, MOST_CONNECTIONS);
         Self { http: Client::new(network, addr, connections, MAX_BODY), budget }
@@ -58,15 +58,17 @@
 
     async fn call<T: DeserializeOwned>(
         &self,
-        for_use: Use,
+        class: RequestClass,
         method: &str,
         target: &str,
         body: &impl Serialize,
     ) -> Result<T, CloudError> {
-        self.budget.take(for_use, 1.0).await;
+        self.budget.take(class, 1.0).await;
         let body = match method {
             "GET" => Vec::new(),
-            _ => serde_json::to_vec(body).map_err(|e| CloudError::Nonsense(e.to_string()))?,
+            _ => {
+                serde_json::to_vec(body).map_err(|e| CloudError::MalformedAnswer(e.to_string()))?
+            }
         };
         let reply = self.http.request(method, target, &body, TIMEOUT).await?;
         read(&reply)
@@ -74,7 +76,7 @@
 
     /// Reads the machine types and their present prices.
     pub async fn types(&self) -> Result<Vec<MachineType>, CloudError> {
-        let read: MachineTypes = self.call(Use::Claim, "GET", PATH_TYPES, &()).await?;
+        let read: MachineTypes = self.call(RequestClass::Claim, "GET", PATH_TYPES, &()).await?;
         Ok(read.types)
     }
 
@@ -84,7 +86,7 @@
         loop {
             let after = machines.last().map(|m| format!("after={}&", m.name)).unwrap_or_default();
             let target = format!("{PATH_MACHINES}?{after}limit={MAX_LIST}");
-            let page: MachineList = self.call(Use::Reading, "GET", &target, &()).await?;
+            let page: MachineList = self.call(RequestClass::Reading, "GET", &target, &()).await?;
             let empty = page.machines.is_empty();
             machines.extend(page.machines);
             if !page.more || empty {
@@ -95,23 +97,26 @@
 
     /// Rents machines, and gives their names.
     pub async fn rent(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
-        let names: MachineNames = self.call(Use::Lease, "POST", PATH_MACHINES, request).await?;
+        let names: MachineNames =
+            self.call(RequestClass::Lease, "POST", PATH_MACHINES, request).await?;
         Ok(names.machines)
     }
 
     /// Returns machines; once this is answered they are gone.
     pub async fn delete(&self, machines: Vec<String>) -> Result<(), CloudError> {
         let body = MachineNames { machines };
-        let _: serde::de::IgnoredAny = self.call(Use::Settling, "POST", PATH_DELETE, &body).await?;
+        let _: serde::de::IgnoredAny =
+            self.call(RequestClass::Completion, "POST", PATH_DELETE, &body).await?;
         Ok(())
     }
 }
 
 fn read<T: DeserializeOwned>(reply: &Reply) -> Result<T, CloudError> {
     match reply.status {
-        200 => serde_json::from_slice(&reply.body).map_err(|e| CloudError::Nonsense(e.to_string())),
+        200 => serde_json::from_slice(&reply.body)
+            .map_err(|e| CloudError::MalformedAnswer(e.to_string())),
         503 if reply.body.windows(11).any(|w| w == b"no capacity") => Err(CloudError::NoCapacity),
         429 | 500..=599 => Err(CloudError::Refused(reply.status)),
-        status => Err(CloudError::Nonsense(format!("status {status}"))),
+        status => Err(CloudError::MalformedAnswer(format!("status {status}"))),
     }
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! What the planner has to know of its deployment.
+//! What the leader has to know of its deployment.
 
 use corkfield_wire::settings::{Objective, Team};
 use std::time::Duration;
@@ -13,7 +13,7 @@
     /// A worker's lease.
     pub worker_lease: Duration,
     /// Time between two reports of a worker.
-    pub report_interval: Duration,
+    pub heartbeat_interval: Duration,
     /// A controller without fresh state answers reports no longer than this (S6).
     pub answer_limit: Duration,
     /// The cloud's list describes a moment up to twice this long ago.
@@ -27,13 +27,13 @@
 impl Config {
     /// The longest after its last accepted answer that a worker can still run tasks, by a
     /// clock that may be fast against it, with room for scheduling delays of our own.
-    pub fn lapse_after(&self) -> Duration {
+    pub fn lease_expiry_after(&self) -> Duration {
         self.worker_lease.mul_f64(1.002) + Duration::from_millis(1500)
     }
 
     /// A machine that has not reported for this long should have.
     pub(crate) fn silence(&self) -> Duration {
-        self.report_interval.mul_f64(2.0) + Duration::from_secs(1)
+        self.heartbeat_interval.mul_f64(2.0) + Duration::from_secs(1)
     }
 
     /// After this a machine that is missing in a list, and existed before, is surely gone.
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -19,9 +19,9 @@
     /// It failed on several machines: nothing is started before the time given.
     BackingOff(Instant),
     /// It waited long enough and has to be claimed anew, which counts (S12).
-    Lapsed,
+    NeedsReclaim,
     /// Set aside at the claim limit; its tasks are stopped.
-    SetAside,
+    DeadLettered,
     /// Over, or another's: its tasks are stopped and nothing is started any more.
     Closing,
 }
@@ -51,9 +51,9 @@
     /// Reported as done but not yet stored.
     unstored: BTreeSet<u32>,
     /// A settling write is under way.
-    pub(crate) settling: bool,
+    pub(crate) committing: bool,
     /// When the newest one was begun.
-    pub(crate) settled_at: Option<Instant>,
+    pub(crate) last_commit_at: Option<Instant>,
     /// Placed tasks and their machines.
     active: BTreeMap<u32, Placed>,
     retry: Vec<u32>,
@@ -86,8 +86,8 @@
     ) -> Self {
         let accepted_at = now.checked_sub(age).unwrap_or(now);
         let due_at = record.spec.deadline_s.map(|d| accepted_at + Duration::from_secs_f64(d));
-        let state = if record.set_aside { JobState::SetAside } else { JobState::Active };
-        let untouched = record.begun_before;
+        let state = if record.dead_lettered { JobState::DeadLettered } else { JobState::Active };
+        let untouched = record.previous_start_watermark;
         // What an earlier owner began is about to be taken up from reports.
         let nothing_since = Some(if untouched == 0 { accepted_at } else { now });
         Self {
@@ -99,8 +99,8 @@
             due_at,
             finished,
             unstored: BTreeSet::new(),
-            settling: false,
-            settled_at: None,
+            committing: false,
+            last_commit_at: None,
             active: BTreeMap::new(),
             retry: Vec::new(),
             next: 0,
@@ -216,7 +216,7 @@
     ) -> Option<u32> {
         Self::skip(next, record, finished, active);
         let index = *next;
-        (index < record.spec.tasks.min(record.begun)).then(|| {
+        (index < record.spec.tasks.min(record.start_watermark)).then(|| {
             *next += 1;
             index
         })
@@ -230,7 +230,7 @@
         finished: &TaskSet,
         active: &BTreeMap<u32, Placed>,
     ) {
-        let end = record.spec.tasks.min(record.begun);
+        let end = record.spec.tasks.min(record.start_watermark);
         while *next < end && (finished.contains(*next) || active.contains_key(next)) {
             *next += 1;
         }
@@ -244,7 +244,8 @@
         Self::skip(next, &self.record, &self.finished, &self.active);
         let next = *next;
         self.announce(next);
-        let mut count = self.record.spec.tasks.min(self.record.begun).saturating_sub(next);
+        let mut count =
+            self.record.spec.tasks.min(self.record.start_watermark).saturating_sub(next);
         if !untouched {
             let (finished, active) = (&self.finished, &self.active);
             self.retry.retain(|n| !finished.contains(*n) && !active.contains_key(n));
@@ -256,19 +257,21 @@
     /// Has the record allow more first starts before they run out: that takes a write, and while
     /// the state service is away there is none.
     fn announce(&mut self, next: u32) {
-        let begun = self.record.begun;
-        self.unannounced |= begun > 0 && begun < self.spec().tasks && next >= begun - begun / 4;
+        let start_watermark = self.record.start_watermark;
+        self.unannounced |= start_watermark > 0
+            && start_watermark < self.spec().tasks
+            && next >= start_watermark - start_watermark / 4;
     }
 
     /// Its record allows no start at all yet, nor is that about to change.
     pub(crate) fn waits_unannounced(&self) -> bool {
-        self.may_start() && self.record.begun == 0 && !self.unannounced
+        self.may_start() && self.record.start_watermark == 0 && !self.unannounced
     }
 
     /// Tasks that wait and may be started, at the least.
     pub(crate) fn announced_waiting(&self) -> u32 {
         let placed = u32::try_from(self.active.len()).unwrap_or(u32::MAX);
-        let allowed = self.spec().tasks.min(self.record.begun);
+        let allowed = self.spec().tasks.min(self.record.start_watermark);
         allowed.saturating_sub(self.finished.len()).saturating_sub(placed)
     }
 
@@ -296,20 +299,20 @@
 
     /// A task was reported as done; true if that is news.
     pub(crate) fn finish(&mut self, index: u32) -> bool {
-        let news = index < self.spec().tasks && self.finished.insert(index);
-        if news {
+        let is_new = index < self.spec().tasks && self.finished.insert(index);
+        if is_new {
             self.active.remove(&index);
             self.unstored.insert(index);
             self.failed_on.clear();
             self.failures = 0;
         }
-        news
+        is_new
     }
 
     /// Whether something of it is to be stored, and whether somebody waits for that: its user, or
     /// tasks that may start only once the record says so. Mere progress is stored less often.
-    pub(crate) fn settling_due(&self, now: Instant) -> Option<bool> {
-        if self.settling || !self.is_live() {
+    pub(crate) fn commit_due(&self, now: Instant) -> Option<bool> {
+        if self.committing || !self.is_live() {
             return None;
         }
         let display = (self.running > 0) != (self.record.running > 0);
@@ -319,7 +322,7 @@
         }
         let recently = |at| now.saturating_duration_since(at) < PROGRESS_PAUSE;
         let progress = !self.unstored.is_empty() || self.is_refunded_now(now);
-        (progress && !self.settled_at.is_some_and(recently)).then_some(false)
+        (progress && !self.last_commit_at.is_some_and(recently)).then_some(false)
     }
 
     /// A claim that harmed nobody for a while didn't end because of the job (S12).
@@ -357,7 +360,7 @@
 
     /// Claimed once more after a back-off.
     pub(crate) fn reclaimed(&mut self, record: JobRecord, version: u64, now: Instant) {
-        let state = if record.set_aside { JobState::SetAside } else { JobState::Active };
+        let state = if record.dead_lettered { JobState::DeadLettered } else { JobState::Active };
         self.record = record;
         self.version = version;
         self.claimed_at = now;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,12 +7,12 @@
 mod job;
 mod machine;
 mod placement;
-mod planner;
-mod renting;
+mod scaling;
+mod scheduler;
 mod team;
 
 pub use config::Config;
 pub use job::{Job, JobState, Placed};
 pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
-pub use planner::{Action, Overview, Planner, Settlement, Verdict};
-pub use team::{fits_some_type, Misfit};
+pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
+pub use team::{fits_some_type, Unschedulable};
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -60,9 +60,9 @@
     /// The start was sent as the answer to the report with this session and number.
     Ordered {
         /// Session of the report that was answered.
-        session: u64,
+        agent_epoch: u64,
         /// Number of that report.
-        seq: u64,
+        sequence: u64,
     },
     /// Its image is being fetched.
     Fetching,
@@ -88,7 +88,7 @@
     /// Position of its team in the settings.
     pub team: Option<usize>,
     pub(crate) priority: Option<Priority>,
-    /// Started by this planner, so that its run time is known.
+    /// Started by this leader, so that its run time is known.
     pub(crate) ours: bool,
     /// The grace to stop it with, once it has to go.
     pub stop: Option<Duration>,
@@ -149,7 +149,7 @@
 }
 
 /// The tasks on a machine, with their totals. A look at every task of hundreds of machines in
-/// each planning pass costs more than a controller's processor share, so totals are kept until
+/// each placement pass costs more than a controller's processor share, so totals are kept until
 /// the tasks may have changed: any mutable access drops them.
 #[derive(Debug, Default)]
 pub struct MachineTasks {
@@ -180,15 +180,18 @@
     pub(crate) fn totals(&self) -> &Totals {
         self.totals.get_or_init(|| {
             let mut totals = Totals::default();
-            for ((task, _), held) in &self.tasks {
-                if matches!(held.state, MachineTaskState::Running | MachineTaskState::Saving) {
+            for ((task, _), machine_task) in &self.tasks {
+                if matches!(
+                    machine_task.state,
+                    MachineTaskState::Running | MachineTaskState::Saving
+                ) {
                     match totals.running.iter_mut().find(|(job, _)| *job == task.job) {
                         Some((_, count)) => *count += 1,
                         None => totals.running.push((task.job.clone(), 1)),
                     }
                 }
-                if held.takes_room() {
-                    totals.add(held);
+                if machine_task.takes_room() {
+                    totals.add(machine_task);
                 }
             }
             totals
@@ -197,25 +200,25 @@
 }
 
 impl Totals {
-    fn add(&mut self, held: &MachineTask) {
+    fn add(&mut self, machine_task: &MachineTask) {
         self.tasks += 1;
-        self.uncounted |= held.team.is_none();
-        let Some(need) = &held.spec else {
+        self.uncounted |= machine_task.team.is_none();
+        let Some(need) = &machine_task.spec else {
             self.unsized_tasks = true;
             return;
         };
         self.used.add(need);
-        if held.stop.is_some() {
+        if machine_task.stop.is_some() {
             self.stopping_cpus += need.cpus;
         }
-        if let Some(team) = held.team {
+        if let Some(team) = machine_task.team {
             if self.by_team.len() <= team {
                 self.by_team.resize(team + 1, Usage::default());
             }
             let usage = &mut self.by_team[team];
             *usage = usage.plus(Usage { cpus: need.cpus, gpus: need.gpus });
         }
-        if let Some(priority) = held.priority {
+        if let Some(priority) = machine_task.priority {
             self.by_priority[priority as usize].add(need);
         }
     }
@@ -228,7 +231,7 @@
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
-/// A machine, and what this planner knows of it.
+/// A machine, and what this leader knows of it.
 #[derive(Debug)]
 pub struct Machine {
     /// Its name in the cloud.
@@ -245,14 +248,14 @@
     state: MachineState,
     /// Whether the state service knows that it may hold tasks.
     pub recorded: Recorded,
-    /// No order of an earlier planner can act on it any more (S7).
-    pub fresh: bool,
+    /// No order of an earlier leader can act on it any more (S7).
+    pub fenced: bool,
     /// Its worker's session, as shown last.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Number of the worker's newest message in that session.
-    pub seq: u64,
+    pub sequence: u64,
     /// Sessions up to this one are known to have ended.
-    pub(crate) ended_sessions: u64,
+    pub(crate) ended_agent_epochs: u64,
     pub(crate) known_since: Instant,
     pub(crate) rented_at: Instant,
     pub(crate) heard_at: Option<Instant>,
@@ -268,11 +271,11 @@
     pub(crate) unanswered: u32,
     /// The newest of its reports that were older than what is known, and how many came.
     pub(crate) behind: ((u64, u64), u32),
-    pub(crate) lapsed: bool,
+    pub(crate) lease_expired: bool,
     pub(crate) notice: bool,
     pub(crate) idle_since: Option<Instant>,
     /// The tasks that are, or may be, on it.
-    pub held: MachineTasks,
+    pub tasks: MachineTasks,
     /// Images that it probably has, the most recently used last.
     pub(crate) images: Vec<(String, f64)>,
     /// Jobs whose tasks failed here since a task last completed here.
@@ -303,10 +306,10 @@
             size,
             state: MachineState::Booting,
             recorded: Recorded::No,
-            fresh: false,
-            session: 0,
-            seq: 0,
-            ended_sessions: 0,
+            fenced: false,
+            agent_epoch: 0,
+            sequence: 0,
+            ended_agent_epochs: 0,
             known_since: now,
             rented_at: now,
             heard_at: None,
@@ -317,10 +320,10 @@
             reachability: Reachability::Reachable,
             unanswered: 0,
             behind: ((0, 0), 0),
-            lapsed: false,
+            lease_expired: false,
             notice: false,
             idle_since: None,
-            held: MachineTasks::default(),
+            tasks: MachineTasks::default(),
             images: Vec::new(),
             failed_jobs: Vec::new(),
             failures: 0,
@@ -382,7 +385,7 @@
     /// Its next report of its own has come, with the term given. A worker sends it only once it
     /// has taken the answer to the one before or given it up. So a lower term than that answer's
     /// shows that the answer was not taken, and renewed no lease: otherwise a machine that
-    /// nothing reaches would hold up a take-over for as long as its reports come.
+    /// nothing reaches would hold up a failover for as long as its reports come.
     pub(crate) fn reported(&mut self, term: u64) {
         if term < self.answered_term {
             self.answered_at = self.answered_before;
@@ -392,7 +395,7 @@
     /// Capacity that no task takes; none while something of unknown size is there.
     pub(crate) fn free(&self) -> Option<Need> {
         let size = self.size.as_ref()?;
-        let totals = self.held.totals();
+        let totals = self.tasks.totals();
         if totals.unsized_tasks {
             return None;
         }
@@ -418,25 +421,25 @@
             ours: true,
             stop: None,
         };
-        self.held.insert((task, attempt), assigned);
+        self.tasks.insert((task, attempt), assigned);
         self.touch_image(&spec.image, spec.image_gb);
     }
 
     /// Marks a task to be stopped, and gives the order for it.
     pub(crate) fn stop(&mut self, key: &(TaskId, u64), grace: Duration) -> Option<Order> {
-        self.held.get_mut(key)?.stop = Some(grace);
+        self.tasks.get_mut(key)?.stop = Some(grace);
         let (task, attempt) = key.clone();
         Some(Order::Stop { task, attempt, grace_s: grace.as_secs_f64() })
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.held.totals().tasks == 0
+        self.tasks.totals().tasks == 0
     }
 
     pub(crate) fn takes_work(&self, now: Instant, silence: Duration) -> bool {
         self.state == MachineState::Up
-            && self.fresh
-            && !self.lapsed
+            && self.fenced
+            && !self.lease_expired
             && !self.notice
             && self.reachability != Reachability::Unreachable
             && self.recorded == Recorded::Yes
@@ -461,9 +464,9 @@
 
     /// Stops that have to be told to the worker, again with every answer.
     pub(crate) fn stops(&self) -> impl Iterator<Item = Order> + '_ {
-        self.held.iter().filter_map(|((task, attempt), held)| {
-            let grace = held.stop?;
-            let again = match held.state {
+        self.tasks.iter().filter_map(|((task, attempt), machine_task)| {
+            let grace = machine_task.stop?;
+            let again = match machine_task.state {
                 MachineTaskState::Ordered { .. }
                 | MachineTaskState::Fetching
                 | MachineTaskState::Running => true,
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -1,7 +1,7 @@
 //! Machines that one job may use, in the order in which they are preferred.
 
 use super::capacity::{roomiest, MachineCapacity};
-use super::Reach;
+use super::PlacementScope;
 use rand::rngs::SmallRng;
 
 /// Which machines are preferred: one holding the image, however few of them there are; else the
@@ -27,12 +27,12 @@
         candidates: Vec<usize>,
         machines: &[MachineCapacity],
         with_image: &[usize],
-        reach: Reach,
+        scope: PlacementScope,
     ) -> Self {
         let is_slow = |n: &usize| machines[*n].slow;
         let (mut slow, mut others): (Vec<usize>, Vec<usize>) =
             candidates.into_iter().partition(is_slow);
-        if reach != Reach::One {
+        if scope != PlacementScope::One {
             slow.clear();
         }
         let mut holding = Vec::new();
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -1,8 +1,8 @@
-//! Free capacity of machines during one planning pass.
+//! Free capacity of machines during one placement pass.
 
-use super::Reach;
+use super::PlacementScope;
 use crate::machine::Need;
-use crate::planner::Planner;
+use crate::scheduler::Scheduler;
 use corkfield_wire::{JobId, Priority};
 use rand::rngs::SmallRng;
 use rand::seq::index;
@@ -10,18 +10,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-impl Planner {
+impl Scheduler {
     /// What there is room in for the jobs that wait.
-    pub(super) fn rooms(&mut self, queue: &[(JobId, u32)], now: Instant) -> ClusterCapacity {
+    pub(super) fn capacity(&mut self, queue: &[(JobId, u32)], now: Instant) -> ClusterCapacity {
         let silence = self.config.silence();
         let least = Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX };
-        let mut rooms = ClusterCapacity { least, ..ClusterCapacity::default() };
+        let mut capacity = ClusterCapacity { least, ..ClusterCapacity::default() };
         for (id, _) in queue {
             let spec = self.jobs[id].spec();
-            rooms.least = rooms.least.least(&Need::of(spec));
-            rooms.top = Some(rooms.top.map_or(spec.priority, |top| top.min(spec.priority)));
-            if !rooms.holding.contains_key(&spec.image) {
-                rooms.holding.insert(spec.image.clone(), Vec::new());
+            capacity.least = capacity.least.least(&Need::of(spec));
+            capacity.top = Some(capacity.top.map_or(spec.priority, |top| top.min(spec.priority)));
+            if !capacity.holding.contains_key(&spec.image) {
+                capacity.holding.insert(spec.image.clone(), Vec::new());
             }
         }
         for machine in self.machines.values() {
@@ -37,12 +37,12 @@
             let Some(free) = machine.free().filter(|_| !probing || machine.is_empty()) else {
                 continue;
             };
-            let n = rooms.all.len();
+            let n = capacity.all.len();
             let (name, zone) = (machine.name.clone(), machine.zone.clone());
             let reserved = Need::default();
-            let by_priority = machine.held.totals().by_priority;
+            let by_priority = machine.tasks.totals().by_priority;
             let spot = machine.spot;
-            rooms.all.push(MachineCapacity {
+            capacity.all.push(MachineCapacity {
                 name,
                 free,
                 zone,
@@ -52,20 +52,20 @@
                 reserved,
                 by_priority,
             });
-            rooms.open.push(n);
-            rooms.keepable.push(n);
+            capacity.open.push(n);
+            capacity.keepable.push(n);
             for (image, _) in &machine.images {
-                if let Some(holding) = rooms.holding.get_mut(image) {
+                if let Some(holding) = capacity.holding.get_mut(image) {
                     holding.push(n);
                 }
             }
         }
-        rooms
+        capacity
     }
 
     /// Keeps room for the waiting tasks of an urgent job, on machines where it will come free
     /// by itself: otherwise smaller tasks of less important jobs would fill each gap first.
-    pub(super) fn reserve(&self, id: &JobId, rooms: &mut ClusterCapacity) {
+    pub(super) fn reserve(&self, id: &JobId, capacity: &mut ClusterCapacity) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec();
         if spec.priority > Priority::High || spec.cpus <= 0.0 {
@@ -76,12 +76,12 @@
             return;
         }
         let need = Need::of(spec);
-        let ClusterCapacity { all: rooms, keepable, least, top, .. } = rooms;
+        let ClusterCapacity { all: capacity, keepable, least, top, .. } = capacity;
         let top = top.unwrap_or(spec.priority);
         self.steps.set(self.steps.get() + keepable.len() as u64);
         let mut slots: Vec<(u32, f64, usize)> = Vec::new();
         keepable.retain(|n| {
-            let room = &rooms[*n];
+            let room = &capacity[*n];
             if room.probing || !room.above(top).holds(least) {
                 return false;
             }
@@ -101,7 +101,7 @@
         for (count, _, n) in slots {
             let count = count.min(left);
             left -= count;
-            rooms[n].reserved.add(&need.times(count));
+            capacity[n].reserved.add(&need.times(count));
             if left == 0 {
                 return;
             }
@@ -127,10 +127,10 @@
 
 impl MachineCapacity {
     /// Whether a task that takes so much fits, as far as the job may reach.
-    pub(super) fn has_room_for(&self, need: &Need, reach: Reach) -> bool {
-        match reach {
-            Reach::One => self.free.holds(need),
-            Reach::Guaranteed | Reach::All => self.fits(need),
+    pub(super) fn has_room_for(&self, need: &Need, scope: PlacementScope) -> bool {
+        match scope {
+            PlacementScope::One => self.free.holds(need),
+            PlacementScope::Guaranteed | PlacementScope::All => self.fits(need),
         }
     }
 
@@ -168,13 +168,13 @@
 
 /// Where in the list the roomiest machine is, among a sample if they are many.
 pub(super) fn roomiest(
-    rooms: &[MachineCapacity],
+    capacity: &[MachineCapacity],
     list: &[usize],
     sample: usize,
     rng: &mut SmallRng,
 ) -> Option<usize> {
     let roomier = |a: &usize, b: &usize| {
-        let free = |at: usize| rooms[list[at]].free.cpus;
+        let free = |at: usize| capacity[list[at]].free.cpus;
         free(*a).partial_cmp(&free(*b)).unwrap_or(Ordering::Equal)
     };
     match list.len() > sample.max(1) {
@@ -184,14 +184,14 @@
 }
 
 pub(super) fn roomiest_zone<'a>(
-    rooms: &[MachineCapacity],
+    capacity: &[MachineCapacity],
     candidates: impl Iterator<Item = &'a usize>,
     need: &Need,
 ) -> String {
     let mut by_zone: BTreeMap<&str, f64> = BTreeMap::new();
     for &n in candidates {
-        let slots = (rooms[n].free.cpus / need.cpus.max(0.01)).floor();
-        *by_zone.entry(&rooms[n].zone).or_default() += slots;
+        let slots = (capacity[n].free.cpus / need.cpus.max(0.01)).floor();
+        *by_zone.entry(&capacity[n].zone).or_default() += slots;
     }
     let best = by_zone.into_iter().max_by(|a, b| a.1.partial_cmp(&b.1).unwrap_or(Ordering::Equal));
     best.map(|(zone, _)| zone.to_owned()).unwrap_or_default()
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -2,7 +2,7 @@
 
 use crate::job::Job;
 use crate::machine::{MachineTask, MachineTaskState, Need};
-use crate::planner::{direct, Planner};
+use crate::scheduler::{direct_orders, Scheduler};
 use crate::team::{within_guarantee, within_limit, Usage};
 use corkfield_wire::{JobId, Priority, TaskId};
 use rand::seq::index;
@@ -21,10 +21,10 @@
 /// A task expected to end sooner than this is not stopped for another.
 const NEARLY_DONE_S: f64 = 6.0;
 
-impl Planner {
+impl Scheduler {
     /// How long a job waits for room to come free by itself before others are stopped for it:
     /// a part of what its class, or the guarantees, are to be served within.
-    fn patience(&self, job: &Job, guaranteed: bool) -> Duration {
+    fn grace(&self, job: &Job, guaranteed: bool) -> Duration {
         let class = job.spec().class.as_str();
         let within = |kind: &str| {
             let of_kind = |o: &&corkfield_wire::settings::Objective| {
@@ -48,12 +48,12 @@
         }
         let silence = self.config.silence();
         // Capacity that is being freed already.
-        let mut coming: f64 = self.machines.values().map(|m| m.held.totals().stopping_cpus).sum();
+        let mut coming: f64 = self.machines.values().map(|m| m.tasks.totals().stopping_cpus).sum();
         let working = self.machines.values().filter(|m| m.takes_work(now, silence));
         let mut working: Vec<(f64, String, [f64; 4])> = working
             .map(|m| {
                 let free = m.free().map_or(0.0, |free| free.cpus);
-                (free, m.name.clone(), m.held.totals().by_priority.map(|need| need.cpus))
+                (free, m.name.clone(), m.tasks.totals().by_priority.map(|need| need.cpus))
             })
             .collect();
         // Where most is free least has to be stopped.
@@ -67,7 +67,7 @@
             let one = Usage::of(job.spec(), 1);
             let guaranteed =
                 within_guarantee(&self.config.teams[job.team], usage[job.team].plus(one));
-            if now.saturating_duration_since(job.accepted_at) < self.patience(job, guaranteed) {
+            if now.saturating_duration_since(job.accepted_at) < self.grace(job, guaranteed) {
                 continue;
             }
             let covered = (coming / one.cpus.max(0.01)).floor().min(f64::from(startable));
@@ -98,7 +98,7 @@
                 }
                 looks -= 1;
                 let name = &working[n].1;
-                self.steps.set(self.steps.get() + self.machines[name].held.len() as u64);
+                self.steps.set(self.steps.get() + self.machines[name].tasks.len() as u64);
                 let victims = self.victims(&id, name, &mut wanted, usage, now);
                 self.stop_tasks(&id, name, victims);
             }
@@ -129,9 +129,9 @@
             return chosen;
         }
         let mut losses: Vec<(f64, &(TaskId, u64), &Job)> = Vec::new();
-        for (key, held) in machine.held.iter() {
+        for (key, machine_task) in machine.tasks.iter() {
             let Some(other) = self.jobs.get(&key.0.job) else { continue };
-            if let Some(loss) = self.loss(job, other, held, now) {
+            if let Some(loss) = self.loss(job, other, machine_task, now) {
                 losses.push((loss, key, other));
             }
         }
@@ -173,12 +173,20 @@
     }
 
     /// What is lost if the task is stopped; `None` if it should not be.
-    fn loss(&self, job: &Job, other: &Job, held: &MachineTask, now: Instant) -> Option<f64> {
-        let running = held.state == MachineTaskState::Running;
-        if !(running || held.state == MachineTaskState::Fetching) || held.stop.is_some() {
+    fn loss(
+        &self,
+        job: &Job,
+        other: &Job,
+        machine_task: &MachineTask,
+        now: Instant,
+    ) -> Option<f64> {
+        let running = machine_task.state == MachineTaskState::Running;
+        if !(running || machine_task.state == MachineTaskState::Fetching)
+            || machine_task.stop.is_some()
+        {
             return None;
         }
-        let ran = now.saturating_duration_since(held.since).as_secs_f64();
+        let ran = now.saturating_duration_since(machine_task.since).as_secs_f64();
         // Starts that are soon undone help nobody.
         if !job.is_urgent() && ran < SETTLING_IN_S {
             return None;
@@ -208,7 +216,7 @@
             let grace = self.jobs.get(&key.0.job).map_or(Duration::ZERO, Job::stop_grace);
             orders.extend(machine.stop(&key, grace));
         }
-        let action = direct(machine, orders);
+        let action = direct_orders(machine, orders);
         self.actions.push(action);
     }
 
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -1,26 +1,26 @@
 //! The order in which waiting jobs are placed.
 
 use crate::job::Job;
-use crate::planner::Planner;
+use crate::scheduler::Scheduler;
 use crate::team::{within_guarantee, Usage};
 use corkfield_wire::{JobId, JobSpec, Priority};
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
 /// So many of these in one pass.
-const PASSED_OVER_JOBS: usize = 8;
+const LONG_WAITING_JOBS: usize = 8;
 
 /// A job of which nothing runs for this long gets the next room that one of its tasks fits into,
 /// also if that is kept for an urgent job that needs more: such room is not free for long, but
 /// under lasting overload some machine always has some.
-const PASSED_OVER: Duration = Duration::from_secs(60);
+const LONG_WAIT: Duration = Duration::from_secs(60);
 
 /// A job of which nothing has begun for this long gets what comes free next: under lasting
 /// overload the largest, the latest and idle ones would otherwise wait for its end. Once
 /// something of it has begun it stands in line as before.
 const STARVED_AFTER: Duration = Duration::from_secs(120);
 
-impl Planner {
+impl Scheduler {
     pub(crate) fn correction(&self, class: &str) -> f64 {
         match self.corrections.get(class) {
             Some((n, sum)) if *n >= 3 => (sum / f64::from(*n)).clamp(0.1, 10.0),
@@ -61,7 +61,7 @@
     /// Jobs with tasks that may be started now, and how many at the most, in order (S7: while
     /// machines have not shown what they hold, only tasks that no earlier owner can have started).
     pub(super) fn queue(&mut self, usage: &[Usage], now: Instant) -> Vec<(JobId, u32)> {
-        let fencing = !self.is_complete();
+        let fencing = !self.is_reconciled();
         // Those that need not wait for room have their first starts announced at once.
         let takes_room = |job: &Job| self.takes_room(job.spec(), usage);
         let unannounced = self.jobs.iter().filter(|(_, job)| job.waits_unannounced());
@@ -118,15 +118,15 @@
     }
 
     /// Jobs that are not urgent and of which nothing ran for long, the longest first.
-    pub(super) fn passed_over(&self, queue: &[(JobId, u32)], now: Instant) -> Vec<JobId> {
+    pub(super) fn long_waiting(&self, queue: &[(JobId, u32)], now: Instant) -> Vec<JobId> {
         let waiting = queue.iter().filter_map(|(id, _)| {
             let job = &self.jobs[id];
             let since = job.nothing_since.filter(|_| !job.is_urgent())?;
-            (now.saturating_duration_since(since) > PASSED_OVER).then_some((since, id))
+            (now.saturating_duration_since(since) > LONG_WAIT).then_some((since, id))
         });
         let mut waiting: Vec<(Instant, &JobId)> = waiting.collect();
         waiting.sort();
-        waiting.into_iter().take(PASSED_OVER_JOBS).map(|(_, id)| id.clone()).collect()
+        waiting.into_iter().take(LONG_WAITING_JOBS).map(|(_, id)| id.clone()).collect()
     }
 
     fn free_cpus(&self, now: Instant) -> f64 {
@@ -146,15 +146,16 @@
     /// what it holds, or holds tasks of jobs that are not known. A worker starts nothing beyond
     /// its machine's size, and any team may be the one that uses it. `None` while a size is not
     /// known.
-    pub(super) fn hidden_usage(&self) -> Option<Usage> {
-        let mut hidden = Usage::default();
+    pub(super) fn unaccounted_usage(&self) -> Option<Usage> {
+        let mut unaccounted_usage = Usage::default();
         for machine in self.machines.values() {
-            if self.is_unfenced(&machine.name) || machine.held.totals().uncounted {
+            if self.is_unreconciled(&machine.name) || machine.tasks.totals().uncounted {
                 let size = machine.size.as_ref()?;
-                hidden = hidden.plus(Usage { cpus: size.cpus, gpus: size.gpus });
+                unaccounted_usage =
+                    unaccounted_usage.plus(Usage { cpus: size.cpus, gpus: size.gpus });
             }
         }
-        Some(hidden)
+        Some(unaccounted_usage)
     }
 }
 
--- a/crates/core/src/renting.rs
+++ b/crates/core/src/scaling.rs
@@ -2,7 +2,7 @@
 
 use crate::job::Job;
 use crate::machine::{allows, Machine, MachineState, Reachability};
-use crate::planner::{Action, Planner};
+use crate::scheduler::{Action, Scheduler};
 use corkfield_wire::cloud::{MachineType, RentRequest, MAX_RENT};
 use corkfield_wire::JobSpec;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
 /// An ordinary machine that costs this many times a spot one is dear.
-const DEAR: f64 = 2.0;
+const EXPENSIVE_RATIO: f64 = 2.0;
 /// Dear machines go when the cheap ones have this many times their CPUs and suffice for the work.
 const MOSTLY: f64 = 4.0;
 /// Above this they go in any case: what they add is not worth their price.
@@ -29,7 +29,7 @@
 /// An offer with its price for each CPU: whether spot machines, their type and zone.
 type Priced = (f64, bool, MachineType, String);
 
-pub(crate) struct Renting {
+pub(crate) struct ScalingState {
     term: u64,
     requests: u64,
     backoff: BTreeMap<Offer, (Instant, u32)>,
@@ -38,7 +38,7 @@
     lately: (Option<Instant>, f64),
 }
 
-impl Renting {
+impl ScalingState {
     pub fn new(term: u64) -> Self {
         Self {
             term,
@@ -59,25 +59,25 @@
 }
 
 /// Whether a rental under way brings machines that the job allows.
-fn suits(spec: &JobSpec, rental: &RentRequest) -> bool {
+fn rental_allows(spec: &JobSpec, rental: &RentRequest) -> bool {
     allows(spec, &rental.machine_type, &rental.zone, rental.spot)
 }
 
 /// Whether dear machines are not needed beside so many cheap ones.
-fn enough_cheap(cheap: f64, dear: f64, want: f64) -> bool {
-    cheap >= BY_FAR * dear || (cheap >= MOSTLY * dear && cheap >= want)
+fn enough_cheap(cheap: f64, expensive: f64, want: f64) -> bool {
+    cheap >= BY_FAR * expensive || (cheap >= MOSTLY * expensive && cheap >= want)
 }
 
-impl Planner {
+impl Scheduler {
     /// A rental was answered, or given up without an answer. Machines of a late one turn up
     /// in the list and in reports.
-    pub fn rented(
+    pub fn rental_answered(
         &mut self,
         request: &RentRequest,
         outcome: Result<Vec<String>, bool>,
         now: Instant,
     ) {
-        self.renting.under_way.remove(&request.request);
+        self.scaling.under_way.remove(&request.request);
         let offer = (request.machine_type.clone(), request.zone.clone(), request.spot);
         match outcome {
             Ok(names) => {
@@ -90,59 +90,59 @@
                     });
                 }
                 if short {
-                    self.renting.backoff.insert(offer, (now + Duration::from_secs(10), 1));
+                    self.scaling.backoff.insert(offer, (now + Duration::from_secs(10), 1));
                 } else {
-                    self.renting.backoff.remove(&offer);
+                    self.scaling.backoff.remove(&offer);
                 }
             }
             Err(no_capacity) => {
-                let failures = self.renting.backoff.get(&offer).map_or(0, |(_, n)| *n) + 1;
+                let failures = self.scaling.backoff.get(&offer).map_or(0, |(_, n)| *n) + 1;
                 let base = if no_capacity { 5.0 } else { 2.0 };
                 let wait = Duration::from_secs_f64(base * 2f64.powi(failures.min(5) as i32 - 1));
-                self.renting.backoff.insert(offer, (now + wait.min(MAX_BACKOFF), failures));
+                self.scaling.backoff.insert(offer, (now + wait.min(MAX_BACKOFF), failures));
             }
         }
     }
 
     /// Rents what the waiting work needs and returns what it doesn't.
-    pub fn adjust_machines(&mut self, now: Instant) {
+    pub fn scale(&mut self, now: Instant) {
         if self.types.is_empty() {
             return;
         }
         self.replace_late_boots(now);
         let (wide, spot_wide) = self.wanted_cpus();
         let supply = self.supply(now);
-        self.rent(wide, spot_wide, supply, now);
-        self.rent_for_bound(now);
-        self.return_dear(wide);
-        self.return_idle(wide, supply, now);
+        self.scale_out(wide, spot_wide, supply, now);
+        self.scale_out_for_constrained(now);
+        self.scale_in_expensive(wide);
+        self.scale_in_idle(wide, supply, now);
     }
 
     /// Once most of the capacity is up at a far lower price, the dear rest is let go: its work
     /// ends, and no new work comes.
-    fn return_dear(&mut self, want: f64) {
+    fn scale_in_expensive(&mut self, want: f64) {
         let mut cheap = 0.0;
-        let mut dear = Vec::new();
-        let mut dear_cpus = 0.0;
+        let mut expensive = Vec::new();
+        let mut expensive_cpus = 0.0;
         for machine in self.machines.values() {
             let Some(size) = &machine.size else { continue };
-            if machine.state() != MachineState::Up || machine.notice || machine.lapsed {
+            if machine.state() != MachineState::Up || machine.notice || machine.lease_expired {
                 continue;
             }
             if machine.spot {
                 cheap += size.cpus;
-            } else if size.spot_price > 0.0 && size.price > DEAR * size.spot_price {
-                dear_cpus += size.cpus;
-                dear.push(machine.name.clone());
+            } else if size.spot_price > 0.0 && size.price > EXPENSIVE_RATIO * size.spot_price {
+                expensive_cpus += size.cpus;
+                expensive.push(machine.name.clone());
             }
         }
         // Work that must not run on spot machines needs them.
         let all_spot = self.jobs.values().all(|job| job.spec().spot);
-        let enough = enough_cheap(cheap, dear_cpus, want);
-        if !enough || !all_spot || !self.is_complete() {
+        let enough = enough_cheap(cheap, expensive_cpus, want);
+        if !enough || !all_spot || !self.is_reconciled() {
             return;
         }
-        for name in dear {
+        for name in expensive {
             self.drain(&name);
             self.note(&name, "returning a dear machine");
         }
@@ -170,15 +170,15 @@
     }
 
     fn supply(&self, now: Instant) -> f64 {
-        self.supply_of(now, |_| true, |_| true)
+        self.matching_supply(now, |_| true, |_| true)
     }
 
     /// CPUs of machines that work or are coming, of those that suit.
-    fn supply_of(
+    fn matching_supply(
         &self,
         now: Instant,
-        suiting: impl Fn(&Machine) -> bool,
-        suiting_rental: impl Fn(&RentRequest) -> bool,
+        matches: impl Fn(&Machine) -> bool,
+        rental_matches: impl Fn(&RentRequest) -> bool,
     ) -> f64 {
         // A machine that should have reported is probably gone. What that means for its tasks
         // is for S5 to tell; another machine may be asked for meanwhile.
@@ -188,31 +188,31 @@
         let working = |m: &&Machine| {
             matches!(m.state(), MachineState::Up | MachineState::Booting)
                 && !m.notice
-                && !m.lapsed
+                && !m.lease_expired
                 && m.reachability() != Reachability::Unreachable
                 && !silent(m)
-                && suiting(m)
+                && matches(m)
         };
-        let rented: f64 = self
+        let rental_answered: f64 = self
             .machines
             .values()
             .filter(working)
             .filter_map(|m| m.size.as_ref().map(|t| t.cpus))
             .sum();
         let coming: f64 = self
-            .renting
+            .scaling
             .under_way
             .values()
-            .filter(|r| suiting_rental(r))
+            .filter(|r| rental_matches(r))
             .filter_map(|r| {
                 let size = self.types.iter().find(|t| t.name == r.machine_type)?;
                 Some(size.cpus * f64::from(r.count))
             })
             .sum();
-        rented + coming
+        rental_answered + coming
     }
 
-    fn rent(&mut self, want: f64, spot_want: f64, supply: f64, now: Instant) {
+    fn scale_out(&mut self, want: f64, spot_want: f64, supply: f64, now: Instant) {
         let missing = want - supply;
         if missing <= 0.0 {
             return;
@@ -221,24 +221,24 @@
             let working = |m: &&Machine| {
                 m.spot == spot
                     && matches!(m.state(), MachineState::Up | MachineState::Booting)
-                    && !m.lapsed
+                    && !m.lease_expired
             };
             let cpus = |m: &Machine| m.size.as_ref().map(|t| t.cpus);
             self.machines.values().filter(working).filter_map(cpus).sum::<f64>()
         };
-        let (cheap, dear_cpus) = (coming(true), coming(false));
-        let spot_unanswered = self.renting.under_way.values().any(|request| request.spot);
+        let (cheap, expensive_cpus) = (coming(true), coming(false));
+        let spot_unanswered = self.scaling.under_way.values().any(|request| request.spot);
         let mut offers = self.open_offers(now);
         offers.retain(|(_, spot, kind, zone)| {
             let spot = *spot;
             // It would be returned as soon as it is up; or how many spot machines are to be had is
             // not known yet, and an offer that was asked for already is none at the moment.
-            let dear = !spot
+            let expensive = !spot
                 && want <= spot_want
                 && kind.spot_price > 0.0
-                && kind.price > DEAR * kind.spot_price
-                && (spot_unanswered || enough_cheap(cheap, dear_cpus + kind.cpus, want));
-            let useful = if spot { spot_want > 0.0 } else { !dear };
+                && kind.price > EXPENSIVE_RATIO * kind.spot_price
+                && (spot_unanswered || enough_cheap(cheap, expensive_cpus + kind.cpus, want));
+            let useful = if spot { spot_want > 0.0 } else { !expensive };
             useful && self.somebody_fits(kind, zone, spot)
         });
         self.ask_for(missing, offers);
@@ -246,7 +246,7 @@
 
     /// Jobs bound to a zone, to machine types or to ordinary machines find no use in what there
     /// is elsewhere: what the machines that suit them lack is asked for besides.
-    fn rent_for_bound(&mut self, now: Instant) {
+    fn scale_out_for_constrained(&mut self, now: Instant) {
         type Bounds = (Option<String>, Option<Vec<String>>, bool);
         let mut bound: BTreeMap<Bounds, (f64, JobSpec)> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| job.may_start() && job.waiting() > 0) {
@@ -261,7 +261,8 @@
             }
         }
         for (want, spec) in bound.into_values() {
-            let missing = want - self.supply_of(now, |m| m.allows(&spec), |r| suits(&spec, r));
+            let missing =
+                want - self.matching_supply(now, |m| m.allows(&spec), |r| rental_allows(&spec, r));
             if missing <= 0.0 {
                 continue;
             }
@@ -279,8 +280,8 @@
                 for spot in [true, false] {
                     let offer = (kind.name.clone(), zone.clone(), spot);
                     let waits =
-                        self.renting.backoff.get(&offer).is_some_and(|(until, _)| now < *until);
-                    let under_way = self.renting.under_way.values().any(|r| {
+                        self.scaling.backoff.get(&offer).is_some_and(|(until, _)| now < *until);
+                    let under_way = self.scaling.under_way.values().any(|r| {
                         (&r.machine_type, &r.zone, r.spot) == (&offer.0, &offer.1, offer.2)
                     });
                     if !waits && !under_way {
@@ -307,17 +308,17 @@
             let alike = offers[n..].iter().take_while(|o| (o.0 - price).abs() < 1e-9).count();
             let count = (missing / kind.cpus.max(0.1) / alike as f64).ceil().max(1.0);
             missing -= count * kind.cpus;
-            self.renting.requests += 1;
+            self.scaling.requests += 1;
             let request = RentRequest {
                 // Terms are never taken twice, so neither is a name (request names must not be).
-                request: format!("r-{}-{}", self.renting.term, self.renting.requests),
+                request: format!("r-{}-{}", self.scaling.term, self.scaling.requests),
                 machine_type: kind.name.clone(),
                 zone,
                 spot,
                 count: (count as u32).min(MAX_RENT),
             };
             tracing::debug!(?request, "renting");
-            self.renting.under_way.insert(request.request.clone(), request.clone());
+            self.scaling.under_way.insert(request.request.clone(), request.clone());
             self.actions.push(Action::Rent(request));
         }
     }
@@ -357,14 +358,14 @@
         };
         let asked = self.jobs.values().filter(|j| soon(j)).map(|j| j.demand().cpus);
         let asked = asked.fold(0.0, f64::max);
-        let (at, most) = self.renting.lately;
+        let (at, most) = self.scaling.lately;
         if asked >= most || at.is_none_or(|at| now.saturating_duration_since(at) > LATELY) {
-            self.renting.lately = (Some(now), asked);
+            self.scaling.lately = (Some(now), asked);
         }
-        self.renting.lately.1
+        self.scaling.lately.1
     }
 
-    fn return_idle(&mut self, want: f64, supply: f64, now: Instant) {
+    fn scale_in_idle(&mut self, want: f64, supply: f64, now: Instant) {
         let keep = self.config.idle_keep;
         let short = keep.mul_f64(SHORT_KEEP);
         let headroom = self.headroom(now);
@@ -372,7 +373,7 @@
         let mut idle: Vec<(f64, String, f64, bool)> = Vec::new();
         for machine in self.machines.values_mut() {
             let Some(size) = &machine.size else { continue };
-            if machine.state() != MachineState::Up || !machine.held.is_empty() {
+            if machine.state() != MachineState::Up || !machine.tasks.is_empty() {
                 machine.idle_since = None;
                 continue;
             }
--- a/crates/core/src/planner/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -1,6 +1,6 @@
 //! Claimed jobs: taking them up, and closing those that are over.
 
-use super::{direct, Action, Planner};
+use super::{direct_orders, Action, Scheduler};
 use crate::job::{Job, JobState, Placed};
 use crate::machine::MachineTaskState;
 use corkfield_wire::records::JobRecord;
@@ -9,14 +9,14 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-impl Planner {
+impl Scheduler {
     /// Jobs that have to be claimed once more.
-    pub fn lapsed_jobs(&self) -> Vec<JobId> {
-        let lapsed = self.jobs.iter().filter(|(_, j)| j.state() == JobState::Lapsed);
-        lapsed.map(|(id, _)| id.clone()).collect()
+    pub fn jobs_to_reclaim(&self) -> Vec<JobId> {
+        let lease_expired = self.jobs.iter().filter(|(_, j)| j.state() == JobState::NeedsReclaim);
+        lease_expired.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Which unfinished jobs are still to be claimed. A take-over claims them a few at a time,
+    /// Which unfinished jobs are still to be claimed. A failover claims them a few at a time,
     /// and their machines report meanwhile: tasks of jobs that are merely not claimed yet must
     /// neither be stopped as nobody's, nor their results be forgotten.
     pub fn set_unclaimed(&mut self, unclaimed: BTreeSet<JobId>) {
@@ -39,7 +39,7 @@
         let id = record.spec.id.clone();
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) {
             job.reclaimed(record, version, now);
-            if job.state() == JobState::SetAside {
+            if job.state() == JobState::DeadLettered {
                 self.stop_job(&id);
             }
             return;
@@ -47,13 +47,14 @@
         let mut job = Job::new(record, finished, version, team, age, now);
         // Tasks that fresh machines reported before the claim are taken up now.
         for machine in self.machines.values_mut() {
-            for ((task, attempt), held) in machine.held.iter_mut().filter(|((t, _), _)| t.job == id)
+            for ((task, attempt), machine_task) in
+                machine.tasks.iter_mut().filter(|((t, _), _)| t.job == id)
             {
-                held.belongs_to(job.spec(), team);
-                if held.state == MachineTaskState::Done {
+                machine_task.belongs_to(job.spec(), team);
+                if machine_task.state == MachineTaskState::Done {
                     job.finish(task.index);
-                } else if held.takes_room() && !job.active().contains_key(&task.index) {
-                    held.stop = None;
+                } else if machine_task.takes_room() && !job.active().contains_key(&task.index) {
+                    machine_task.stop = None;
                     job.place(task.index, &machine.name, *attempt);
                 }
             }
@@ -105,32 +106,34 @@
 
     fn stop_job(&mut self, id: &JobId) {
         let mut orders: Vec<Action> = Vec::new();
-        for machine in self.machines.values_mut().filter(|m| m.held.has_tasks_of(id)) {
-            machine.held.retain(|(task, _), held| {
-                !(task.job == *id && held.state == MachineTaskState::Assigned)
+        for machine in self.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
+            machine.tasks.retain(|(task, _), machine_task| {
+                !(task.job == *id && machine_task.state == MachineTaskState::Assigned)
             });
             let mut stops = Vec::new();
-            for ((task, attempt), held) in machine.held.iter_mut() {
-                if task.job == *id && held.takes_room() {
-                    held.stop = Some(Duration::ZERO);
+            for ((task, attempt), machine_task) in machine.tasks.iter_mut() {
+                if task.job == *id && machine_task.takes_room() {
+                    machine_task.stop = Some(Duration::ZERO);
                     let (task, attempt) = (task.clone(), *attempt);
                     stops.push(Order::Stop { task, attempt, grace_s: 0.0 });
                 }
             }
-            if !stops.is_empty() && machine.session > 0 {
-                orders.push(direct(machine, stops));
+            if !stops.is_empty() && machine.agent_epoch > 0 {
+                orders.push(direct_orders(machine, stops));
             }
         }
         self.actions.extend(orders);
         if let Some(job) = self.jobs.get_mut(id) {
             let id = id.clone();
-            let held = |index: u32, placed: &Placed| {
+            let machine_task = |index: u32, placed: &Placed| {
                 let key = (TaskId { job: id.clone(), index }, placed.attempt);
-                self.machines.get(&placed.machine).is_some_and(|m| m.held.contains_key(&key))
+                self.machines.get(&placed.machine).is_some_and(|m| m.tasks.contains_key(&key))
             };
             let active = job.active().iter();
-            let lost: Vec<(u32, Placed)> =
-                active.filter(|(n, p)| !held(**n, p)).map(|(n, p)| (*n, p.clone())).collect();
+            let lost: Vec<(u32, Placed)> = active
+                .filter(|(n, p)| !machine_task(**n, p))
+                .map(|(n, p)| (*n, p.clone()))
+                .collect();
             for (index, placed) in lost {
                 job.release(index, &placed.machine, placed.attempt);
             }
--- a/crates/core/src/planner/settlement.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -1,6 +1,6 @@
 //! Settling writes: finished tasks and first starts that the state service has to hold (S9).
 
-use super::{Planner, Settlement};
+use super::{CompletionCommit, Scheduler};
 use crate::job::Job;
 use corkfield_wire::records::{JobRecord, CHUNK_TASKS};
 use corkfield_wire::{JobId, TaskSet};
@@ -10,22 +10,22 @@
 /// Chunks of finished numbers in one settling write.
 const MAX_CHUNKS: usize = 2;
 
-impl Planner {
+impl Scheduler {
     /// Settling writes that are due, those first for which somebody waits, then those that have
     /// waited longest: in the order of their ids, the last of hundreds would never have their
-    /// turn. Each has to be answered with [`Self::settled`] or [`Self::settling_failed`].
-    pub fn settlements(&mut self, most: usize, now: Instant) -> Vec<Settlement> {
+    /// turn. Each has to be answered with [`Self::completion_committed`] or [`Self::completion_commit_failed`].
+    pub fn due_completion_commits(&mut self, most: usize, now: Instant) -> Vec<CompletionCommit> {
         let due = self.jobs.values_mut().filter_map(|job| {
-            let waited_for = job.settling_due(now)?;
-            Some((!waited_for, job.settled_at, job))
+            let waited_for = job.commit_due(now)?;
+            Some((!waited_for, job.last_commit_at, job))
         });
         let mut due: Vec<(bool, Option<Instant>, &mut Job)> = due.collect();
         due.sort_by_key(|(later, at, _)| (*later, *at));
         due.truncate(most);
-        due.into_iter().map(|(_, _, job)| Self::settlement(job, now)).collect()
+        due.into_iter().map(|(_, _, job)| Self::completion_commit(job, now)).collect()
     }
 
-    fn settlement(job: &mut Job, now: Instant) -> Settlement {
+    fn completion_commit(job: &mut Job, now: Instant) -> CompletionCommit {
         let mut record = job.record.clone();
         let mut chunks: BTreeMap<u32, TaskSet> = BTreeMap::new();
         let mut tasks = Vec::new();
@@ -49,7 +49,7 @@
         }
         record.running = job.running;
         if std::mem::take(&mut job.unannounced) {
-            record.begin_more();
+            record.raise_start_watermark();
         }
         if job.is_refunded_now(now) {
             job.refunded = true;
@@ -59,9 +59,9 @@
             // Progress resets the count of claims (S12).
             record.claims = 0;
         }
-        job.settling = true;
-        job.settled_at = Some(now);
-        Settlement {
+        job.committing = true;
+        job.last_commit_at = Some(now);
+        CompletionCommit {
             job: record.spec.id.clone(),
             version: job.version,
             finishes: record.done >= record.spec.tasks,
@@ -72,26 +72,30 @@
     }
 
     /// A settling write was carried out, at that version.
-    pub fn settled(&mut self, settlement: &Settlement, version: u64) {
-        let Some(job) = self.jobs.get_mut(&settlement.job) else {
+    pub fn completion_committed(&mut self, completion_commit: &CompletionCommit, version: u64) {
+        let Some(job) = self.jobs.get_mut(&completion_commit.job) else {
             return;
         };
-        job.settling = false;
-        job.stored(&settlement.tasks);
+        job.committing = false;
+        job.stored(&completion_commit.tasks);
         job.version = version;
-        job.record = settlement.record.clone();
-        if settlement.finishes {
-            tracing::debug!(job = %settlement.job, tasks = settlement.record.done, "job done");
-            self.close_job(&settlement.job);
+        job.record = completion_commit.record.clone();
+        if completion_commit.finishes {
+            tracing::debug!(job = %completion_commit.job, tasks = completion_commit.record.done, "job done");
+            self.close_job(&completion_commit.job);
         }
     }
 
     /// The write may be tried again from the record as it was found, if that is still ours.
-    pub fn settling_failed(&mut self, id: &JobId, found: Option<(JobRecord, TaskSet, u64)>) {
+    pub fn completion_commit_failed(
+        &mut self,
+        id: &JobId,
+        found: Option<(JobRecord, TaskSet, u64)>,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.settling = false;
+        job.committing = false;
         if let Some((record, finished, version)) = found {
             job.found_stored(&finished);
             job.record = record;
--- a/crates/core/src/planner/take_over.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -1,28 +1,28 @@
-//! Take-over: which machines earlier planners may have used, and when each is accounted for (S7).
+//! Failover: which machines earlier leaders may have used, and when each is accounted for (S7).
 
-use super::{Planner, Verdict};
+use super::{Scheduler, Verdict};
 use crate::machine::{Machine, MachineState, Reachability, Recorded};
 use corkfield_wire::records::MachineRecord;
-use corkfield_wire::worker::Report;
+use corkfield_wire::worker::WorkerHeartbeat;
 use std::time::{Duration, Instant};
 
-/// After a take-over machines have a report interval and this long to show what they hold.
-const FENCE_PATIENCE: Duration = Duration::from_secs(2);
+/// After a failover machines have a report interval and this long to show what they hold.
+const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
 /// While others still come, the rest may be on their way: when a cut ends or hung machines go on,
 /// they answer one after the other, and the last of them must not be taken for the silent few.
-const FENCE_STILL: Duration = Duration::from_secs(3);
+const RECONCILIATION_QUIET: Duration = Duration::from_secs(3);
 /// So many machines that don't, or that part of all, are given up; never most of a small fleet.
-const FEW_UNFENCED: usize = 2;
-const UNFENCED_PART: usize = 8;
-/// And only those that were asked this often in vain: a planner that is busy with the reports of
+const FEW_UNRECONCILED: usize = 2;
+const UNRECONCILED_PART: usize = 8;
+/// And only those that were asked this often in vain: a leader that is busy with the reports of
 /// a whole fleet may not have come round to the others yet.
 const GIVEN_UP_AFTER: u32 = 2;
 /// So many reports with low order numbers, each above the one before, and no others, are a reason
 /// to ask the worker whether it counts anew.
 const BEHIND_REPORTS: u32 = 2;
 
-impl Planner {
-    /// A machine on which an earlier planner may have started tasks. Nothing that was claimed
+impl Scheduler {
+    /// A machine on which an earlier leader may have started tasks. Nothing that was claimed
     /// before is started until it has reported under our term, or is gone, or has lapsed.
     /// `age` is the time since the record was written, at the least.
     pub fn recorded_machine(
@@ -38,11 +38,11 @@
         machine.recorded = Recorded::Yes;
         // It existed then, so the first lists may tell already that it is gone.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
-        // S6: the planner before us may have answered it until its fresh state ran out.
+        // S6: the leader before us may have answered it until its fresh state ran out.
         machine.answered_at = now + self.config.answer_limit;
         machine.enter(MachineState::Up);
-        self.unfenced.insert(name.to_owned());
-        self.unfenced_since.get_or_insert(now);
+        self.unreconciled.insert(name.to_owned());
+        self.unreconciled_since.get_or_insert(now);
         self.machines.insert(name.to_owned(), machine);
     }
 
@@ -53,23 +53,28 @@
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
                     || machine.behind.1 >= BEHIND_REPORTS
-                    || self.unfenced.contains(&machine.name))
+                    || self.unreconciled.contains(&machine.name))
         });
-        asked.map(|m| (m.name.clone(), m.addr.clone(), m.session.max(1))).collect()
+        asked.map(|m| (m.name.clone(), m.addr.clone(), m.agent_epoch.max(1))).collect()
     }
 
     /// The newest order number known of a machine: what it says in answer to a question asked
     /// after this is newer.
     pub fn known_order(&self, name: &str) -> (u64, u64) {
-        self.machines.get(name).map_or((0, 0), |m| (m.session, m.seq))
+        self.machines.get(name).map_or((0, 0), |m| (m.agent_epoch, m.sequence))
     }
 
     /// A machine's answer to direct orders that were sent when `known` was the newest order
     /// number known of it.
-    pub fn on_answer(&mut self, report: &Report, known: (u64, u64), now: Instant) -> Verdict {
-        let verdict = self.on_report(report, false, now);
-        if (report.session, report.seq) <= known {
-            self.restarted(&report.machine);
+    pub fn on_answer(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        known: (u64, u64),
+        now: Instant,
+    ) -> Verdict {
+        let verdict = self.on_heartbeat(heartbeat, false, now);
+        if (heartbeat.agent_epoch, heartbeat.sequence) <= known {
+            self.restarted(&heartbeat.machine);
         }
         verdict
     }
@@ -96,29 +101,30 @@
     /// the list drops them half a minute later. Returned ones are surely gone (S5b), so those
     /// few are given up. Where many are silent it is more likely a zone, or this controller,
     /// that is cut off: then their work is worth the wait.
-    pub(super) fn give_up_unfenced(&mut self, now: Instant) {
-        let Some(since) = self.unfenced_since else {
+    pub(super) fn give_up_unreconciled(&mut self, now: Instant) {
+        let Some(since) = self.unreconciled_since else {
             return;
         };
         let waited = now.saturating_duration_since(since);
         let machines = self.machines.len();
-        if self.unfenced.is_empty() {
+        if self.unreconciled.is_empty() {
             let waited_s = waited.as_secs_f64();
             tracing::info!(machines, waited_s, "all machines accounted for after the take-over");
-            self.unfenced_since = None;
+            self.unreconciled_since = None;
             return;
         }
-        let few = FEW_UNFENCED.min(machines / 2).max(machines / UNFENCED_PART);
-        let patience = self.config.report_interval + FENCE_PATIENCE;
-        let coming =
-            self.accounted_at.is_some_and(|at| now.saturating_duration_since(at) < FENCE_STILL);
-        if waited < patience || coming || self.unfenced.len() > few {
+        let few = FEW_UNRECONCILED.min(machines / 2).max(machines / UNRECONCILED_PART);
+        let grace = self.config.heartbeat_interval + RECONCILIATION_GRACE;
+        let coming = self
+            .accounted_at
+            .is_some_and(|at| now.saturating_duration_since(at) < RECONCILIATION_QUIET);
+        if waited < grace || coming || self.unreconciled.len() > few {
             return;
         }
         let asked = |name: &&String| {
             self.machines.get(*name).is_some_and(|machine| machine.unanswered >= GIVEN_UP_AFTER)
         };
-        let silent: Vec<String> = self.unfenced.iter().filter(asked).cloned().collect();
+        let silent: Vec<String> = self.unreconciled.iter().filter(asked).cloned().collect();
         for name in silent {
             self.hand_back(&name, "no answer after the take-over; returned");
         }
@@ -131,12 +137,12 @@
         }
     }
 
-    /// All tasks that earlier planners started are accounted for.
-    pub fn is_complete(&self) -> bool {
-        self.unfenced.is_empty()
+    /// All tasks that earlier leaders started are accounted for.
+    pub fn is_reconciled(&self) -> bool {
+        self.unreconciled.is_empty()
     }
 
-    pub(crate) fn is_unfenced(&self, machine: &str) -> bool {
-        self.unfenced.contains(machine)
+    pub(crate) fn is_unreconciled(&self, machine: &str) -> bool {
+        self.unreconciled.contains(machine)
     }
 }
--- a/crates/core/src/planner/reports.rs
+++ b/crates/core/src/scheduler/heartbeats.rs
@@ -1,34 +1,39 @@
 //! Workers' reports: what they prove, and what becomes of the tasks that they show.
 
-use super::{direct, Action, Planner, Verdict};
+use super::{direct_orders, Action, Scheduler, Verdict};
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, Recorded};
 use corkfield_wire::records::MachineRecord;
-use corkfield_wire::worker::{ExitCause, Order, Report, TaskPhase, TaskReport};
+use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
 use corkfield_wire::TaskId;
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-impl Planner {
+impl Scheduler {
     /// Takes a message of a worker: one of its own reports, or its answer to direct orders.
-    pub fn on_report(&mut self, report: &Report, own_report: bool, now: Instant) -> Verdict {
-        if report.term > self.term {
-            return Verdict::HigherTerm(report.term);
+    pub fn on_heartbeat(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        own_heartbeat: bool,
+        now: Instant,
+    ) -> Verdict {
+        if heartbeat.term > self.term {
+            return Verdict::HigherTerm(heartbeat.term);
         }
-        if self.gone_names.contains(&report.machine) {
+        if self.gone_names.contains(&heartbeat.machine) {
             return Verdict::Stale;
         }
-        let known = self.machines.contains_key(&report.machine);
+        let known = self.machines.contains_key(&heartbeat.machine);
         if !known {
-            tracing::debug!(machine = %report.machine, kind = %report.machine_type, "new machine");
+            tracing::debug!(machine = %heartbeat.machine, kind = %heartbeat.machine_type, "new machine");
         }
         let types = &self.types;
-        let machine = self.machines.entry(report.machine.clone()).or_insert_with(|| {
+        let machine = self.machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
             Machine::new(
-                report.machine.clone(),
-                report.machine_type.clone(),
-                report.zone.clone(),
-                report.spot,
+                heartbeat.machine.clone(),
+                heartbeat.machine_type.clone(),
+                heartbeat.zone.clone(),
+                heartbeat.spot,
                 types,
                 now,
             )
@@ -36,47 +41,49 @@
         // Messages that were held back: older ones never count (S10), nor do those of sessions that
         // are known to have ended (S5). If they go on coming, and only they, the worker may have
         // begun to count anew.
-        let order = (report.session, report.seq);
-        if report.session <= machine.ended_sessions || order <= (machine.session, machine.seq) {
-            if own_report && order > machine.behind.0 {
+        let order = (heartbeat.agent_epoch, heartbeat.sequence);
+        if heartbeat.agent_epoch <= machine.ended_agent_epochs
+            || order <= (machine.agent_epoch, machine.sequence)
+        {
+            if own_heartbeat && order > machine.behind.0 {
                 machine.behind = (order, machine.behind.1 + 1);
             }
             return Verdict::Stale;
         }
         // The highest term that a worker has seen never falls.
-        if report.term < machine.shown_term {
-            self.restarted(&report.machine);
+        if heartbeat.term < machine.shown_term {
+            self.restarted(&heartbeat.machine);
             return Verdict::Stale;
         }
-        machine.shown_term = report.term;
+        machine.shown_term = heartbeat.term;
         machine.behind = ((0, 0), 0);
         machine.unanswered = 0;
-        if own_report {
-            machine.reported(report.term);
+        if own_heartbeat {
+            machine.reported(heartbeat.term);
         } else {
             machine.note_delivery(true);
         }
-        machine.addr.clone_from(&report.addr);
+        machine.addr.clone_from(&heartbeat.addr);
         let gap = machine.heard_at.map(|at| now.saturating_duration_since(at));
-        let prompt = gap.filter(|gap| *gap <= self.config.report_interval.mul_f64(1.5));
+        let prompt = gap.filter(|gap| *gap <= self.config.heartbeat_interval.mul_f64(1.5));
         machine.heard_at = Some(now);
-        machine.notice = report.notice_s.is_some();
+        machine.notice = heartbeat.notice_s.is_some();
         if machine.state() == MachineState::Booting {
             machine.enter(MachineState::Up);
             machine.about_to_answer(now);
         }
-        machine.session = report.session;
-        machine.seq = report.seq;
-        let name = report.machine.clone();
+        machine.agent_epoch = heartbeat.agent_epoch;
+        machine.sequence = heartbeat.sequence;
+        let name = heartbeat.machine.clone();
         // S7: only what was sent after the worker took our term is fresh. A machine without a
         // record was never given a task by anybody.
-        let unused = machine.recorded == Recorded::No && report.tasks.is_empty();
-        machine.fresh = machine.fresh || unused || report.term == self.term;
-        if !machine.fresh {
+        let unused = machine.recorded == Recorded::No && heartbeat.tasks.is_empty();
+        machine.fenced = machine.fenced || unused || heartbeat.term == self.term;
+        if !machine.fenced {
             return Verdict::Accept;
         }
-        if machine.lapsed {
-            machine.lapsed = false;
+        if machine.lease_expired {
+            machine.lease_expired = false;
             machine.about_to_answer(now);
         }
         if machine.recorded == Recorded::No {
@@ -90,11 +97,11 @@
             };
             self.actions.push(Action::Record(name.clone(), record));
         }
-        self.sync_tasks(&name, report, own_report, prompt, now);
-        if self.unfenced.remove(&name) {
+        self.sync_tasks(&name, heartbeat, own_heartbeat, prompt, now);
+        if self.unreconciled.remove(&name) {
             self.accounted_at = Some(now);
         }
-        if report.notice_s.is_some() {
+        if heartbeat.notice_s.is_some() {
             self.drain_noticed(&name);
         }
         Verdict::Accept
@@ -103,36 +110,36 @@
     fn sync_tasks(
         &mut self,
         name: &str,
-        report: &Report,
-        own_report: bool,
+        heartbeat: &WorkerHeartbeat,
+        own_heartbeat: bool,
         prompt: Option<Duration>,
         now: Instant,
     ) {
         let mut reported: BTreeSet<(TaskId, u64)> = BTreeSet::new();
         let mut taken = false;
-        for task in &report.tasks {
+        for task in &heartbeat.tasks {
             reported.insert((task.task.clone(), task.attempt));
             taken |= self.sync_task(name, task, prompt, now);
         }
-        let (session, seq) = (report.session, report.seq);
-        let missing = |key: &(TaskId, u64), held: &MachineTask| {
-            let settled = match held.state {
+        let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+        let missing = |key: &(TaskId, u64), machine_task: &MachineTask| {
+            let completion_committed = match machine_task.state {
                 MachineTaskState::Assigned => false,
                 // A start travels only in the answer to a report, and the worker drops it after
                 // a while (S3). Only a later report of its own shows that it was not carried
                 // out; an answer to direct orders may have been made while it was under way.
-                MachineTaskState::Ordered { session: s, seq: n } => {
-                    own_report && (session, seq) > (s, n)
+                MachineTaskState::Ordered { agent_epoch: s, sequence: n } => {
+                    own_heartbeat && (agent_epoch, sequence) > (s, n)
                 }
                 _ => true,
             };
-            settled && !reported.contains(key)
+            completion_committed && !reported.contains(key)
         };
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let lost: Vec<((TaskId, u64), bool)> = machine
-            .held
+            .tasks
             .iter()
             .filter(|(k, h)| missing(k, h))
             .map(|(k, h)| (k.clone(), matches!(h.state, MachineTaskState::Ordered { .. })))
@@ -149,7 +156,7 @@
     fn sync_task(
         &mut self,
         name: &str,
-        task: &TaskReport,
+        task: &TaskStatus,
         prompt: Option<Duration>,
         now: Instant,
     ) -> bool {
@@ -165,9 +172,9 @@
             (TaskPhase::Exited, Some(ExitCause::Done)) => MachineTaskState::Done,
             (TaskPhase::Exited, _) => MachineTaskState::Exited,
         };
-        let before = machine.held.get(&key).map(|h| (h.state, h.since));
+        let before = machine.tasks.get(&key).map(|h| (h.state, h.since));
         let taken = matches!(before, Some((MachineTaskState::Ordered { .. }, _)));
-        let held = machine.held.entry(key.clone()).or_insert_with(|| MachineTask {
+        let machine_task = machine.tasks.entry(key.clone()).or_insert_with(|| MachineTask {
             state,
             since: now,
             spec: None,
@@ -179,12 +186,12 @@
         if before.is_none_or(|(known, _)| known != state) {
             tracing::debug!(task = %task.task, machine = name, attempt = task.attempt, ?state, "task");
         }
-        held.enter(state, now);
+        machine_task.enter(state, now);
         let Some(job) = job else {
             // Cancelled, done, or not claimed yet; stopped once all jobs are claimed.
             return taken;
         };
-        held.belongs_to(job.spec(), job.team);
+        machine_task.belongs_to(job.spec(), job.team);
         let index = task.task.index;
         match state {
             MachineTaskState::Done => {
@@ -193,7 +200,7 @@
                     machine.failed_jobs.clear();
                     // A run time is known only if its beginning and its end were reported at
                     // once: a machine that couldn't report for a while is not a slow one.
-                    let before = before.filter(|_| held.ours);
+                    let before = before.filter(|_| machine_task.ours);
                     if let (Some((MachineTaskState::Running, since)), Some(gap)) = (before, prompt)
                     {
                         let ran = now.duration_since(since);
@@ -208,14 +215,14 @@
                 }
             }
             _ if !job.is_live()
-                || job.state() == JobState::SetAside
+                || job.state() == JobState::DeadLettered
                 || job.finished().contains(index) =>
             {
-                held.stop = Some(Duration::ZERO);
+                machine_task.stop = Some(Duration::ZERO);
             }
             _ => match job.active().get(&index) {
                 None => {
-                    // Started by an earlier planner, or found again: it goes on.
+                    // Started by an earlier leader, or found again: it goes on.
                     job.place(index, name, task.attempt);
                     machine.touch_image(&job.record.spec.image, job.record.spec.image_gb);
                 }
@@ -223,7 +230,7 @@
                 Some(placed) => {
                     let other = &placed.machine;
                     tracing::warn!(task = %task.task, machine = name, other, "task reported twice");
-                    held.stop = Some(Duration::ZERO);
+                    machine_task.stop = Some(Duration::ZERO);
                 }
             },
         }
@@ -261,7 +268,7 @@
         }
     }
 
-    fn note_exit(&mut self, name: &str, task: &TaskReport, now: Instant) {
+    fn note_exit(&mut self, name: &str, task: &TaskStatus, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.task.job) else {
             return;
         };
@@ -307,19 +314,22 @@
             return;
         };
         let mut saving: Vec<((TaskId, u64), Duration)> = Vec::new();
-        for (key, held) in machine.held.iter() {
+        for (key, machine_task) in machine.tasks.iter() {
             let Some(job) = self.jobs.get(&key.0.job) else {
                 continue;
             };
             let saves = job.spec().checkpoint_s > 0.0;
-            if held.state == MachineTaskState::Running && saves && held.stop.is_none() {
+            if machine_task.state == MachineTaskState::Running
+                && saves
+                && machine_task.stop.is_none()
+            {
                 saving.push((key.clone(), job.stop_grace()));
             }
         }
         let stops: Vec<Order> =
             saving.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
         if !stops.is_empty() {
-            let action = direct(machine, stops);
+            let action = direct_orders(machine, stops);
             self.actions.push(action);
         }
     }
--- a/crates/core/src/planner/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -1,6 +1,6 @@
 //! Machines that come, go, or are silent for too long.
 
-use super::{Action, Planner};
+use super::{Action, Scheduler};
 use crate::machine::{Machine, MachineState, MachineTask, Recorded};
 use corkfield_wire::cloud::{ListedMachine, ListedState, MachineType, MAX_DELETE};
 use corkfield_wire::TaskId;
@@ -13,7 +13,7 @@
 const GONE_A_MACHINE: usize = 8;
 const DELETE_RETRY: Duration = Duration::from_secs(3);
 
-impl Planner {
+impl Scheduler {
     /// Takes over the cloud's machine types, also for machines known already.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         for machine in self.machines.values_mut() {
@@ -41,8 +41,8 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if let Some(held) = machine.held.remove(key) {
-            tracing::debug!(task = %key.0, machine = name, attempt = key.1, was = ?held.state, "task off");
+        if let Some(machine_task) = machine.tasks.remove(key) {
+            tracing::debug!(task = %key.0, machine = name, attempt = key.1, was = ?machine_task.state, "task off");
             if let Some(job) = self.jobs.get_mut(&key.0.job) {
                 job.release(key.0.index, name, key.1);
             }
@@ -55,7 +55,7 @@
             return;
         };
         let keys: Vec<(TaskId, u64)> =
-            machine.held.iter().filter(|(_, h)| which(h)).map(|(k, _)| k.clone()).collect();
+            machine.tasks.iter().filter(|(_, h)| which(h)).map(|(k, _)| k.clone()).collect();
         for key in keys {
             self.release(name, &key);
         }
@@ -69,7 +69,7 @@
                 self.actions.push(Action::Erase(name.to_owned()));
             }
         }
-        self.unfenced.remove(name);
+        self.unreconciled.remove(name);
         if self.gone_names.insert(name.to_owned()) {
             self.gone.push_back(name.to_owned());
         }
@@ -89,7 +89,7 @@
 
     /// A whole list of the cloud, asked for at `asked`.
     pub fn on_list(&mut self, list: &[ListedMachine], asked: Instant, now: Instant) {
-        let settle = self.config.list_settles_after();
+        let commit_wanted = self.config.list_settles_after();
         let mut listed: BTreeSet<&str> = BTreeSet::new();
         for entry in list {
             listed.insert(&entry.name);
@@ -124,7 +124,9 @@
         let mut missing = Vec::new();
         for machine in self.machines.values_mut() {
             // It existed when we came to know it, and this list describes a later moment.
-            if !listed.contains(machine.name.as_str()) && asked >= machine.known_since + settle {
+            if !listed.contains(machine.name.as_str())
+                && asked >= machine.known_since + commit_wanted
+            {
                 missing.push(machine.name.clone());
             }
         }
@@ -138,7 +140,7 @@
         let mut delete = Vec::new();
         let again = self.last_delete.is_none_or(|at| now.duration_since(at) >= DELETE_RETRY);
         for machine in self.machines.values_mut() {
-            if machine.state() == MachineState::Draining && machine.held.is_empty() {
+            if machine.state() == MachineState::Draining && machine.tasks.is_empty() {
                 machine.enter(MachineState::Deleting);
                 delete.push(machine.name.clone());
             } else if machine.state() == MachineState::Deleting && again {
--- a/crates/core/src/planner/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,18 +1,18 @@
-//! The planner: the one view of all jobs and machines, rebuilt from records and reports.
+//! The leader: the one view of all jobs and machines, rebuilt from records and reports.
 //!
 //! Safety rules are named S1 to S12 as in `docs/design.md`.
 
 mod claims;
+mod completion_commit;
+mod failover;
+mod heartbeats;
 mod machines;
 mod orders;
-mod reports;
-mod settlement;
-mod take_over;
 
 use crate::config::Config;
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability};
-use crate::renting::Renting;
+use crate::scaling::ScalingState;
 use crate::team::Usage;
 use corkfield_wire::cloud::{MachineType, RentRequest};
 use corkfield_wire::records::{JobRecord, MachineRecord};
@@ -42,7 +42,7 @@
         /// Where its worker takes direct orders.
         addr: String,
         /// The session that the orders are for.
-        session: u64,
+        agent_epoch: u64,
         /// What to do, in order.
         orders: Vec<Order>,
     },
@@ -69,7 +69,7 @@
 
 /// A write that settles finished tasks.
 #[derive(Debug, Clone)]
-pub struct Settlement {
+pub struct CompletionCommit {
     /// Whose tasks.
     pub job: JobId,
     /// Version of the record that the write rests on.
@@ -96,23 +96,23 @@
     /// The job with waiting tasks that was accepted first, and how long ago.
     pub oldest_waiting: Option<(JobId, Duration)>,
     /// Jobs set aside at the claim limit.
-    pub set_aside: Vec<JobId>,
+    pub dead_lettered: Vec<JobId>,
     /// The highest count of claims of a job.
     pub most_claims: u32,
     /// Machines that take work.
     pub machines_up: usize,
     /// Machines whose workers have not reported yet.
     pub machines_booting: usize,
-    /// Machines not accounted for since the take-over.
-    pub unfenced: usize,
-    /// Planning passes since the planner took over.
+    /// Machines not accounted for since the failover.
+    pub unreconciled: usize,
+    /// Placement passes since the leader took over.
     pub passes: u64,
     /// Machines and tasks that these looked at.
     pub steps: u64,
 }
 
-/// The scheduler of one planner: all claimed jobs, all machines, and the decisions.
-pub struct Planner {
+/// The scheduler of one leader: all claimed jobs, all machines, and the decisions.
+pub struct Scheduler {
     pub(crate) config: Config,
     term: u64,
     pub(crate) types: Vec<MachineType>,
@@ -122,15 +122,15 @@
     gone_names: HashSet<String>,
     /// Unfinished jobs that are not claimed yet: their tasks are let be.
     unclaimed: BTreeSet<JobId>,
-    /// Machines recorded by earlier planners whose tasks are not known yet (S7).
-    unfenced: BTreeSet<String>,
+    /// Machines recorded by earlier leaders whose tasks are not known yet (S7).
+    unreconciled: BTreeSet<String>,
     /// Since when there are any.
-    unfenced_since: Option<Instant>,
+    unreconciled_since: Option<Instant>,
     /// When the newest of them showed what it holds.
     accounted_at: Option<Instant>,
     pub(crate) actions: Vec<Action>,
     pub(crate) rng: SmallRng,
-    pub(crate) renting: Renting,
+    pub(crate) scaling: ScalingState,
     /// Run time seen against the owners' guesses, by class: count and sum of ratios.
     pub(crate) corrections: HashMap<String, (u32, f64)>,
     last_delete: Option<Instant>,
@@ -139,12 +139,12 @@
     noted: BTreeMap<&'static str, (u32, String)>,
     noted_at: Option<Instant>,
     deaf: usize,
-    /// Machines and tasks looked at in planning passes.
+    /// Machines and tasks looked at in placement passes.
     pub(crate) steps: Cell<u64>,
 }
 
-impl Planner {
-    /// A planner without jobs and machines, under a term that nobody else ever holds.
+impl Scheduler {
+    /// A leader without jobs and machines, under a term that nobody else ever holds.
     pub fn new(config: Config, term: u64, seed: u64) -> Self {
         Self {
             config,
@@ -155,12 +155,12 @@
             gone: VecDeque::new(),
             gone_names: HashSet::new(),
             unclaimed: BTreeSet::new(),
-            unfenced: BTreeSet::new(),
-            unfenced_since: None,
+            unreconciled: BTreeSet::new(),
+            unreconciled_since: None,
             accounted_at: None,
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            renting: Renting::new(term),
+            scaling: ScalingState::new(term),
             corrections: HashMap::new(),
             last_delete: None,
             passes: 0,
@@ -230,44 +230,45 @@
 
     /// Everything that only time brings about.
     pub fn tick(&mut self, now: Instant) {
-        let lapse = self.config.lapse_after();
+        let lease_expiry = self.config.lease_expiry_after();
         let mut unassign = Vec::new();
-        let mut lapsed = Vec::new();
+        let mut lease_expired = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.lapsed
+            if !machine.lease_expired
                 && machine.state() != MachineState::Booting
-                && now.saturating_duration_since(machine.answered_at) > lapse
+                && now.saturating_duration_since(machine.answered_at) > lease_expiry
             {
                 // S5c: no controller can have answered it for longer than its lease.
                 tracing::debug!(machine = %machine.name, "worker lease has lapsed");
-                machine.lapsed = true;
-                machine.fresh = false;
-                machine.ended_sessions = machine.session;
-                let ordered =
-                    |held: &MachineTask| matches!(held.state, MachineTaskState::Ordered { .. });
-                if machine.held.values().any(ordered) {
+                machine.lease_expired = true;
+                machine.fenced = false;
+                machine.ended_agent_epochs = machine.agent_epoch;
+                let ordered = |machine_task: &MachineTask| {
+                    matches!(machine_task.state, MachineTaskState::Ordered { .. })
+                };
+                if machine.tasks.values().any(ordered) {
                     machine.note_delivery(false);
                 }
-                lapsed.push(machine.name.clone());
+                lease_expired.push(machine.name.clone());
                 continue;
             }
             // Also one that reports, but takes no more work: no start goes to a machine that drains
             // or is about to be taken, so what was assigned to it would wait there for ever, and
             // hold up its return.
-            if !machine.takes_work(now, ASSIGNED_KEEP) && !machine.held.is_empty() {
+            if !machine.takes_work(now, ASSIGNED_KEEP) && !machine.tasks.is_empty() {
                 unassign.push(machine.name.clone());
             }
         }
-        for name in lapsed {
-            self.unfenced.remove(&name);
+        for name in lease_expired {
+            self.unreconciled.remove(&name);
             self.drop_held(&name, |_| true);
         }
         for name in unassign {
-            self.drop_held(&name, |held| held.state == MachineTaskState::Assigned);
+            self.drop_held(&name, |machine_task| machine_task.state == MachineTaskState::Assigned);
         }
         for job in self.jobs.values_mut() {
             if matches!(job.state(), JobState::BackingOff(until) if now >= until) {
-                job.enter(JobState::Lapsed);
+                job.enter(JobState::NeedsReclaim);
             }
             job.running = 0;
             job.note_nothing(now);
@@ -283,7 +284,7 @@
         }
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
         for machine in self.machines.values() {
-            for (job, count) in &machine.held.totals().running {
+            for (job, count) in &machine.tasks.totals().running {
                 *running.entry(job).or_default() += count;
             }
         }
@@ -292,7 +293,7 @@
                 job.running = count;
             }
         }
-        self.give_up_unfenced(now);
+        self.give_up_unreconciled(now);
         self.tick_machines(now);
         self.tell_noted(now);
     }
@@ -300,7 +301,7 @@
     pub(crate) fn usage(&self) -> Vec<Usage> {
         let mut usage = vec![Usage::default(); self.config.teams.len()];
         for machine in self.machines.values() {
-            for (sum, used) in usage.iter_mut().zip(&machine.held.totals().by_team) {
+            for (sum, used) in usage.iter_mut().zip(&machine.tasks.totals().by_team) {
                 *sum = sum.plus(*used);
             }
         }
@@ -310,15 +311,15 @@
     /// Figures for operators.
     pub fn overview(&self, now: Instant) -> Overview {
         let mut view = Overview { jobs: self.jobs.len(), ..Overview::default() };
-        view.unfenced = self.unfenced.len();
+        view.unreconciled = self.unreconciled.len();
         view.passes = self.passes;
         view.steps = self.steps.get();
         for (id, job) in &self.jobs {
             view.waiting_tasks += u64::from(job.waiting());
             view.running_tasks += u64::from(job.running);
             view.most_claims = view.most_claims.max(job.record.claims);
-            if job.state() == JobState::SetAside {
-                view.set_aside.push(id.clone());
+            if job.state() == JobState::DeadLettered {
+                view.dead_lettered.push(id.clone());
             }
             let age = now.saturating_duration_since(job.accepted_at);
             let older = view.oldest_waiting.as_ref().is_none_or(|(_, oldest)| age > *oldest);
@@ -337,11 +338,11 @@
     }
 }
 
-pub(crate) fn direct(machine: &Machine, orders: Vec<Order>) -> Action {
+pub(crate) fn direct_orders(machine: &Machine, orders: Vec<Order>) -> Action {
     Action::Direct {
         machine: machine.name.clone(),
         addr: machine.addr.clone(),
-        session: machine.session,
+        agent_epoch: machine.agent_epoch,
         orders,
     }
 }
--- a/crates/core/src/planner/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -1,6 +1,6 @@
 //! Answers to reports: which orders leave with them, and how long an answer may wait.
 
-use super::Planner;
+use super::Scheduler;
 use crate::machine::{MachineState, MachineTask, MachineTaskState};
 use corkfield_wire::worker::Order;
 use std::time::{Duration, Instant};
@@ -8,8 +8,8 @@
 /// Orders in one answer; keeps the answer's only line far below 64 KiB.
 const MAX_ORDERS: usize = 250;
 
-impl Planner {
-    /// Whether a planning pass might start something there, now that it has reported.
+impl Scheduler {
+    /// Whether a placement pass might start something there, now that it has reported.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
         self.machines.get(name).is_some_and(|machine| {
             machine.takes_work(now, Duration::MAX)
@@ -19,14 +19,15 @@
 
     /// Whether starts wait for that machine's next report.
     pub fn has_starts_for(&self, name: &str) -> bool {
-        let assigned = |held: &MachineTask| held.state == MachineTaskState::Assigned;
-        self.machines.get(name).is_some_and(|machine| machine.held.values().any(assigned))
+        let assigned =
+            |machine_task: &MachineTask| machine_task.state == MachineTaskState::Assigned;
+        self.machines.get(name).is_some_and(|machine| machine.tasks.values().any(assigned))
     }
 
     /// Whether the answer to a report may wait for work: the machine has nothing to tell.
     pub fn may_hold(&self, name: &str) -> bool {
         self.machines.get(name).is_some_and(|m| {
-            m.fresh && m.held.is_empty() && m.state() == MachineState::Up && !m.notice
+            m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
         })
     }
 
@@ -35,8 +36,8 @@
     pub fn orders(
         &mut self,
         name: &str,
-        session: u64,
-        seq: u64,
+        agent_epoch: u64,
+        sequence: u64,
         may_start: bool,
         now: Instant,
     ) -> Vec<Order> {
@@ -44,16 +45,16 @@
             return Vec::new();
         };
         machine.answered(self.term, now);
-        if !machine.fresh {
+        if !machine.fenced {
             return Vec::new();
         }
         let mut orders = Vec::new();
-        for ((task, attempt), held) in machine.held.iter_mut() {
+        for ((task, attempt), machine_task) in machine.tasks.iter_mut() {
             let job = self.jobs.get(&task.job);
             if job.is_none() && self.unclaimed.contains(&task.job) {
                 continue;
             }
-            let forget = match held.state {
+            let forget = match machine_task.state {
                 // S9: stored before it is forgotten.
                 MachineTaskState::Done => match job {
                     Some(job) => !job.is_live() || job.is_stored(task.index),
@@ -64,17 +65,17 @@
             };
             if forget {
                 orders.push(Order::Forget { task: task.clone(), attempt: *attempt });
-            } else if job.is_none() && held.takes_room() {
+            } else if job.is_none() && machine_task.takes_room() {
                 // S11: nobody's task, so cancelled, done or lost.
-                held.stop = Some(Duration::ZERO);
+                machine_task.stop = Some(Duration::ZERO);
             }
         }
         orders.extend(machine.stops());
         orders.truncate(MAX_ORDERS);
-        let current = (machine.session, machine.seq) == (session, seq);
+        let current = (machine.agent_epoch, machine.sequence) == (agent_epoch, sequence);
         if may_start && current && machine.takes_work(now, Duration::MAX) {
-            for ((task, attempt), held) in machine.held.iter_mut() {
-                if held.state != MachineTaskState::Assigned || orders.len() >= MAX_ORDERS {
+            for ((task, attempt), machine_task) in machine.tasks.iter_mut() {
+                if machine_task.state != MachineTaskState::Assigned || orders.len() >= MAX_ORDERS {
                     continue;
                 }
                 let Some(job) = self.jobs.get(&task.job).filter(|j| j.may_start()) else {
@@ -82,9 +83,9 @@
                 };
                 // The order's generation must be that of the job's record.
                 debug_assert_eq!(*attempt >> 24, job.record.generation);
-                let waited_ms = now.saturating_duration_since(held.since).as_millis();
-                held.enter(MachineTaskState::Ordered { session, seq }, now);
-                tracing::debug!(%task, machine = name, attempt, seq, waited_ms, "start ordered");
+                let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
+                machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
+                tracing::debug!(%task, machine = name, attempt, sequence, waited_ms, "start ordered");
                 orders.push(Order::Start { task: task.clone(), attempt: *attempt });
             }
         }
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -46,7 +46,7 @@
 
 /// Why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Misfit {
+pub enum Unschedulable {
     /// There is no such team.
     #[error("unknown team")]
     Team,
@@ -59,10 +59,14 @@
 }
 
 /// Whether a task of the job fits some allowed machine type and its team's limit.
-pub fn fits_some_type(spec: &JobSpec, teams: &[Team], types: &[MachineType]) -> Result<(), Misfit> {
-    let team = teams.iter().find(|t| t.name == spec.team).ok_or(Misfit::Team)?;
+pub fn fits_some_type(
+    spec: &JobSpec,
+    teams: &[Team],
+    types: &[MachineType],
+) -> Result<(), Unschedulable> {
+    let team = teams.iter().find(|t| t.name == spec.team).ok_or(Unschedulable::Team)?;
     if !within_limit(team, Usage::of(spec, 1)) {
-        return Err(Misfit::Limit);
+        return Err(Unschedulable::Limit);
     }
     let fits = |t: &&MachineType| {
         spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
@@ -71,5 +75,5 @@
             && spec.gpus <= t.gpus + EPSILON
             && spec.memory_gb <= t.memory_gb + EPSILON
     };
-    types.iter().find(fits).map(|_| ()).ok_or(Misfit::Machine)
+    types.iter().find(fits).map(|_| ()).ok_or(Unschedulable::Machine)
 }
--- a/crates/corkfield/examples/bounds.rs
+++ b/crates/corkfield/examples/bounds.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Parser)]
 struct Cli {
     /// Report of a day (JSON)
-    report: PathBuf,
+    heartbeat: PathBuf,
     /// CPUs up at the start
     #[arg(long)]
     start_cpus: f64,
@@ -29,18 +29,18 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let read = std::fs::read_to_string(&cli.report).map_err(|e| e.to_string());
-    let report: Value = match read.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()))
-    {
-        Ok(report) => report,
-        Err(error) => {
-            eprintln!("{}: {error}", cli.report.display());
-            return ExitCode::FAILURE;
-        }
-    };
-    let number = |path: &str| report.pointer(path).and_then(Value::as_f64).unwrap_or(0.0);
+    let read = std::fs::read_to_string(&cli.heartbeat).map_err(|e| e.to_string());
+    let heartbeat: Value =
+        match read.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string())) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                eprintln!("{}: {error}", cli.heartbeat.display());
+                return ExitCode::FAILURE;
+            }
+        };
+    let number = |path: &str| heartbeat.pointer(path).and_then(Value::as_f64).unwrap_or(0.0);
     let empty = Vec::new();
-    let windows = report["windows"].as_array().unwrap_or(&empty);
+    let windows = heartbeat["windows"].as_array().unwrap_or(&empty);
     let mut used = 0.0;
     let mut before = 0.0;
     let mut last_busy = 0.0;
--- a/crates/corkfield/examples/load.rs
+++ b/crates/corkfield/examples/load.rs
@@ -1,13 +1,15 @@
-//! What planning costs, against the number of machines: the planner alone, with workers that
+//! What planning costs, against the number of machines: the leader alone, with workers that
 //! report as the protocol says, in simulated time. The costs are real processor time, and so
 //! differ from machine to machine; all the rest repeats.
 
 use clap::Parser;
-use corkfield_core::{Action, Config, Planner, Verdict};
+use corkfield_core::{Action, Config, Scheduler, Verdict};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::{Objective, Team};
-use corkfield_wire::worker::{ExitCause, Order, Report, ReportReply, TaskPhase, TaskReport};
+use corkfield_wire::worker::{
+    ExitCause, HeartbeatReply, Order, TaskPhase, TaskStatus, WorkerHeartbeat,
+};
 use corkfield_wire::{JobId, JobSpec, TaskId, TaskSet};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -31,7 +33,7 @@
     /// Seconds between two reports of a worker without news
     #[arg(long, default_value_t = 5.0)]
     report_s: f64,
-    /// Seconds between two planning passes
+    /// Seconds between two placement passes
     #[arg(long, default_value_t = 0.12)]
     pace_s: f64,
 }
@@ -55,7 +57,7 @@
     name: String,
     kind: usize,
     zone: String,
-    seq: u64,
+    sequence: u64,
     term: u64,
     tasks: BTreeMap<TaskId, Task>,
     /// The next report without news, and the earliest one with.
@@ -107,28 +109,28 @@
         }
     }
 
-    fn report(&mut self) -> Vec<u8> {
-        self.seq += 1;
-        let tasks = self.tasks.iter().map(|(task, held)| TaskReport {
+    fn heartbeat(&mut self) -> Vec<u8> {
+        self.sequence += 1;
+        let tasks = self.tasks.iter().map(|(task, held)| TaskStatus {
             task: task.clone(),
             attempt: held.attempt,
             phase: held.phase,
             cause: held.cause,
             saved: None,
         });
-        let report = Report {
+        let heartbeat = WorkerHeartbeat {
             machine: self.name.clone(),
             addr: "10.0.0.9:9000".to_owned(),
             machine_type: SIZES[self.kind].0.to_owned(),
             zone: self.zone.clone(),
             spot: true,
-            session: 1,
-            seq: self.seq,
+            agent_epoch: 1,
+            sequence: self.sequence,
             term: self.term,
             notice_s: None,
             tasks: tasks.collect(),
         };
-        serde_json::to_vec(&report).unwrap_or_default()
+        serde_json::to_vec(&heartbeat).unwrap_or_default()
     }
 }
 
@@ -164,9 +166,9 @@
 
 impl Cost {
     fn of<T>(&mut self, work: impl FnOnce() -> T) -> T {
-        let begun = Instant::now();
+        let started = Instant::now();
         let result = work();
-        let spent = begun.elapsed();
+        let spent = started.elapsed();
         self.count += 1;
         self.spent += spent;
         self.most = self.most.max(spent);
@@ -207,7 +209,7 @@
             objective("guarantee", None, 20.0),
         ],
         worker_lease: Duration::from_secs(26),
-        report_interval: Duration::from_secs(5),
+        heartbeat_interval: Duration::from_secs(5),
         answer_limit: Duration::from_secs(15),
         list_lag: Duration::from_secs(4),
         placement_sample: 64,
@@ -237,7 +239,7 @@
             name: format!("host-{n:06}"),
             kind: [0, 0, 1, 0, 2, 0, 1, 0][n % 8],
             zone: if n % 2 == 0 { "north" } else { "south" }.to_owned(),
-            seq: 0,
+            sequence: 0,
             term: 1,
             tasks: BTreeMap::new(),
             due: rng.random_range(0.0..cli.report_s),
@@ -249,7 +251,12 @@
 
 /// A record whose tasks may all be started.
 fn claimed(spec: JobSpec) -> JobRecord {
-    JobRecord { generation: 1, begun: u32::MAX, begun_before: 0, ..JobRecord::new(spec, 0) }
+    JobRecord {
+        generation: 1,
+        start_watermark: u32::MAX,
+        previous_start_watermark: 0,
+        ..JobRecord::new(spec, 0)
+    }
 }
 
 /// What is owed of each class at first: ten seconds' worth.
@@ -262,10 +269,10 @@
     let mut rng = SmallRng::seed_from_u64(5);
     let mut workers = start_workers(&cli, &mut rng);
     let cpus: f64 = workers.iter().map(|w| SIZES[w.kind].1).sum();
-    let mut planner = Planner::new(config(cpus), 1, 3);
-    planner.set_types(types());
+    let mut scheduler = Scheduler::new(config(cpus), 1, 3);
+    scheduler.set_types(types());
     let origin = Instant::now();
-    let (mut reports, mut passes, mut answers, mut ticks, mut rents) =
+    let (mut heartbeats, mut passes, mut answers, mut ticks, mut rents) =
         (Cost::default(), Cost::default(), Cost::default(), Cost::default(), Cost::default());
     let (mut jobs, mut stops, mut starts, mut done) = (0u32, 0u64, 0u64, 0u64);
     let (mut next_pass, mut next_tick, mut next_rent) = (0.0, 0.0, 0.0);
@@ -281,7 +288,7 @@
                 jobs += 1;
                 let Some(spec) = spec(jobs, class, &mut rng) else { return };
                 *owed -= f64::from(spec.tasks) * cpus_each * run_s;
-                planner.claimed(claimed(spec), TaskSet::default(), 1, Duration::ZERO, now);
+                scheduler.claimed(claimed(spec), TaskSet::default(), 1, Duration::ZERO, now);
             }
         }
         let mut waiting = Vec::new();
@@ -293,50 +300,51 @@
             worker.news = false;
             worker.earliest = at + 0.5;
             worker.due = at + cli.report_s * rng.random_range(0.75..1.25);
-            let body = worker.report();
+            let body = worker.heartbeat();
             bytes += body.len();
-            let taken = reports.of(|| {
-                let report: Option<Report> = serde_json::from_slice(&body).ok();
-                let taken = report.filter(|r| planner.on_report(r, true, now) == Verdict::Accept);
-                taken.map(|r| (planner.may_start_on(&r.machine, now), r))
+            let taken = heartbeats.of(|| {
+                let heartbeat: Option<WorkerHeartbeat> = serde_json::from_slice(&body).ok();
+                let taken =
+                    heartbeat.filter(|r| scheduler.on_heartbeat(r, true, now) == Verdict::Accept);
+                taken.map(|r| (scheduler.may_start_on(&r.machine, now), r))
             });
-            if let Some((_, report)) = taken {
-                waiting.push((n, report.seq));
+            if let Some((_, heartbeat)) = taken {
+                waiting.push((n, heartbeat.sequence));
             }
         }
-        for action in planner.take_actions() {
+        for action in scheduler.take_actions() {
             match action {
-                Action::Record(name, _) => planner.machine_recorded(&name, true),
+                Action::Record(name, _) => scheduler.machine_recorded(&name, true),
                 Action::Direct { machine, orders, .. } => {
                     stops += orders.len() as u64;
                     let worker = workers.iter_mut().find(|w| w.name == machine);
                     worker.into_iter().for_each(|w| w.obey(orders.clone(), at, &mut rng));
                 }
-                Action::Rent(request) => planner.rented(&request, Err(true), now),
+                Action::Rent(request) => scheduler.rental_answered(&request, Err(true), now),
                 _ => {}
             }
         }
         if at >= next_tick {
             next_tick = at + 0.25;
-            ticks.of(|| planner.tick(now));
+            ticks.of(|| scheduler.tick(now));
         }
         if at >= next_rent {
             next_rent = at + 1.0;
-            rents.of(|| planner.adjust_machines(now));
+            rents.of(|| scheduler.scale(now));
         }
         if at >= next_pass {
             next_pass = at + cli.pace_s;
-            passes.of(|| planner.plan(now));
+            passes.of(|| scheduler.run_placement_pass(now));
         }
-        for settlement in planner.settlements(40, now) {
-            done += settlement.tasks.len() as u64;
-            planner.settled(&settlement, 1);
+        for completion_commit in scheduler.due_completion_commits(40, now) {
+            done += completion_commit.tasks.len() as u64;
+            scheduler.completion_committed(&completion_commit, 1);
         }
-        for (n, seq) in waiting {
+        for (n, sequence) in waiting {
             let worker = &mut workers[n];
             let reply = answers.of(|| {
-                let orders = planner.orders(&worker.name, 1, seq, true, now);
-                let reply = ReportReply { term: 1, orders };
+                let orders = scheduler.orders(&worker.name, 1, sequence, true, now);
+                let reply = HeartbeatReply { term: 1, orders };
                 (serde_json::to_vec(&reply).map(|b| b.len()).unwrap_or(0), reply)
             });
             starts +=
@@ -344,15 +352,15 @@
             worker.obey(reply.1.orders, at, &mut rng);
         }
     }
-    let view = planner.overview(origin + Duration::from_secs_f64(cli.seconds));
+    let view = scheduler.overview(origin + Duration::from_secs_f64(cli.seconds));
     println!(
         "{} machines, {cpus:.0} CPUs, {jobs} jobs came, {} left, {} tasks wait, {} run; {starts} starts, {stops} stops, {done} done",
         cli.machines, view.jobs, view.waiting_tasks, view.running_tasks
     );
-    reports.print("reports", cli.seconds);
+    heartbeats.print("reports", cli.seconds);
     answers.print("answers", cli.seconds);
     passes.print("passes", cli.seconds);
     ticks.print("ticks", cli.seconds);
     rents.print("renting", cli.seconds);
-    println!("{:.0} bytes a report", bytes as f64 / reports.count.max(1) as f64);
+    println!("{:.0} bytes a report", bytes as f64 / heartbeats.count.max(1) as f64);
 }
--- a/crates/corkfield/examples/loopback.rs
+++ b/crates/corkfield/examples/loopback.rs
@@ -5,10 +5,10 @@
 //! `cargo run --release --example loopback -- --machines 360 --seconds 30`
 
 use clap::Parser;
-use corkfield_fakes::{FakeCloud, FakeStore, Ledger, Loopback, Plan, WorkerSettings};
+use corkfield_fakes::{ExecutionHistory, FakeCloud, FakeStore, Loopback, Plan, WorkerSettings};
 use corkfield_http::{Client, Tcp};
 use corkfield_wire::cloud::MachineType;
-use corkfield_wire::records::{PlannerRecord, PLANNER};
+use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
 use corkfield_wire::user::{JobView, PATH_JOBS, PATH_READY};
 use corkfield_wire::{JobSpec, JobStatus};
 use std::net::SocketAddr;
@@ -144,9 +144,9 @@
     }
 }
 
-fn start_stand_ins(cli: &Cli) -> (Rc<FakeStore>, Rc<Ledger>) {
-    let ledger = Rc::new(Ledger::default());
-    ledger.cancel_after.set(Duration::from_secs(46));
+fn start_stand_ins(cli: &Cli) -> (Rc<FakeStore>, Rc<ExecutionHistory>) {
+    let history = Rc::new(ExecutionHistory::default());
+    history.cancel_after.set(Duration::from_secs(46));
     let store = Rc::new(FakeStore::default());
     store.keep_time();
     store.start(Rc::new(Tcp), store_addr(), Rc::default());
@@ -157,9 +157,9 @@
         zone: String::new(),
         spot: false,
         cpus: 0.0,
-        report: Duration::from_secs(5),
+        heartbeat: Duration::from_secs(5),
         lease: Duration::from_secs(26),
-        reports_after_answers: false,
+        heartbeats_after_answers: false,
         controllers: (0..cli.controllers)
             .map(|n| (format!("n{n}"), controller_addr(n, 8080)))
             .collect(),
@@ -177,10 +177,10 @@
         zones: vec!["z1".to_owned()],
     };
     let machines = cli.machines as usize;
-    let cloud = FakeCloud::new(Rc::new(Loopback), ledger.clone(), template, vec![kind], machines);
+    let cloud = FakeCloud::new(Rc::new(Loopback), history.clone(), template, vec![kind], machines);
     cloud.start(Rc::new(Tcp), cloud_addr());
     (0..machines).for_each(|_| drop(cloud.add("z1", false, 0.5)));
-    (store, ledger)
+    (store, history)
 }
 
 fn client(n: u8) -> Client {
@@ -229,7 +229,7 @@
 }
 
 /// Two urgent jobs of 30 tasks and a large one in turn, as many as the load asks for.
-async fn submit_jobs(cli: &Cli, ledger: &Ledger) {
+async fn submit_jobs(cli: &Cli, history: &ExecutionHistory) {
     let cpus = f64::from(cli.machines) * 8.0 * cli.load;
     let mut number = 0;
     loop {
@@ -238,7 +238,7 @@
             _ => (30, 4.0, 15.0, "urgent"),
         };
         let spec = spec(number, tasks, task_cpus, priority);
-        ledger.submitted(Plan { spec: spec.clone(), run_s, broken: false });
+        history.submitted(Plan { spec: spec.clone(), run_s, broken: false });
         let controller = u8::try_from(number % u32::from(cli.controllers)).unwrap_or(0);
         tokio::task::spawn_local(use_job(spec, controller));
         number += 1;
@@ -247,9 +247,9 @@
     }
 }
 
-fn print_usage(controllers: &Controllers, before: &[Usage], planner: &str, seconds: f64) {
+fn print_usage(controllers: &Controllers, before: &[Usage], scheduler: &str, seconds: f64) {
     for (n, (after, before)) in controllers.usage().iter().zip(before).enumerate() {
-        let role = if planner == format!("n{n}") { "planner" } else { "standby" };
+        let role = if scheduler == format!("n{n}") { "planner" } else { "standby" };
         println!(
             "n{n} {role}: {:.2} ms of processor time and {:.0} waits a second, {} KiB at most",
             (after.processor - before.processor).as_secs_f64() * 1000.0 / seconds,
@@ -260,27 +260,27 @@
 }
 
 async fn play(cli: Cli) -> std::io::Result<()> {
-    let (store, ledger) = start_stand_ins(&cli);
+    let (store, history) = start_stand_ins(&cli);
     let controllers = Controllers::start(&cli)?;
     tokio::task::spawn_local(probe(cli.controllers));
     let measure = async {
         tokio::time::sleep(Duration::from_secs(cli.warm_up)).await;
-        let record = store.get(PLANNER).and_then(|v| serde_json::from_value(v).ok());
-        let planner = record.and_then(|record: PlannerRecord| record.node).unwrap_or_default();
+        let record = store.get(LEADER_KEY).and_then(|v| serde_json::from_value(v).ok());
+        let scheduler = record.and_then(|record: LeaderRecord| record.node).unwrap_or_default();
         for (n, child) in controllers.0.iter().enumerate() {
-            let role = if planner == format!("n{n}") { "planner" } else { "standby" };
+            let role = if scheduler == format!("n{n}") { "planner" } else { "standby" };
             println!("n{n} {role}: process {}", child.id());
         }
-        let (before, starts) = (controllers.usage(), ledger.starts_in_all());
+        let (before, starts) = (controllers.usage(), history.starts_in_all());
         tokio::time::sleep(Duration::from_secs(cli.seconds)).await;
         let seconds = cli.seconds as f64;
-        print_usage(&controllers, &before, &planner, seconds);
-        let starts = f64::from(ledger.starts_in_all() - starts) / seconds;
-        println!("{starts:.0} starts a second, {} broken rules", ledger.broken_rules().len());
+        print_usage(&controllers, &before, &scheduler, seconds);
+        let starts = f64::from(history.starts_in_all() - starts) / seconds;
+        println!("{starts:.0} starts a second, {} broken rules", history.broken_rules().len());
     };
     tokio::select! {
         () = measure => {}
-        () = submit_jobs(&cli, &ledger), if cli.load > 0.0 => {}
+        () = submit_jobs(&cli, &history), if cli.load > 0.0 => {}
     }
     Ok(())
 }
--- a/crates/corkfield/src/settling.rs
+++ b/crates/corkfield/src/completion_commits.rs
@@ -1,19 +1,19 @@
 //! Storing finished tasks and first starts, with the generation of our claim as condition (S9).
 
 use crate::node::{now, Node};
-use corkfield_core::{Planner, Settlement};
-use corkfield_state::{StateError, Use};
+use corkfield_core::{CompletionCommit, Scheduler};
+use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{
     final_key, finished_key, finished_prefix, job_key, FinalRecord, JobRecord, CHUNK_TASKS,
 };
-use corkfield_wire::store::Txn;
+use corkfield_wire::store::Transaction;
 use corkfield_wire::{JobId, JobStatus, TaskSet};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The planner, shared by all loops that serve it.
-pub type Shared = Rc<RefCell<Planner>>;
+/// The leader, shared by all loops that serve it.
+pub type SharedScheduler = Rc<RefCell<Scheduler>>;
 
 /// Transactions under way at once. One after another, each would wait for the loop's turn and for
 /// a slow answer, and with hundreds of jobs their tasks would wait to be announced meanwhile.
@@ -21,27 +21,27 @@
 /// Bytes of values that share a transaction, of settling or of claims, far below what one may have.
 pub(crate) const MOST_BYTES: usize = 32 * 1024;
 
-/// While nothing is due, and no planning pass ends. What comes in between two passes is stored
+/// While nothing is due, and no placement pass ends. What comes in between two passes is stored
 /// together.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
-pub async fn run(node: &Rc<Node>, planner: &Shared) {
+pub async fn run(node: &Rc<Node>, scheduler: &SharedScheduler) {
     let under_way = Rc::new(());
     let most = node.settings.platform.params.state.txn_ops.max(4) as usize;
     loop {
         let free = AT_ONCE.saturating_sub(Rc::strong_count(&under_way) - 1);
-        let due = planner.borrow_mut().settlements(free * most / 2, now());
+        let due = scheduler.borrow_mut().due_completion_commits(free * most / 2, now());
         if due.is_empty() {
-            let woken = node.leader.settle.notified();
+            let woken = node.leadership.commit_wanted.notified();
             node.timers.within(IDLE_INTERVAL, woken).await;
             continue;
         }
         for batch in batches(due, most) {
-            let (node, planner, turn) = (node.clone(), planner.clone(), under_way.clone());
+            let (node, scheduler, turn) = (node.clone(), scheduler.clone(), under_way.clone());
             tokio::task::spawn_local(async move {
-                settle(&node, &planner, batch).await;
+                commit_wanted(&node, &scheduler, batch).await;
                 drop(turn);
-                node.leader.settle.notify_one();
+                node.leadership.commit_wanted.notify_one();
             });
         }
     }
@@ -49,40 +49,40 @@
 
 /// One job's part of a transaction.
 struct Write {
-    settlement: Settlement,
-    txn: Txn,
+    completion_commit: CompletionCommit,
+    transaction: Transaction,
 }
 
 impl Write {
-    fn new(settlement: Settlement) -> Self {
-        let id = &settlement.job;
-        let mut txn = Txn::default().when(job_key(id), settlement.version);
-        if settlement.finishes {
-            let over = FinalRecord { status: JobStatus::Done, done: settlement.record.done };
+    fn new(completion_commit: CompletionCommit) -> Self {
+        let id = &completion_commit.job;
+        let mut transaction = Transaction::default().when(job_key(id), completion_commit.version);
+        if completion_commit.finishes {
+            let over = FinalRecord { status: JobStatus::Done, done: completion_commit.record.done };
             let value = serde_json::to_value(&over).unwrap_or_default();
-            txn = txn.delete(job_key(id)).put(final_key(id), value);
+            transaction = transaction.delete(job_key(id)).put(final_key(id), value);
         } else {
-            let value = serde_json::to_value(&settlement.record).unwrap_or_default();
-            txn = txn.put(job_key(id), value);
-            for (chunk, set) in &settlement.chunks {
+            let value = serde_json::to_value(&completion_commit.record).unwrap_or_default();
+            transaction = transaction.put(job_key(id), value);
+            for (chunk, set) in &completion_commit.chunks {
                 let value = serde_json::to_value(set).unwrap_or_default();
-                txn = txn.put(finished_key(id, *chunk), value);
+                transaction = transaction.put(finished_key(id, *chunk), value);
             }
         }
-        Self { settlement, txn }
+        Self { completion_commit, transaction }
     }
 
     fn bytes(&self) -> usize {
-        serde_json::to_vec(&self.txn).map_or(0, |bytes| bytes.len())
+        serde_json::to_vec(&self.transaction).map_or(0, |bytes| bytes.len())
     }
 }
 
 /// Jobs that share a transaction, within what one may change.
-fn batches(due: Vec<Settlement>, most: usize) -> Vec<Vec<Write>> {
+fn batches(due: Vec<CompletionCommit>, most: usize) -> Vec<Vec<Write>> {
     let mut batches: Vec<Vec<Write>> = Vec::new();
     let (mut changes, mut bytes) = (usize::MAX, 0);
     for write in due.into_iter().map(Write::new) {
-        let (more, larger) = (write.txn.changes.len(), write.bytes());
+        let (more, larger) = (write.transaction.changes.len(), write.bytes());
         if changes.saturating_add(more) > most || bytes + larger > MOST_BYTES {
             batches.push(Vec::new());
             (changes, bytes) = (0, 0);
@@ -97,29 +97,29 @@
 }
 
 /// Stores finished tasks while the records are still of our claims (S9).
-async fn settle(node: &Node, planner: &Shared, batch: Vec<Write>) {
-    let mut txn = Txn::default();
+async fn commit_wanted(node: &Node, scheduler: &SharedScheduler, batch: Vec<Write>) {
+    let mut transaction = Transaction::default();
     for write in &batch {
-        txn.conditions.extend(write.txn.conditions.iter().cloned());
-        txn.changes.extend(write.txn.changes.iter().cloned());
+        transaction.conditions.extend(write.transaction.conditions.iter().cloned());
+        transaction.changes.extend(write.transaction.changes.iter().cloned());
     }
-    let outcome = node.state.txn(Use::Settling, &txn).await;
+    let outcome = node.state.transaction(RequestClass::Completion, &transaction).await;
     match &outcome {
         Ok(version) => {
-            for Write { settlement, .. } in &batch {
-                planner.borrow_mut().settled(settlement, *version);
+            for Write { completion_commit, .. } in &batch {
+                scheduler.borrow_mut().completion_committed(completion_commit, *version);
             }
-            node.leader.want_pass();
-            for Write { settlement, .. } in &batch {
-                if settlement.finishes && settlement.record.is_chunked() {
-                    drop_chunks(node, &settlement.record).await;
+            node.leadership.want_pass();
+            for Write { completion_commit, .. } in &batch {
+                if completion_commit.finishes && completion_commit.record.is_chunked() {
+                    drop_chunks(node, &completion_commit.record).await;
                 }
             }
         }
         Err(error) => {
             tracing::debug!(jobs = batch.len(), %error, "settling write not taken");
-            for Write { settlement, .. } in &batch {
-                let id = &settlement.job;
+            for Write { completion_commit, .. } in &batch {
+                let id = &completion_commit.job;
                 // Of a transaction that was refused, only the records named have changed.
                 let doubtful = match error {
                     StateError::Conflict(failed) => failed.contains(&job_key(id)),
@@ -127,10 +127,10 @@
                     _ => false,
                 };
                 let found = match doubtful {
-                    true => find_own(node, planner, id, &settlement.record).await,
+                    true => find_own(node, scheduler, id, &completion_commit.record).await,
                     false => None,
                 };
-                planner.borrow_mut().settling_failed(id, found);
+                scheduler.borrow_mut().completion_commit_failed(id, found);
             }
             if !matches!(error, StateError::Conflict(_) | StateError::NoAnswer(_)) {
                 tokio::time::sleep(Duration::from_millis(300)).await;
@@ -142,16 +142,16 @@
 /// The record as the store has it, if it is still of our claim.
 async fn find_own(
     node: &Node,
-    planner: &Shared,
+    scheduler: &SharedScheduler,
     id: &JobId,
     ours: &JobRecord,
 ) -> Option<(JobRecord, TaskSet, u64)> {
-    let Ok(read) = node.state.get(Use::Settling, &job_key(id)).await else {
+    let Ok(read) = node.state.get(RequestClass::Completion, &job_key(id)).await else {
         return None;
     };
     let Some(item) = read else {
         // Cancelled, or a final write of ours that was carried out after all.
-        planner.borrow_mut().close_job(id);
+        scheduler.borrow_mut().close_job(id);
         return None;
     };
     let found: JobRecord = serde_json::from_value(item.value).ok()?;
@@ -161,7 +161,7 @@
     }
     if found.generation != ours.generation {
         tracing::warn!(job = %id, "a settling write met a newer generation; job dropped");
-        planner.borrow_mut().close_job(id);
+        scheduler.borrow_mut().close_job(id);
         return None;
     }
     let finished = match found.is_chunked() {
@@ -173,7 +173,7 @@
 
 /// Finished tasks of a job that is too large to keep them in its record; `None` without an answer.
 pub async fn finished_chunks(node: &Node, id: &JobId) -> Option<TaskSet> {
-    let (items, _) = node.state.list(Use::Claim, &finished_prefix(id)).await.ok()?;
+    let (items, _) = node.state.list(RequestClass::Claim, &finished_prefix(id)).await.ok()?;
     let mut all = TaskSet::default();
     for item in items {
         if let Ok(set) = serde_json::from_value::<TaskSet>(item.value) {
@@ -187,7 +187,9 @@
     let chunks = record.spec.tasks.div_ceil(CHUNK_TASKS);
     let keys: Vec<String> = (0..chunks).map(|chunk| finished_key(&record.spec.id, chunk)).collect();
     for part in keys.chunks(4) {
-        let txn = part.iter().fold(Txn::default(), |txn, key| txn.delete(key.clone()));
-        let _ = node.state.txn(Use::Housekeeping, &txn).await;
+        let transaction = part
+            .iter()
+            .fold(Transaction::default(), |transaction, key| transaction.delete(key.clone()));
+        let _ = node.state.transaction(RequestClass::Housekeeping, &transaction).await;
     }
 }
--- a/crates/corkfield/src/leader/claiming.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -1,11 +1,11 @@
-//! Claims of job records under the planner record.
+//! Claims of job records under the leader record.
 
-use super::Planning;
+use super::ActiveLeader;
+use crate::completion_commits::{finished_chunks, MOST_BYTES};
 use crate::node::now;
-use crate::settling::{finished_chunks, MOST_BYTES};
-use corkfield_state::{StateError, Use};
-use corkfield_wire::records::{controller_key, job_key, JobRecord, PLANNER};
-use corkfield_wire::store::Txn;
+use corkfield_state::{RequestClass, StateError};
+use corkfield_wire::records::{controller_key, job_key, JobRecord, LEADER_KEY};
+use corkfield_wire::store::Transaction;
 use corkfield_wire::JobId;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -28,10 +28,10 @@
     due.truncate(count.max(1));
 }
 
-impl Planning<'_> {
-    pub(super) async fn claims(&self) {
+impl ActiveLeader<'_> {
+    pub(super) async fn claim_jobs(&self) {
         loop {
-            let changed = self.node.follower.changed.notified();
+            let changed = self.node.replica.changed.notified();
             let claimed = self.claim_round().await;
             if !claimed {
                 self.node.timers.within(CLAIM_INTERVAL, changed).await;
@@ -42,23 +42,23 @@
     /// Closes what is over, and claims what is new or lapsed; true if more may be left.
     pub(super) async fn claim_round(&self) -> bool {
         let mut due: Vec<(JobRecord, u64)> = Vec::new();
-        self.node.leader.forget_cancelled(&self.node.follower);
+        self.node.leadership.forget_cancelled(&self.node.replica);
         {
-            let cache = self.node.follower.cache.borrow();
-            let mut planner = self.planner.borrow_mut();
-            let is_cancelled = |id: &JobId| self.node.leader.is_cancelled(id);
-            planner.close_all_but(|id| cache.jobs.contains_key(id));
-            let unclaimed = cache.jobs.keys().filter(|id| planner.job(id).is_none());
+            let contents = self.node.replica.contents.borrow();
+            let mut scheduler = self.scheduler.borrow_mut();
+            let is_cancelled = |id: &JobId| self.node.leadership.is_cancelled(id);
+            scheduler.close_all_but(|id| contents.jobs.contains_key(id));
+            let unclaimed = contents.jobs.keys().filter(|id| scheduler.job(id).is_none());
             let unclaimed = unclaimed.filter(|id| !is_cancelled(id)).cloned().collect();
-            planner.set_unclaimed(unclaimed);
-            let lapsed: HashSet<JobId> = planner.lapsed_jobs().into_iter().collect();
+            scheduler.set_unclaimed(unclaimed);
+            let lease_expired: HashSet<JobId> = scheduler.jobs_to_reclaim().into_iter().collect();
             let reading = self.reading.borrow();
             let open = |id: &JobId| !is_cancelled(id) && !reading.contains(id);
-            for (id, (record, version)) in cache.jobs.iter().filter(|(id, _)| open(id)) {
-                let known = planner.job(id);
+            for (id, (record, version)) in contents.jobs.iter().filter(|(id, _)| open(id)) {
+                let known = scheduler.job(id);
                 let ours = record.owner.as_deref() == Some(self.me.incarnation.as_str());
                 let new = known.is_none_or(|job| *version > job.version && !ours);
-                if new || lapsed.contains(id) {
+                if new || lease_expired.contains(id) {
                     due.push((record.clone(), *version));
                 }
             }
@@ -66,7 +66,7 @@
         due.sort_by_key(|(record, _)| (record.spec.priority, record.accepted_ms));
         let most = self.node.settings.platform.params.state.txn_ops.max(1) as usize;
         let batch = (self.node.settings.operator.claim_batch as usize).min(most);
-        // A take-over has hundreds of them. How long they take is set by the changes that may be
+        // A failover has hundreds of them. How long they take is set by the changes that may be
         // written a second; larger claims spare most of the transactions.
         let batch = if due.len() > MANY_DUE { most } else { batch };
         let all = due.len();
@@ -81,26 +81,28 @@
 
     /// The design's claim: one conditional transaction over a few records.
     async fn claim(&self, batch: Vec<(JobRecord, u64)>) -> bool {
-        let mut txn = Txn::default()
-            .when(PLANNER, self.version.get())
+        let mut transaction = Transaction::default()
+            .when(LEADER_KEY, self.version.get())
             .when(controller_key(&self.node.name), self.me.version);
         let mut claimed = Vec::new();
         for (mut record, version) in batch {
             let owner = self.me.incarnation.clone();
-            match record.begun > 0 || self.planner.borrow().may_begin_soon(&record.spec, now()) {
+            match record.start_watermark > 0
+                || self.scheduler.borrow().may_begin_soon(&record.spec, now())
+            {
                 true => record.claim(owner),
-                false => record.claim_to_wait(owner),
+                false => record.claim_without_starts(owner),
             }
             if record.claims > self.node.settings.operator.claim_limit {
                 tracing::warn!(job = %record.spec.id, claims = record.claims, "claim limit reached; set aside");
-                record.set_aside = true;
+                record.dead_lettered = true;
             }
             let key = job_key(&record.spec.id);
             let value = serde_json::to_value(&record).unwrap_or_default();
-            txn = txn.when(key.clone(), version).put(key, value);
+            transaction = transaction.when(key.clone(), version).put(key, value);
             claimed.push(record);
         }
-        let version = match self.node.state.txn(Use::Claim, &txn).await {
+        let version = match self.node.state.transaction(RequestClass::Claim, &transaction).await {
             Ok(version) => version,
             Err(StateError::NoAnswer(_)) => match self.claim_landed(&claimed[0]).await {
                 Some(version) => version,
@@ -117,10 +119,16 @@
                 self.read_finished(record, version);
             } else {
                 let finished = record.finished.clone();
-                self.node.leader.take_claimed(self.node, &self.planner, record, finished, version);
+                self.node.leadership.take_claimed(
+                    self.node,
+                    &self.scheduler,
+                    record,
+                    finished,
+                    version,
+                );
             }
         }
-        self.adjust_wanted.notify_one();
+        self.scaling_wanted.notify_one();
         true
     }
 
@@ -129,14 +137,14 @@
         let id = record.spec.id.clone();
         self.reading.borrow_mut().insert(id.clone());
         let (node, reading) = (self.node.clone(), self.reading.clone());
-        let planner = Rc::downgrade(&self.planner);
+        let scheduler = Rc::downgrade(&self.scheduler);
         tokio::task::spawn_local(async move {
-            while let Some(planner) = planner.upgrade() {
+            while let Some(scheduler) = scheduler.upgrade() {
                 if let Some(finished) = finished_chunks(&node, &id).await {
-                    node.leader.take_claimed(&node, &planner, record, finished, version);
+                    node.leadership.take_claimed(&node, &scheduler, record, finished, version);
                     break;
                 }
-                drop(planner);
+                drop(scheduler);
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
             reading.borrow_mut().remove(&id);
@@ -145,7 +153,8 @@
 
     /// Whether a claim without an answer was carried out (all of it, as it is one transaction).
     async fn claim_landed(&self, record: &JobRecord) -> Option<u64> {
-        let item = self.node.state.get(Use::Claim, &job_key(&record.spec.id)).await.ok()??;
+        let item =
+            self.node.state.get(RequestClass::Claim, &job_key(&record.spec.id)).await.ok()??;
         let found: JobRecord = serde_json::from_value(item.value).ok()?;
         (found.owner == record.owner && found.generation == record.generation)
             .then_some(item.version)
--- a/crates/corkfield/src/leader/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -5,20 +5,20 @@
 
 /// What operators see: the queue, the claims, what was set aside.
 pub fn overview(node: &Node) -> Response {
-    let cache = node.follower.cache.borrow();
-    let planner = cache.planner.as_ref().and_then(|(record, _)| record.node.clone());
+    let contents = node.replica.contents.borrow();
+    let scheduler = contents.scheduler.as_ref().and_then(|(record, _)| record.node.clone());
     let mut body = serde_json::json!({
         "node": node.name,
-        "planner": planner,
-        "unfinished_jobs": cache.jobs.len(),
-        "set_aside": cache.jobs.iter().filter(|(_, (r, _))| r.set_aside).map(|(id, _)| id.to_string()).collect::<Vec<_>>(),
-        "state_age_s": node.follower.proof_age().as_secs_f64(),
+        "planner": scheduler,
+        "unfinished_jobs": contents.jobs.len(),
+        "set_aside": contents.jobs.iter().filter(|(_, (r, _))| r.dead_lettered).map(|(id, _)| id.to_string()).collect::<Vec<_>>(),
+        "state_age_s": node.replica.proof_age().as_secs_f64(),
     });
-    if let Some(planner) = node.leader.planner() {
-        let view = planner.borrow().overview(now());
+    if let Some(scheduler) = node.leadership.scheduler() {
+        let view = scheduler.borrow().overview(now());
         let oldest = view.oldest_waiting.as_ref();
         body["planning"] = serde_json::json!({
-            "term": planner.borrow().term(),
+            "term": scheduler.borrow().term(),
             "jobs": view.jobs,
             "passes": view.passes,
             "steps": view.steps,
@@ -29,7 +29,7 @@
             "most_claims": view.most_claims,
             "machines_up": view.machines_up,
             "machines_booting": view.machines_booting,
-            "machines_unfenced": view.unfenced,
+            "machines_unfenced": view.unreconciled,
         });
     }
     json(200, &body)
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -1,14 +1,14 @@
 //! A controller: settings, wiring, and everything that needs I/O.
 #![forbid(unsafe_code)]
 
-mod follow;
-mod leader;
+mod completion_commits;
+mod leadership;
 pub mod node;
 mod notifications;
 mod peers;
-mod presence;
+mod replica;
+mod session_lease;
 pub mod settings;
-mod settling;
 mod timers;
 mod users;
 mod workers;
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -1,19 +1,19 @@
 //! One controller: what its parts share, and how they are started.
 
-use crate::follow::Follower;
-use crate::leader::Leader;
+use crate::leadership::Leadership;
 use crate::notifications::Notifications;
 use crate::peers::Peers;
-use crate::presence::Presence;
+use crate::replica::StoreReplica;
+use crate::session_lease::SessionLease;
 use crate::settings::Settings;
 use crate::timers::AlignedTimers;
 use crate::workers::RedirectedWorkers;
-use crate::{follow, leader, peers, presence, users, workers};
+use crate::{leadership, peers, replica, session_lease, users, workers};
 use corkfield_cloud::CloudClient;
 use corkfield_http::{serve_counted, Connections, Limits, Listener, Network, Request, Response};
 use corkfield_state::StateClient;
 use corkfield_wire::user::{ErrorView, JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
-use corkfield_wire::worker::PATH_REPORT;
+use corkfield_wire::worker::PATH_HEARTBEAT;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
@@ -32,9 +32,9 @@
     pub process: u64,
     pub state: StateClient,
     pub cloud: CloudClient,
-    pub follower: Follower,
-    pub presence: Presence,
-    pub leader: Leader,
+    pub replica: StoreReplica,
+    pub session_lease: SessionLease,
+    pub leadership: Leadership,
     pub peers: Peers,
     pub notifications: Notifications,
     pub redirected: RedirectedWorkers,
@@ -110,7 +110,7 @@
         connections: sockets.accepted,
         kept: sockets.kept,
         others: sockets.users,
-        kept_for: PATH_REPORT,
+        kept_for: PATH_HEARTBEAT,
         ..Limits::default()
     }));
     let node = Rc::new(Node {
@@ -126,9 +126,9 @@
         cloud: CloudClient::new(network.clone(), platform.endpoints.cloud, params.cloud.rps),
         network,
         rng: RefCell::new(SmallRng::seed_from_u64(seed)),
-        follower: Follower::default(),
-        presence: Presence::default(),
-        leader: Leader::default(),
+        replica: StoreReplica::default(),
+        session_lease: SessionLease::default(),
+        leadership: Leadership::default(),
         peers: Peers::default(),
         notifications: Notifications::default(),
         redirected: RedirectedWorkers::default(),
@@ -146,10 +146,10 @@
     for peer in &platform.peers {
         tokio::task::spawn_local(peers::maintain_link(node.clone(), peer.node.clone(), peer.addr));
     }
-    tokio::task::spawn_local(supervise("watch", node.clone(), follow::watch));
-    tokio::task::spawn_local(supervise("refresher", node.clone(), follow::refresher));
-    tokio::task::spawn_local(supervise("presence", node.clone(), presence::maintain_lease));
-    supervise("leader", node, leader::run).await;
+    tokio::task::spawn_local(supervise("watch", node.clone(), replica::watch));
+    tokio::task::spawn_local(supervise("refresher", node.clone(), replica::refresher));
+    tokio::task::spawn_local(supervise("presence", node.clone(), session_lease::maintain_lease));
+    supervise("leader", node, leadership::run).await;
     Ok(())
 }
 
@@ -169,9 +169,9 @@
 async fn handle(node: Rc<Node>, request: Request) -> Response {
     let path = request.path().to_owned();
     let method = request.method.as_str();
-    if path == PATH_REPORT {
+    if path == PATH_HEARTBEAT {
         return match method {
-            "POST" => workers::report(&node, &request.body).await,
+            "POST" => workers::heartbeat(&node, &request.body).await,
             _ => error(405, "method not allowed"),
         };
     }
@@ -179,7 +179,7 @@
         return ready(&node);
     }
     if path == "/operator/overview" && method == "GET" {
-        return leader::overview(&node);
+        return leadership::overview(&node);
     }
     if let Some(id) = path.strip_prefix("/operator/release/").and_then(JobId::parse) {
         return match method {
@@ -214,7 +214,7 @@
 /// none of them does, all stay, a restarted one too: there is nowhere better to go, and the load
 /// balancer would only let them wait longer once the service is back.
 fn ready(node: &Node) -> Response {
-    let stale = !node.follower.is_synced() || node.follower.proof_age() > Duration::from_secs(4);
+    let stale = !node.replica.is_synced() || node.replica.proof_age() > Duration::from_secs(4);
     if stale && node.peers.somebody_has_store() {
         return error(503, "not ready");
     }
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -1,6 +1,6 @@
 //! Cancellations, told to the other controllers over the link between them.
 //!
-//! The state service may refuse the planner alone while others commit cancellations. What it then
+//! The state service may refuse the leader alone while others commit cancellations. What it then
 //! doesn't read it hears here, and stops at once. That comes on top of the answer limit (S6), which
 //! holds with no other controller in reach.
 
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A user's answer waits this long for the planner's acknowledgement.
+/// A user's answer waits this long for the leader's acknowledgement.
 const ACKNOWLEDGEMENT_WAIT: Duration = Duration::from_millis(300);
 /// Without an acknowledgement a notification is sent again after this time.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
@@ -114,7 +114,7 @@
 /// whoever leads. Called only for what was committed or read here: a cancellation whose commit had
 /// no answer may never come about, and is not told.
 pub async fn notify_all(node: &Node, id: &JobId) {
-    node.leader.cancelled(id);
+    node.leadership.cancelled(id);
     let peers = &node.settings.platform.peers;
     peers.iter().for_each(|peer| node.notifications.add(&peer.node, id));
     node.notifications.added.notify_waiters();
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -1,9 +1,9 @@
-//! The link between controllers: heartbeats, and reports of workers that can't reach the planner.
+//! The link between controllers: heartbeats, and reports of workers that can't reach the leader.
 
 use crate::node::{now, Node};
 use crate::{notifications, workers};
 use corkfield_http::{Listener, Response, Stream};
-use corkfield_wire::peer::{Frame, Heartbeat, MAX_FRAME};
+use corkfield_wire::peer::{Frame, PeerHeartbeat, MAX_FRAME};
 use corkfield_wire::JobId;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -34,11 +34,11 @@
 
 /// What another controller said last.
 struct LastHeartbeat {
-    heartbeat: Heartbeat,
+    heartbeat: PeerHeartbeat,
     at: Instant,
     /// Since when it is the same process.
     process_since: Instant,
-    /// It attested for this controller, as the planner, at this moment or later.
+    /// It attested for this controller, as the leader, at this moment or later.
     attested: Option<Instant>,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Peers {
-    fn hear(&self, heartbeat: Heartbeat, echoed: Option<Instant>) {
+    fn hear(&self, heartbeat: PeerHeartbeat, echoed: Option<Instant>) {
         let (node, at) = (heartbeat.node.clone(), now());
         let mut heard = self.heard.borrow_mut();
         if heard.len() >= MAX_LINKS && !heard.contains_key(&node) {
@@ -76,7 +76,7 @@
 
     /// When the heartbeat that this one echoes was sent. One to a process before this one, with the
     /// same number, says nothing.
-    fn echoed(&self, heartbeat: &Heartbeat, process: u64) -> Option<Instant> {
+    fn echoed(&self, heartbeat: &PeerHeartbeat, process: u64) -> Option<Instant> {
         let sent = self.sent.borrow();
         let (_, at) =
             sent.get(&heartbeat.node)?.iter().find(|(number, _)| *number == heartbeat.echo)?;
@@ -100,8 +100,8 @@
     /// than when the state service was read last: what a process before it confirmed is not known.
     pub fn attestation_age(&self, node: &Node) -> Option<Duration> {
         let platform = &node.settings.platform;
-        let term = node.leader.term()?;
-        let read = node.follower.proven_at()?;
+        let term = node.leadership.term()?;
+        let read = node.replica.proven_at()?;
         if platform.peers.len() + 1 < platform.params.size as usize {
             return None;
         }
@@ -128,22 +128,23 @@
         others.peek().is_some() && others.all(|heard| !heard.heartbeat.store_ok)
     }
 
-    /// Other controllers that say they lead, or that the state service names as planner, and that
+    /// Other controllers that say they lead, or that the state service names as leader, and that
     /// there is a link to.
     pub fn leaders(&self, node: &Node) -> Vec<String> {
-        let cache = node.follower.cache.borrow();
-        let planner = cache.planner.as_ref().and_then(|(record, _)| record.node.as_ref());
+        let contents = node.replica.contents.borrow();
+        let scheduler = contents.scheduler.as_ref().and_then(|(record, _)| record.node.as_ref());
         let heard = self.heard.borrow();
         let says_so = |heard: &LastHeartbeat| heard.heartbeat.leading && heard.is_recent();
-        let leading = |name: &String| planner == Some(name) || heard.get(name).is_some_and(says_so);
+        let leading =
+            |name: &String| scheduler == Some(name) || heard.get(name).is_some_and(says_so);
         self.links.borrow().keys().filter(|name| leading(name)).cloned().collect()
     }
 
-    /// Passes a report on to the planner, and brings its answer. It is the planner's own
+    /// Passes a report on to the leader, and brings its answer. It is the leader's own
     /// answer, under its term; a worker counts its lease from when it sent the report, so the
     /// way round makes no lease longer, and it drops an answer that comes too late.
-    pub async fn relay(&self, node: &Node, planner: &str, body: &[u8]) -> Option<Response> {
-        let link = self.links.borrow().get(planner).cloned()?;
+    pub async fn relay(&self, node: &Node, scheduler: &str, body: &[u8]) -> Option<Response> {
+        let link = self.links.borrow().get(scheduler).cloned()?;
         if self.pending.borrow().len() >= max_waiting(node) {
             return None;
         }
@@ -151,7 +152,7 @@
         self.number.set(number);
         let (sender, receiver) = oneshot::channel();
         self.pending.borrow_mut().insert(number, sender);
-        let sent = link.try_send(Frame::Report { number, body: body.to_vec() });
+        let sent = link.try_send(Frame::WorkerHeartbeat { number, body: body.to_vec() });
         let answer = match sent {
             Ok(()) => timeout(RELAY_LIMIT, receiver).await.ok().and_then(Result::ok),
             Err(_) => None,
@@ -199,7 +200,7 @@
             timeout(HEARTBEAT_TIMEOUT * 2, read_frame(&mut reader)).await
         {
             match frame {
-                Frame::Heartbeat(heartbeat) => {
+                Frame::PeerHeartbeat(heartbeat) => {
                     // Its newest read was begun no longer ago than that.
                     let echoed = node.peers.echoed(&heartbeat, node.process);
                     let read = echoed
@@ -210,7 +211,7 @@
                     }
                     node.peers.hear(heartbeat, echoed);
                 }
-                Frame::Report { number, body } => {
+                Frame::WorkerHeartbeat { number, body } => {
                     let (node, answers) = (node.clone(), answers.clone());
                     tokio::task::spawn_local(async move {
                         let Response { status, body, .. } = workers::relayed(&node, &body).await;
@@ -219,7 +220,7 @@
                 }
                 Frame::Cancelled { jobs } => {
                     let known: Vec<JobId> = jobs.iter().filter_map(|id| JobId::parse(id)).collect();
-                    known.iter().for_each(|id| node.leader.cancelled(id));
+                    known.iter().for_each(|id| node.leadership.cancelled(id));
                     let _ = answers.try_send(Frame::Acknowledged { jobs });
                 }
                 Frame::Answer { .. } | Frame::Acknowledged { .. } => return,
@@ -241,7 +242,7 @@
             let (frames, waiting) = mpsc::channel(max_waiting(&node));
             node.peers.links.borrow_mut().insert(peer.clone(), frames.clone());
             let heartbeat = async {
-                while frames.try_send(Frame::Heartbeat(heartbeat(&node, &peer))).is_ok() {
+                while frames.try_send(Frame::PeerHeartbeat(heartbeat(&node, &peer))).is_ok() {
                     node.timers.tick(HEARTBEAT_INTERVAL).await;
                 }
             };
@@ -254,9 +255,9 @@
                         Frame::Acknowledged { jobs } => {
                             node.notifications.acknowledged(&peer, &jobs)
                         }
-                        Frame::Heartbeat(_) | Frame::Report { .. } | Frame::Cancelled { .. } => {
-                            break
-                        }
+                        Frame::PeerHeartbeat(_)
+                        | Frame::WorkerHeartbeat { .. }
+                        | Frame::Cancelled { .. } => break,
                     }
                 }
             };
@@ -298,30 +299,30 @@
     }
 }
 
-fn heartbeat(node: &Node, to: &str) -> Heartbeat {
-    let cache = node.follower.cache.borrow();
-    let planner = cache.planner.as_ref().map(|(record, _)| record);
+fn heartbeat(node: &Node, to: &str) -> PeerHeartbeat {
+    let contents = node.replica.contents.borrow();
+    let scheduler = contents.scheduler.as_ref().map(|(record, _)| record);
     let (echo, echo_process) = {
         let heard = node.peers.heard.borrow();
         heard.get(to).map_or((0, 0), |heard| (heard.heartbeat.number, heard.heartbeat.process))
     };
-    let attests = node.follower.is_synced()
-        && node.follower.proof_age() > HEARTBEAT_TIMEOUT
-        && !node.leader.is_leading()
-        && planner.is_some_and(|planner| planner.node.as_deref() == Some(to))
+    let attests = node.replica.is_synced()
+        && node.replica.proof_age() > HEARTBEAT_TIMEOUT
+        && !node.leadership.is_leading()
+        && scheduler.is_some_and(|scheduler| scheduler.node.as_deref() == Some(to))
         && node.notifications.all_acknowledged(to);
-    Heartbeat {
+    PeerHeartbeat {
         node: node.name.clone(),
-        incarnation: node.presence.current().map(|c| c.incarnation).unwrap_or_default(),
+        incarnation: node.session_lease.current().map(|c| c.incarnation).unwrap_or_default(),
         process: node.process,
         number: node.peers.sends(to),
         echo,
         echo_process,
         attests,
-        leading: node.leader.is_leading(),
-        store_ok: node.follower.proof_age() < HEARTBEAT_TIMEOUT,
-        planner: planner.and_then(|p| p.node.clone()),
-        term: planner.map_or(0, |p| p.term),
+        leading: node.leadership.is_leading(),
+        store_ok: node.replica.proof_age() < HEARTBEAT_TIMEOUT,
+        scheduler: scheduler.and_then(|p| p.node.clone()),
+        term: scheduler.map_or(0, |p| p.term),
     }
 }
 
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn heartbeat(process: u64, echo: u64, echo_process: u64, attests: bool) -> Heartbeat {
-    Heartbeat {
+fn heartbeat(process: u64, echo: u64, echo_process: u64, attests: bool) -> PeerHeartbeat {
+    PeerHeartbeat {
         node: "q".to_owned(),
         incarnation: String::new(),
         process,
@@ -11,7 +11,7 @@
         attests,
         leading: false,
         store_ok: false,
-        planner: None,
+        scheduler: None,
         term: 5,
     }
 }
@@ -23,7 +23,8 @@
     assert_eq!(peers.sends("q"), 1);
     tokio::time::advance(Duration::from_secs(9)).await;
     let attested = |peers: &Peers| peers.heard.borrow()["q"].attested;
-    let hear = |heartbeat: Heartbeat| peers.hear(heartbeat.clone(), peers.echoed(&heartbeat, 7));
+    let hear =
+        |heartbeat: PeerHeartbeat| peers.hear(heartbeat.clone(), peers.echoed(&heartbeat, 7));
     // Held back since before this process, or an answer to nothing that it sent.
     for heartbeat in [heartbeat(3, 1, 6, true), heartbeat(3, 2, 7, true), heartbeat(3, 1, 7, false)]
     {
--- a/crates/corkfield/src/follow.rs
+++ b/crates/corkfield/src/replica.rs
@@ -1,11 +1,12 @@
 //! Following the state service: a copy of everything below `c/`, and how fresh it is.
 
 use crate::node::{now, Node};
-use corkfield_state::{StateError, Use};
+use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{
-    FinalRecord, JobRecord, PlannerRecord, Presence, TransferRequest, TypesRecord, CONTROLLERS,
-    FOLLOWED, JOBS, PLANNER, TRANSFER_REQUESTS, TYPES,
+    FinalRecord, JobRecord, LeaderRecord, MachineTypesRecord, Membership, TransferRequest,
+    CONTROLLERS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY, REPLICATED_PREFIX,
+    TRANSFER_REQUESTS_PREFIX,
 };
 use corkfield_wire::store::{Event, Events};
 use corkfield_wire::JobId;
@@ -18,7 +19,7 @@
 use tokio::sync::{watch, Notify};
 
 const MAX_FINALS: usize = 20_000;
-/// Between two watches. Whatever changes meanwhile comes with one answer: the planner has new jobs
+/// Between two watches. Whatever changes meanwhile comes with one answer: the leader has new jobs
 /// to claim and cancelled ones to stop, while the others only stand by.
 const WATCH_PAUSE: Duration = Duration::from_millis(50);
 const STANDBY_WATCH_PAUSE: Duration = Duration::from_millis(500);
@@ -26,21 +27,21 @@
 const OUT_OF_REACH: Duration = Duration::from_secs(3600);
 
 #[derive(Default)]
-pub struct Cache {
+pub struct ReplicaContents {
     /// Everything up to this revision is contained.
     revision: u64,
     pub jobs: BTreeMap<JobId, (JobRecord, u64)>,
-    pub controllers: BTreeMap<String, (Presence, u64)>,
+    pub controllers: BTreeMap<String, (Membership, u64)>,
     /// Versions of the transfer requests, and when each was first seen.
     transfer_requests: BTreeMap<String, (u64, Instant)>,
-    pub planner: Option<(PlannerRecord, u64)>,
-    planner_since: Option<Instant>,
+    pub scheduler: Option<(LeaderRecord, u64)>,
+    leader_since: Option<Instant>,
     pub types: Option<Vec<MachineType>>,
     finals: HashMap<JobId, FinalRecord>,
     finals_order: VecDeque<JobId>,
 }
 
-impl Cache {
+impl ReplicaContents {
     /// Final states never change, so they may be kept as long as there is room.
     pub fn note_final(&mut self, id: &JobId, record: FinalRecord) {
         if self.finals.insert(id.clone(), record).is_none() {
@@ -61,7 +62,7 @@
         self.revision
     }
 
-    /// Controllers that asked for the planner's place within that time.
+    /// Controllers that asked for the leader's place within that time.
     pub fn transfer_requested_within(&self, time: Duration) -> impl Iterator<Item = &String> {
         let recent = move |at: &Instant| now().saturating_duration_since(*at) < time;
         self.transfer_requests.iter().filter(move |(_, (_, at))| recent(at)).map(|(name, _)| name)
@@ -70,73 +71,74 @@
     /// Whether the machine types are known, and a controller that is there plans.
     fn is_served(&self) -> bool {
         self.types.is_some()
-            && self.planner.as_ref().is_some_and(|(record, _)| self.is_present(record))
+            && self.scheduler.as_ref().is_some_and(|(record, _)| self.is_present(record))
     }
 
-    /// Whether the process that claimed the planner record is still there.
-    pub fn is_present(&self, record: &PlannerRecord) -> bool {
-        let presence = record.node.as_ref().and_then(|node| self.controllers.get(node));
-        presence.is_some_and(|(presence, _)| presence.incarnation == record.incarnation)
+    /// Whether the process that claimed the leader record is still there.
+    pub fn is_present(&self, record: &LeaderRecord) -> bool {
+        let session_lease = record.node.as_ref().and_then(|node| self.controllers.get(node));
+        session_lease
+            .is_some_and(|(session_lease, _)| session_lease.incarnation == record.incarnation)
     }
 
     fn put(&mut self, key: &str, value: Value, version: u64) {
-        if let Some(id) = key.strip_prefix(JOBS).and_then(JobId::parse) {
+        if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             if let Some(record) = read(key, value) {
                 self.jobs.insert(id, (record, version));
             }
-        } else if let Some(node) = key.strip_prefix(CONTROLLERS) {
-            if let Some(presence) = read(key, value) {
-                self.controllers.insert(node.to_owned(), (presence, version));
+        } else if let Some(node) = key.strip_prefix(CONTROLLERS_PREFIX) {
+            if let Some(session_lease) = read(key, value) {
+                self.controllers.insert(node.to_owned(), (session_lease, version));
             }
-        } else if let Some(node) = key.strip_prefix(TRANSFER_REQUESTS) {
+        } else if let Some(node) = key.strip_prefix(TRANSFER_REQUESTS_PREFIX) {
             if read::<TransferRequest>(key, value).is_some() {
                 self.transfer_requests.insert(node.to_owned(), (version, now()));
             }
-        } else if key == PLANNER {
-            self.planner = read(key, value).map(|record| (record, version));
-            self.planner_since = Some(now());
-        } else if key == TYPES {
-            self.types = read::<TypesRecord>(key, value).map(|record| record.types);
+        } else if key == LEADER_KEY {
+            self.scheduler = read(key, value).map(|record| (record, version));
+            self.leader_since = Some(now());
+        } else if key == MACHINE_TYPES_KEY {
+            self.types = read::<MachineTypesRecord>(key, value).map(|record| record.types);
         }
     }
 
     fn delete(&mut self, key: &str) {
-        if let Some(id) = key.strip_prefix(JOBS).and_then(JobId::parse) {
+        if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             self.jobs.remove(&id);
-        } else if let Some(node) = key.strip_prefix(CONTROLLERS) {
+        } else if let Some(node) = key.strip_prefix(CONTROLLERS_PREFIX) {
             self.controllers.remove(node);
-        } else if key == PLANNER {
-            self.planner = None;
+        } else if key == LEADER_KEY {
+            self.scheduler = None;
         }
     }
 
     /// Applies what is news. Two reads may overlap; what the first brought is skipped, so that
     /// an older value never replaces a newer one.
     fn apply(&mut self, events: Events) -> ReadChanges {
-        let mut news = ReadChanges::default();
+        let mut changes = ReadChanges::default();
         for event in events.events {
             match event {
                 Event::Put { key, value, version } if version > self.revision => {
                     self.put(&key, value, version);
-                    news.changed = true;
+                    changes.changed = true;
                 }
                 Event::Delete { key, version } if version > self.revision => {
                     self.delete(&key);
-                    news.ended.extend(key.strip_prefix(JOBS).and_then(JobId::parse));
-                    news.changed = true;
+                    changes.ended.extend(key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse));
+                    changes.changed = true;
                 }
                 _ => {}
             }
         }
         self.revision = self.revision.max(events.revision);
-        news
+        changes
     }
 
     /// Takes over what a read of everything doesn't tell.
     fn inherit(&mut self, before: &mut Self) {
         self.finals = std::mem::take(&mut before.finals);
         self.finals_order = std::mem::take(&mut before.finals_order);
-        // Old transfer requests don't count again: a planner that was merely quiet would leave its place for them.
+        // Old transfer requests don't count again: a leader that was merely quiet would leave its place for them.
         let known = &before.transfer_requests;
         self.transfer_requests.retain(|name, (version, at)| match known.get(name) {
             Some((before, seen)) if before == version => {
@@ -145,8 +147,8 @@
             }
             before => before.is_some(),
         });
-        if self.planner.as_ref().map(|p| p.1) == before.planner.as_ref().map(|p| p.1) {
-            self.planner_since = before.planner_since.or(self.planner_since);
+        if self.scheduler.as_ref().map(|p| p.1) == before.scheduler.as_ref().map(|p| p.1) {
+            self.leader_since = before.leader_since.or(self.leader_since);
         }
     }
 }
@@ -169,8 +171,8 @@
     }
 }
 
-pub struct Follower {
-    pub cache: RefCell<Cache>,
+pub struct StoreReplica {
+    pub contents: RefCell<ReplicaContents>,
     synced: Cell<bool>,
     /// When the newest successful read was begun.
     proof: Cell<Option<Instant>>,
@@ -180,10 +182,10 @@
     pub changed: Notify,
 }
 
-impl Default for Follower {
+impl Default for StoreReplica {
     fn default() -> Self {
         Self {
-            cache: RefCell::default(),
+            contents: RefCell::default(),
             synced: Cell::new(false),
             proof: Cell::new(None),
             asked: Cell::new(0),
@@ -194,7 +196,7 @@
     }
 }
 
-impl Follower {
+impl StoreReplica {
     pub fn is_synced(&self) -> bool {
         self.synced.get()
     }
@@ -204,8 +206,8 @@
         self.proof.get().map_or(OUT_OF_REACH, |at| now().saturating_duration_since(at))
     }
 
-    pub fn planner_known_for(&self) -> Duration {
-        let since = self.cache.borrow().planner_since;
+    pub fn leader_known_for(&self) -> Duration {
+        let since = self.contents.borrow().leader_since;
         since.map_or(Duration::ZERO, |at| now().saturating_duration_since(at))
     }
 
@@ -214,8 +216,8 @@
         self.proof.get()
     }
 
-    fn prove(&self, begun: Instant) {
-        self.proof.set(self.proof.get().max(Some(begun)));
+    fn prove(&self, started: Instant) {
+        self.proof.set(self.proof.get().max(Some(started)));
     }
 
     /// Waits until the copy contains everything that was stored before the call (S1). One read
@@ -231,99 +233,104 @@
     }
 }
 
-/// Applies what a read brought. It is a proof of fresh state (S6) only once the planner has it:
-/// a planner that answers reports on the strength of a read must have closed the jobs that the
+/// Applies what a read brought. It is a proof of fresh state (S6) only once the leader has it:
+/// a leader that answers reports on the strength of a read must have closed the jobs that the
 /// read shows as over, whatever else it is waiting for.
-fn apply(node: &Node, events: Events, begun: Instant) {
-    let follower = &node.follower;
-    let news = follower.cache.borrow_mut().apply(events);
-    node.leader.ended(&news.ended);
-    follower.prove(begun);
-    if news.changed {
-        follower.changed.notify_waiters();
+fn apply(node: &Node, events: Events, started: Instant) {
+    let replica = &node.replica;
+    let changes = replica.contents.borrow_mut().apply(events);
+    node.leadership.ended(&changes.ended);
+    replica.prove(started);
+    if changes.changed {
+        replica.changed.notify_waiters();
     }
 }
 
 /// Reads everything anew; the copy is replaced as a whole.
 async fn reload(node: &Node) -> Result<(), StateError> {
-    let begun = now();
-    let (items, revision) = node.state.list(Use::Claim, FOLLOWED).await?;
-    let mut cache = Cache { revision, ..Cache::default() };
+    let started = now();
+    let (items, revision) = node.state.list(RequestClass::Claim, REPLICATED_PREFIX).await?;
+    let mut contents = ReplicaContents { revision, ..ReplicaContents::default() };
     for item in items {
-        cache.put(&item.key, item.value, item.version);
+        contents.put(&item.key, item.value, item.version);
     }
     {
-        let mut current = node.follower.cache.borrow_mut();
+        let mut current = node.replica.contents.borrow_mut();
         if current.revision > revision {
             return Ok(());
         }
-        cache.inherit(&mut current);
-        *current = cache;
-        node.leader.close_all_but(&current.jobs);
+        contents.inherit(&mut current);
+        *current = contents;
+        node.leadership.close_all_but(&current.jobs);
     }
-    node.follower.prove(begun);
-    node.follower.synced.set(true);
-    node.follower.changed.notify_waiters();
+    node.replica.prove(started);
+    node.replica.synced.set(true);
+    node.replica.changed.notify_waiters();
     Ok(())
 }
 
 /// Keeps a watch open, and starts over when the service has forgotten where we were.
 pub async fn watch(node: Rc<Node>) {
-    let follower = &node.follower;
+    let replica = &node.replica;
     let wait = node.settings.watch_wait();
     loop {
-        if !follower.is_synced() {
+        if !replica.is_synced() {
             if let Err(error) = reload(&node).await {
                 tracing::debug!(%error, "can't read the state service");
                 tokio::time::sleep(Duration::from_millis(300)).await;
             }
             continue;
         }
-        let after = follower.cache.borrow().revision;
-        let begun = now();
-        let pause = match node.state.changes(Use::Claim, FOLLOWED, after, wait).await {
-            Ok(events) => {
-                let quiet =
-                    events.events.is_empty() && now().saturating_duration_since(begun) >= wait / 2;
-                apply(&node, events, begun);
-                // Its proof of fresh state is as old as the watch was long: a pause on top would
-                // make a standby doubt the service, and tell the load balancer that it isn't ready.
-                if quiet {
+        let after = replica.contents.borrow().revision;
+        let started = now();
+        let pause =
+            match node.state.changes(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await {
+                Ok(events) => {
+                    let quiet = events.events.is_empty()
+                        && now().saturating_duration_since(started) >= wait / 2;
+                    apply(&node, events, started);
+                    // Its proof of fresh state is as old as the watch was long: a pause on top would
+                    // make a standby doubt the service, and tell the load balancer that it isn't ready.
+                    if quiet {
+                        continue;
+                    }
+                    // Without the machine types, or a leader, users and workers wait for what comes next.
+                    match node.leadership.is_leading() || !replica.contents.borrow().is_served() {
+                        true => WATCH_PAUSE,
+                        false => STANDBY_WATCH_PAUSE,
+                    }
+                }
+                Err(StateError::TooOld) => {
+                    replica.synced.set(false);
                     continue;
                 }
-                // Without the machine types, or a planner, users and workers wait for what comes next.
-                match node.leader.is_leading() || !follower.cache.borrow().is_served() {
-                    true => WATCH_PAUSE,
-                    false => STANDBY_WATCH_PAUSE,
+                Err(error) => {
+                    tracing::debug!(%error, "watch failed");
+                    WATCH_RETRY
                 }
-            }
-            Err(StateError::TooOld) => {
-                follower.synced.set(false);
-                continue;
-            }
-            Err(error) => {
-                tracing::debug!(%error, "watch failed");
-                WATCH_RETRY
-            }
-        };
+            };
         node.timers.tick(pause).await;
     }
 }
 
-/// Serves [`Follower::refresh`].
+/// Serves [`StoreReplica::refresh`].
 pub async fn refresher(node: Rc<Node>) {
-    let follower = &node.follower;
+    let replica = &node.replica;
     loop {
-        while follower.asked.get() <= follower.served.borrow().0 {
-            follower.ask.notified().await;
+        while replica.asked.get() <= replica.served.borrow().0 {
+            replica.ask.notified().await;
         }
-        let ticket = follower.asked.get();
-        let after = follower.cache.borrow().revision;
-        let begun = now();
-        let fresh = if follower.is_synced() {
-            match node.state.changes(Use::Reading, FOLLOWED, after, Duration::ZERO).await {
+        let ticket = replica.asked.get();
+        let after = replica.contents.borrow().revision;
+        let started = now();
+        let fresh = if replica.is_synced() {
+            match node
+                .state
+                .changes(RequestClass::Reading, REPLICATED_PREFIX, after, Duration::ZERO)
+                .await
+            {
                 Ok(events) => {
-                    apply(&node, events, begun);
+                    apply(&node, events, started);
                     true
                 }
                 Err(error) => {
@@ -334,7 +341,7 @@
         } else {
             false
         };
-        follower.served.send_replace((ticket, fresh));
+        replica.served.send_replace((ticket, fresh));
         if !fresh {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
--- /dev/null
+++ b/crates/corkfield/src/replica/tests.rs
@@ -0,0 +1,18 @@
+use super::*;
+
+#[test]
+fn of_two_overlapping_reads_the_older_never_undoes_the_newer() {
+    let session_lease = |lease| {
+        serde_json::to_value(Membership { incarnation: "a".to_owned(), lease })
+            .expect("serializable")
+    };
+    let key = format!("{CONTROLLERS_PREFIX}n");
+    let put = |version| Event::Put { key: key.clone(), value: session_lease(version), version };
+    let delete = |version| Event::Delete { key: key.clone(), version };
+    let mut contents = ReplicaContents::default();
+    contents.apply(Events { revision: 3, events: vec![put(2), delete(3)] });
+    contents.apply(Events { revision: 2, events: vec![put(2)] });
+    assert!(contents.controllers.is_empty(), "the older read came last");
+    contents.apply(Events { revision: 4, events: vec![delete(3), put(4)] });
+    assert_eq!(contents.controllers["n"].1, 4);
+}
--- a/crates/corkfield/src/presence.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -1,16 +1,16 @@
 //! This controller's lease and its presence key.
 
 use crate::node::{now, Node};
-use corkfield_state::{StateError, Use};
-use corkfield_wire::records::{controller_key, Presence as Record};
-use corkfield_wire::store::Txn;
+use corkfield_state::{RequestClass, StateError};
+use corkfield_wire::records::{controller_key, Membership as Record};
+use corkfield_wire::store::Transaction;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
 #[derive(Default)]
-pub struct Presence {
+pub struct SessionLease {
     current: RefCell<Option<Current>>,
     valid_until: Cell<Option<Instant>>,
     pub changed: Notify,
@@ -24,7 +24,7 @@
     pub version: u64,
 }
 
-impl Presence {
+impl SessionLease {
     pub fn current(&self) -> Option<Current> {
         self.current.borrow().clone()
     }
@@ -48,10 +48,10 @@
             Ok(current) => {
                 tracing::info!(incarnation = %current.incarnation, lease = current.lease, "lease taken");
                 let lease = current.lease;
-                node.presence.set(Some(current));
+                node.session_lease.set(Some(current));
                 renew(&node, lease, ttl).await;
-                node.presence.valid_until.set(None);
-                node.presence.set(None);
+                node.session_lease.valid_until.set(None);
+                node.session_lease.set(None);
                 tracing::warn!(lease, "lease lost");
             }
             Err(error) => {
@@ -65,19 +65,20 @@
 async fn take_lease(node: &Node, ttl: Duration) -> Result<Current, StateError> {
     let key = controller_key(&node.name);
     // What a former process of this controller left is written over: whoever it was is gone.
-    let found = node.state.get(Use::Lease, &key).await?;
-    let begun = now();
+    let found = node.state.get(RequestClass::Lease, &key).await?;
+    let started = now();
     let lease = node.state.grant(ttl).await?;
     let incarnation = format!("{}-{:08x}", node.name, node.random() as u32);
     let record = Record { incarnation: incarnation.clone(), lease };
     let value = serde_json::to_value(&record).unwrap_or_default();
     let version = found.map_or(0, |item| item.version);
-    let txn = Txn::default().when(key.clone(), version).put_leased(key.clone(), value, lease);
-    let version = match node.state.txn(Use::Lease, &txn).await {
+    let transaction =
+        Transaction::default().when(key.clone(), version).put_leased(key.clone(), value, lease);
+    let version = match node.state.transaction(RequestClass::Lease, &transaction).await {
         Ok(version) => version,
         Err(StateError::NoAnswer(error)) => {
             // It may have been carried out all the same.
-            let read = node.state.get(Use::Lease, &key).await?;
+            let read = node.state.get(RequestClass::Lease, &key).await?;
             match read.filter(|item| item.value["incarnation"] == incarnation.as_str()) {
                 Some(item) => item.version,
                 None => return Err(StateError::NoAnswer(error)),
@@ -85,7 +86,7 @@
         }
         Err(error) => return Err(error),
     };
-    node.presence.valid_until.set(Some(begun + trusted(ttl)));
+    node.session_lease.valid_until.set(Some(started + trusted(ttl)));
     Ok(Current { incarnation, lease, version })
 }
 
@@ -97,10 +98,10 @@
 /// Returns when the lease is lost.
 async fn renew(node: &Node, lease: u64, ttl: Duration) {
     loop {
-        let begun = now();
+        let started = now();
         let pause = match node.state.renew(lease, ttl.mul_f64(0.2)).await {
             Ok(()) => {
-                node.presence.valid_until.set(Some(begun + trusted(ttl)));
+                node.session_lease.valid_until.set(Some(started + trusted(ttl)));
                 ttl.mul_f64(0.2)
             }
             Err(StateError::NoSuchLease) => return,
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -108,7 +108,7 @@
     /// Of these, from others than workers.
     pub users: usize,
     /// To machines.
-    pub directs: usize,
+    pub direct_orders_in_flight: usize,
 }
 
 #[derive(Debug, Clone)]
@@ -134,7 +134,7 @@
     }
 
     /// Unfinished jobs that this controller keeps. A job takes some KiB, in the copy of the state
-    /// service and in the planner.
+    /// service and in the leader.
     pub fn max_jobs(&self) -> usize {
         self.operator.max_jobs.map_or_else(|| self.jobs_in_memory(), |most| most as usize)
     }
@@ -176,7 +176,7 @@
 
     /// How long a watch may stay open. Only its beginning proves fresh state, so it has to be
     /// short against the answer limit: where a cancellation has little more time than a lease,
-    /// a quiet planner would otherwise refuse its workers between two watches. One and its
+    /// a quiet leader would otherwise refuse its workers between two watches. One and its
     /// predecessor, with a pause between them, also stay below the time after which a controller
     /// takes the service to be away.
     pub fn watch_wait(&self) -> Duration {
@@ -191,16 +191,21 @@
             given => given as usize,
         };
         let part = |percent: usize| (all * percent / 100).max(8);
-        Sockets { accepted: part(65), kept: part(62), users: part(25), directs: part(22) }
+        Sockets {
+            accepted: part(65),
+            kept: part(62),
+            users: part(25),
+            direct_orders_in_flight: part(22),
+        }
     }
 
-    pub fn planner_config(&self) -> Config {
+    pub fn scheduler_config(&self) -> Config {
         let params = &self.platform.params;
         Config {
             teams: params.teams.clone(),
             objectives: params.objectives.clone(),
             worker_lease: params.workers.lease(),
-            report_interval: params.workers.report_interval(),
+            heartbeat_interval: params.workers.heartbeat_interval(),
             answer_limit: self.answer_limit(),
             list_lag: Duration::from_secs_f64(params.cloud.list_lag_s),
             placement_sample: self.operator.placement_sample as usize,
@@ -221,7 +226,7 @@
             sockets.accepted,
             sockets.kept,
             sockets.users,
-            sockets.directs,
+            sockets.direct_orders_in_flight,
             platform.listen,
             self.max_jobs(),
             platform.peer_listen,
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_quiet_watch_leaves_the_planner_fresh_enough_to_answer() {
+fn a_quiet_watch_leaves_the_leader_fresh_enough_to_answer() {
     for (lease, cancel) in [(14.0, 34.0), (10.0, 10.0), (26.0, 27.0)] {
         let settings = settings_of(lease, cancel, "");
         assert!(settings.watch_wait() * 3 <= settings.answer_limit(), "{lease} {cancel}");
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -4,9 +4,9 @@
 use crate::notifications;
 use corkfield_core::fits_some_type;
 use corkfield_http::Response;
-use corkfield_state::{StateError, Use};
+use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
-use corkfield_wire::store::Txn;
+use corkfield_wire::store::Transaction;
 use corkfield_wire::user::{BadSubmission, JobView};
 use corkfield_wire::{JobId, JobSpec, JobStatus};
 use std::time::Duration;
@@ -24,25 +24,25 @@
 }
 
 async fn find(node: &Node, id: &JobId) -> Result<Found, ()> {
-    if let Some(record) = node.follower.cache.borrow().known_final(id) {
+    if let Some(record) = node.replica.contents.borrow().known_final(id) {
         return Ok(Found::Final(record));
     }
-    if !node.follower.refresh(QUERY_LIMIT).await {
+    if !node.replica.refresh(QUERY_LIMIT).await {
         return Err(());
     }
     {
-        let cache = node.follower.cache.borrow();
+        let contents = node.replica.contents.borrow();
         // Another request may have been answered with it while this one's read was under way.
-        if let Some(record) = cache.known_final(id) {
+        if let Some(record) = contents.known_final(id) {
             return Ok(Found::Final(record));
         }
-        if let Some((record, version)) = cache.jobs.get(id).cloned() {
+        if let Some((record, version)) = contents.jobs.get(id).cloned() {
             return Ok(Found::Live(Box::new(record), version));
         }
     }
     // Jobs that are over are not followed. One that is neither unfinished nor over now was
     // never accepted: final records are written in the transaction that drops the others.
-    let read = node.state.get(Use::Reading, &final_key(id)).await.map_err(|_| ())?;
+    let read = node.state.get(RequestClass::Reading, &final_key(id)).await.map_err(|_| ())?;
     let Some(item) = read else {
         return Ok(Found::Nothing);
     };
@@ -57,7 +57,7 @@
     if record.status == JobStatus::Cancelled {
         notifications::notify_all(node, id).await;
     }
-    node.follower.cache.borrow_mut().note_final(id, record.clone());
+    node.replica.contents.borrow_mut().note_final(id, record.clone());
 }
 
 fn view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
@@ -83,13 +83,13 @@
 
 pub async fn submit(node: &Node, body: &[u8]) -> Response {
     let parsed = JobSpec::parse(body);
-    let work = async {
+    let run = async {
         match parsed {
             Ok(spec) => accept(node, spec).await,
             Err(BadSubmission { id, reason }) => refuse(node, id.as_ref(), 400, &reason).await,
         }
     };
-    tokio::time::timeout(CHANGE_LIMIT, work).await.unwrap_or_else(|_| later(NO_STORE))
+    tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| later(NO_STORE))
 }
 
 /// Refuses a submission for good, unless its id was accepted before (S2).
@@ -107,9 +107,9 @@
     let id = spec.id.clone();
     let teams = &node.settings.platform.params.teams;
     let (verdict, crowded) = {
-        let cache = node.follower.cache.borrow();
-        let crowded = cache.jobs.len() >= node.settings.max_jobs();
-        (cache.types.as_ref().map(|types| fits_some_type(&spec, teams, types)), crowded)
+        let contents = node.replica.contents.borrow();
+        let crowded = contents.jobs.len() >= node.settings.max_jobs();
+        (contents.types.as_ref().map(|types| fits_some_type(&spec, teams, types)), crowded)
     };
     match verdict {
         Some(Ok(())) if !crowded => {}
@@ -126,9 +126,12 @@
     let Ok(value) = serde_json::to_value(&record) else {
         return error(400, "unstorable");
     };
-    let txn = Txn::default().when(job_key(&id), 0).when(final_key(&id), 0).put(job_key(&id), value);
+    let transaction = Transaction::default()
+        .when(job_key(&id), 0)
+        .when(final_key(&id), 0)
+        .put(job_key(&id), value);
     loop {
-        match node.state.txn(Use::Submission, &txn).await {
+        match node.state.transaction(RequestClass::Submission, &transaction).await {
             Ok(_) => {
                 tracing::debug!(job = %id, "accepted");
                 return json(201, &view(&id, JobStatus::Queued, 0, 0));
@@ -152,7 +155,7 @@
 }
 
 pub async fn cancel(node: &Node, id: &JobId) -> Response {
-    let work = async {
+    let run = async {
         loop {
             let (record, version) = match find(node, id).await {
                 Ok(Found::Live(record, version)) => (record, version),
@@ -163,12 +166,12 @@
             };
             let over = FinalRecord { status: JobStatus::Cancelled, done: record.done };
             let value = serde_json::to_value(&over).unwrap_or_default();
-            let txn = Txn::default()
+            let transaction = Transaction::default()
                 .when(job_key(id), version)
                 .when(final_key(id), 0)
                 .delete(job_key(id))
                 .put(final_key(id), value);
-            match node.state.txn(Use::Claim, &txn).await {
+            match node.state.transaction(RequestClass::Claim, &transaction).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "cancelled");
                     learned(node, id, &over).await;
@@ -186,7 +189,7 @@
             }
         }
     };
-    tokio::time::timeout(CHANGE_LIMIT, work).await.unwrap_or_else(|_| later(NO_STORE))
+    tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| later(NO_STORE))
 }
 
 /// An operator lets a job that was set aside run again.
@@ -194,13 +197,13 @@
     let Ok(Found::Live(record, version)) = find(node, id).await else {
         return error(404, "no such unfinished job");
     };
-    if !record.set_aside {
+    if !record.dead_lettered {
         return error(409, "the job is not set aside");
     }
-    let record = JobRecord { set_aside: false, claims: 0, owner: None, ..*record };
+    let record = JobRecord { dead_lettered: false, claims: 0, owner: None, ..*record };
     let value = serde_json::to_value(&record).unwrap_or_default();
-    let txn = Txn::default().when(job_key(id), version).put(job_key(id), value);
-    match node.state.txn(Use::Submission, &txn).await {
+    let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
+    match node.state.transaction(RequestClass::Submission, &transaction).await {
         Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
         Err(error) => {
             tracing::debug!(job = %id, %error, "can't release");
