--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -3,17 +3,17 @@
 use crate::node::{error, json, later, now, Node};
 use corkfield_core::Verdict;
 use corkfield_http::Response;
-use corkfield_wire::worker::{Order, Redirect, Report, ReportReply};
+use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A report that comes in the middle of a take-over waits this long for it.
+/// A report that comes in the middle of a failover waits this long for it.
 const TAKE_OVER_WAIT: Duration = Duration::from_millis(1500);
-/// A worker that is back this soon after it was sent to the planner didn't reach it.
+/// A worker that is back this soon after it was sent to the leader didn't reach it.
 const BACK_SOON: Duration = Duration::from_secs(12);
-/// After this a worker whose reports are passed on tries the planner itself again.
+/// After this a worker whose reports are passed on tries the leader itself again.
 const TRY_AGAIN: Duration = Duration::from_secs(60);
 /// Above the number of workers; the names of a visit in the last seconds only.
 const MAX_REDIRECTED: usize = 32_768;
@@ -22,7 +22,7 @@
 /// Without any proof for this long the service is surely away: then no report waits for it.
 const STORE_AWAY: Duration = Duration::from_secs(4);
 
-/// Workers that were sent to the planner, and since when those that came back are passed on.
+/// Workers that were sent to the leader, and since when those that came back are passed on.
 #[derive(Default)]
 pub struct RedirectedWorkers {
     visits: RefCell<BTreeMap<String, (Instant, Option<Instant>)>>,
@@ -57,51 +57,51 @@
 }
 
 /// A worker's report to this controller.
-pub async fn report(node: &Node, body: &[u8]) -> Response {
-    let report: Report = match serde_json::from_slice(body) {
-        Ok(report) => report,
+pub async fn heartbeat(node: &Node, body: &[u8]) -> Response {
+    let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
+        Ok(heartbeat) => heartbeat,
         Err(reason) => return error(400, &reason.to_string()),
     };
-    if node.leader.is_leading() && !node.leader.is_ready() {
-        let _ = tokio::time::timeout(TAKE_OVER_WAIT, node.leader.until_ready()).await;
+    if node.leadership.is_leading() && !node.leadership.is_ready() {
+        let _ = tokio::time::timeout(TAKE_OVER_WAIT, node.leadership.until_ready()).await;
     }
-    if node.leader.is_ready() {
-        return plan_for(node, &report).await;
+    if node.leadership.is_ready() {
+        return plan_for(node, &heartbeat).await;
     }
-    let planner = planner_elsewhere(node);
-    if let Some(planner) = &planner {
-        if node.redirected.visits(&report.machine) {
-            if let Some(response) = node.peers.relay(node, planner, body).await {
+    let scheduler = planner_elsewhere(node);
+    if let Some(scheduler) = &scheduler {
+        if node.redirected.visits(&heartbeat.machine) {
+            if let Some(response) = node.peers.relay(node, scheduler, body).await {
                 return passed_on(node, response);
             }
         }
-        node.leader.worker_came_here(node.follower.planner_known_for());
+        node.leadership.note_stray_worker(node.replica.leader_known_for());
     }
-    tracing::debug!(machine = %report.machine, seq = report.seq, to = ?planner, "worker sent on");
-    json(421, &Redirect { report_to: planner })
+    tracing::debug!(machine = %heartbeat.machine, sequence = heartbeat.sequence, to = ?scheduler, "worker sent on");
+    json(421, &Redirect { report_to: scheduler })
 }
 
-/// A report that another controller passed on to this one, as the planner.
+/// A report that another controller passed on to this one, as the leader.
 pub async fn relayed(node: &Node, body: &[u8]) -> Response {
     match serde_json::from_slice(body) {
-        Ok(report) if node.leader.is_ready() => plan_for(node, &report).await,
+        Ok(heartbeat) if node.leadership.is_ready() => plan_for(node, &heartbeat).await,
         _ => later("not the planner"),
     }
 }
 
-/// The planner's answer goes to the worker as it is, but for starts that don't match the job's
+/// The leader's answer goes to the worker as it is, but for starts that don't match the job's
 /// record as it is known here.
 fn passed_on(node: &Node, response: Response) -> Response {
     if response.status != 200 {
         return later("the planner has no answer");
     }
-    let Ok(mut reply) = serde_json::from_slice::<ReportReply>(&response.body) else {
+    let Ok(mut reply) = serde_json::from_slice::<HeartbeatReply>(&response.body) else {
         return later("the planner's answer is unreadable");
     };
-    let cache = node.follower.cache.borrow();
+    let contents = node.replica.contents.borrow();
     reply.orders.retain(|order| match order {
         Order::Start { task, attempt } => {
-            let record = cache.jobs.get(&task.job).map(|(record, _)| record);
+            let record = contents.jobs.get(&task.job).map(|(record, _)| record);
             record.is_some_and(|record| record.generation == attempt >> 24)
         }
         _ => true,
@@ -109,73 +109,73 @@
     json(200, &reply)
 }
 
-async fn plan_for(node: &Node, report: &Report) -> Response {
-    let Some(planner) = node.leader.planner() else {
+async fn plan_for(node: &Node, heartbeat: &WorkerHeartbeat) -> Response {
+    let Some(scheduler) = node.leadership.scheduler() else {
         return json(421, &Redirect { report_to: None });
     };
     // S6: without fresh state a cancellation may have been missed; the machines' leases have
     // to run out while there is time.
     if !may_answer(node) {
-        tracing::debug!(machine = %report.machine, "no fresh state to answer from");
+        tracing::debug!(machine = %heartbeat.machine, "no fresh state to answer from");
         return later("no fresh state");
     }
-    let verdict = planner.borrow_mut().on_report(report, true, now());
+    let verdict = scheduler.borrow_mut().on_heartbeat(heartbeat, true, now());
     if verdict != Verdict::Accept {
-        tracing::debug!(machine = %report.machine, seq = report.seq, ?verdict, "report not taken");
+        tracing::debug!(machine = %heartbeat.machine, sequence = heartbeat.sequence, ?verdict, "report not taken");
     }
     match verdict {
         Verdict::Accept => {}
         Verdict::Stale => return later("stale report"),
         Verdict::HigherTerm(term) => {
-            node.leader.saw_higher_term(term);
+            node.leadership.saw_higher_term(term);
             return later("a higher term is needed");
         }
     }
-    node.leader.wake_actions();
-    if planner.borrow().may_start_on(&report.machine, now()) {
-        node.leader.next_pass().await;
+    node.leadership.wake_actions();
+    if scheduler.borrow().may_start_on(&heartbeat.machine, now()) {
+        node.leadership.wait_for_pass().await;
     }
     let hold = Duration::from_secs_f64(node.settings.operator.hold_s);
     // Short of sockets, an answer that waits for work would keep other workers out.
     let may_hold = !hold.is_zero() && !node.connections.are_short();
-    if may_hold && planner.borrow().may_hold(&report.machine) {
-        let work = node.leader.work_for(&report.machine);
-        let _ = tokio::time::timeout(hold, work.notified()).await;
-        node.leader.release(&report.machine, &work);
+    if may_hold && scheduler.borrow().may_hold(&heartbeat.machine) {
+        let run = node.leadership.hold_answer(&heartbeat.machine);
+        let _ = tokio::time::timeout(hold, run.notified()).await;
+        node.leadership.release(&heartbeat.machine, &run);
     }
     // S4: a start leaves on a young proof. A cancellation that another controller confirms after
     // it can then meet no more than the starts of about that time.
-    let young = || node.follower.proof_age() <= node.settings.start_proof();
-    let starts = planner.borrow().has_starts_for(&report.machine);
-    if starts && !young() && node.follower.proof_age() < STORE_AWAY {
-        node.follower.refresh(START_PROOF_WAIT).await;
+    let young = || node.replica.proof_age() <= node.settings.start_proof();
+    let starts = scheduler.borrow().has_starts_for(&heartbeat.machine);
+    if starts && !young() && node.replica.proof_age() < STORE_AWAY {
+        node.replica.refresh(START_PROOF_WAIT).await;
     }
-    // The planner may have changed while the answer was held back.
-    let same = node.leader.planner().is_some_and(|p| Rc::ptr_eq(&p, &planner));
+    // The leader may have changed while the answer was held back.
+    let same = node.leadership.scheduler().is_some_and(|p| Rc::ptr_eq(&p, &scheduler));
     if !same || !may_answer(node) {
         return json(421, &Redirect { report_to: planner_elsewhere(node) });
     }
-    let may_start = node.leader.may_start(node) && young();
-    let mut planner = planner.borrow_mut();
-    let (session, seq) = (report.session, report.seq);
-    let orders = planner.orders(&report.machine, session, seq, may_start, now());
-    json(200, &ReportReply { term: planner.term(), orders })
+    let may_start = node.leadership.may_start(node) && young();
+    let mut scheduler = scheduler.borrow_mut();
+    let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+    let orders = scheduler.orders(&heartbeat.machine, agent_epoch, sequence, may_start, now());
+    json(200, &HeartbeatReply { term: scheduler.term(), orders })
 }
 
 /// S6: whether a report may be answered with 200. That rests on state that was fresh a while ago,
 /// or, while the state service is out for all, on the word of all other controllers; and it shows
-/// no other planner.
+/// no other leader.
 fn may_answer(node: &Node) -> bool {
     let limit = node.settings.answer_limit();
-    let fresh = node.follower.proof_age() < limit
+    let fresh = node.replica.proof_age() < limit
         || node.peers.attestation_age(node).is_some_and(|age| age < limit);
-    fresh && !node.leader.is_replaced(&node.follower.cache.borrow())
+    fresh && !node.leadership.is_replaced(&node.replica.contents.borrow())
 }
 
-/// The planner, if it is another controller that is there.
+/// The leader, if it is another controller that is there.
 fn planner_elsewhere(node: &Node) -> Option<String> {
-    let cache = node.follower.cache.borrow();
-    let (record, _) = cache.planner.as_ref()?;
+    let contents = node.replica.contents.borrow();
+    let (record, _) = contents.scheduler.as_ref()?;
     let name = record.node.clone().filter(|name| *name != node.name)?;
-    cache.is_present(record).then_some(name)
+    contents.is_present(record).then_some(name)
 }
--- a/crates/corkfield/tests/cluster/mod.rs
+++ b/crates/corkfield/tests/cluster/mod.rs
@@ -3,11 +3,12 @@
 use corkfield::node;
 use corkfield::settings::{Operator, Settings};
 use corkfield_fakes::{
-    FakeCloud, FakeStore, FakeWorker, Freezer, Ledger, MemoryNet, Plan, Process, WorkerSettings,
+    ExecutionHistory, FakeCloud, FakeStore, FakeWorker, Freezer, MemoryNet, Plan, Process,
+    WorkerSettings,
 };
 use corkfield_http::Client;
 use corkfield_wire::cloud::MachineType;
-use corkfield_wire::records::{job_key, JobRecord, PlannerRecord, PLANNER};
+use corkfield_wire::records::{job_key, JobRecord, LeaderRecord, LEADER_KEY};
 use corkfield_wire::settings::Platform;
 use corkfield_wire::user::{JobView, PATH_CANCEL, PATH_JOBS};
 use corkfield_wire::{JobId, JobSpec, JobStatus, TaskId};
@@ -42,7 +43,7 @@
     pub net: MemoryNet,
     pub store: Rc<FakeStore>,
     pub cloud: Rc<FakeCloud>,
-    pub ledger: Rc<Ledger>,
+    pub history: Rc<ExecutionHistory>,
     /// While set, the state service refuses that controller.
     pub refused: Vec<Rc<Cell<bool>>>,
     running: RefCell<Vec<Option<Running>>>,
@@ -120,7 +121,7 @@
         }
         secs(8.0).await;
         tell(cluster.clone()).await;
-        assert_eq!(cluster.ledger.broken_rules(), Vec::<String>::new());
+        assert_eq!(cluster.history.broken_rules(), Vec::<String>::new());
     });
 }
 
@@ -144,9 +145,9 @@
 impl Cluster {
     fn new(grants: Grants, operator: Operator, machines: u32) -> Self {
         let net = MemoryNet::default();
-        let ledger = Rc::new(Ledger::default());
-        ledger.cancel_after.set(Duration::from_secs_f64(CANCEL_S));
-        ledger.set_teams(settings_of(0, grants, operator.clone()).platform.params.teams);
+        let history = Rc::new(ExecutionHistory::default());
+        history.cancel_after.set(Duration::from_secs_f64(CANCEL_S));
+        history.set_teams(settings_of(0, grants, operator.clone()).platform.params.teams);
         let store = Rc::new(FakeStore::default());
         store.keep_time();
         let mut refused = Vec::new();
@@ -165,9 +166,9 @@
             zone: String::new(),
             spot: false,
             cpus: 0.0,
-            report: Duration::from_secs(2),
+            heartbeat: Duration::from_secs(2),
             lease: Duration::from_secs_f64(LEASE_S),
-            reports_after_answers: true,
+            heartbeats_after_answers: true,
             controllers,
         };
         let kind = MachineType {
@@ -184,7 +185,7 @@
         };
         let capacity = machines as usize;
         let cloud =
-            FakeCloud::new(Rc::new(net.clone()), ledger.clone(), template, vec![kind], capacity);
+            FakeCloud::new(Rc::new(net.clone()), history.clone(), template, vec![kind], capacity);
         cloud.start(net.host("cloud"), SocketAddr::from(([10, 2, 1, 1], 443)));
         for n in 0..machines {
             cloud.add(if n % 2 == 0 { "z1" } else { "z2" }, false, 0.5);
@@ -195,7 +196,7 @@
         let clients = clients.collect();
         let running = RefCell::new((0..NODES.len()).map(|_| None).collect());
         let seeds = Cell::new(7);
-        Self { grants, operator, net, store, cloud, ledger, refused, running, clients, seeds }
+        Self { grants, operator, net, store, cloud, history, refused, running, clients, seeds }
     }
 
     pub fn start(&self, n: usize) {
@@ -244,13 +245,13 @@
     /// Each task of the job was started, and none a second time.
     pub fn assert_started_once(&self, job: &JobSpec, why: &str) {
         for index in 0..job.tasks {
-            assert_eq!(self.ledger.started(&task(job, index)), 1, "{why}");
+            assert_eq!(self.history.started(&task(job, index)), 1, "{why}");
         }
     }
 
     /// The worker of the machine that a task is on.
     pub fn worker_of(&self, task: &TaskId) -> Rc<FakeWorker> {
-        let machine = self.ledger.machine_of(task).expect("the task is on a machine");
+        let machine = self.history.machine_of(task).expect("the task is on a machine");
         self.cloud.worker(&machine).expect("a worker")
     }
 
@@ -265,14 +266,14 @@
         self.cloud.worker(machine).map_or(0, |worker| worker.unheard_starts())
     }
 
-    pub fn planner(&self) -> Option<(usize, u64)> {
-        let record: PlannerRecord = serde_json::from_value(self.store.get(PLANNER)?).ok()?;
+    pub fn scheduler(&self) -> Option<(usize, u64)> {
+        let record: LeaderRecord = serde_json::from_value(self.store.get(LEADER_KEY)?).ok()?;
         let node = record.node?;
         Some((NODES.iter().position(|n| *n == node)?, record.term))
     }
 
     pub fn planner_node(&self) -> usize {
-        self.planner().expect("somebody plans").0
+        self.scheduler().expect("somebody plans").0
     }
 
     pub fn record(&self, id: &JobId) -> Option<JobRecord> {
@@ -322,7 +323,7 @@
     pub async fn submit_plan(&self, plan: Plan) -> u16 {
         let body = serde_json::to_vec(&plan.spec).expect("serializable");
         let id = plan.spec.id.clone();
-        self.ledger.submitted(plan);
+        self.history.submitted(plan);
         let asked = tokio::time::Instant::now().into_std();
         let (status, view) = self.insist("POST", PATH_JOBS, &body).await;
         self.heard(&id, asked, view.filter(|_| matches!(status, 200 | 201)));
@@ -352,7 +353,7 @@
         };
         let (status, body) = answer?;
         if status == 404 {
-            self.ledger.told_unknown(id, asked);
+            self.history.told_unknown(id, asked);
         }
         self.heard(id, asked, serde_json::from_slice(&body).ok().filter(|_| status == 200))
     }
@@ -370,7 +371,7 @@
 
     fn heard(&self, id: &JobId, asked: Instant, view: Option<JobView>) -> Option<JobStatus> {
         let status = view?.status;
-        self.ledger.told(id, status, asked);
+        self.history.told(id, status, asked);
         Some(status)
     }
 
--- a/crates/corkfield/tests/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/combined_faults/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations while the planner changes, limits are reached and machines are silent.
+//! Cancellations while the leader changes, limits are reached and machines are silent.
 
 use crate::cluster::{scenario, secs, spec, task, Cluster, LEASE_S, NODES};
 use corkfield_fakes::FakeWorker;
@@ -36,9 +36,9 @@
 }
 
 #[test]
-fn team_limit_counts_cancelled_tasks_on_silent_machines_while_the_planner_changes() {
+fn team_limit_counts_cancelled_tasks_on_silent_machines_while_the_leader_changes() {
     for silence in [Silence::Hung, Silence::CutOff, Silence::Deaf] {
-        // The planner ends before the cancellation, with it, or after it.
+        // The leader ends before the cancellation, with it, or after it.
         for planner_ends_s in [-1.0, 0.0, 1.5, 6.0] {
             scenario(4, |cluster| async move {
                 let (cancelled, next) = (capped(1, 6, 1.0), capped(2, 12, 2.0));
@@ -48,7 +48,7 @@
                 let filler = spec(4, 20);
                 cluster.submit(&filler, 40.0).await;
                 secs(4.0).await;
-                assert_eq!(cluster.ledger.running(&cancelled.id), 6, "the team is at its limit");
+                assert_eq!(cluster.history.running(&cancelled.id), 6, "the team is at its limit");
                 cluster.submit(&next, 3.0).await;
                 secs(1.0).await;
                 let silent = [0, 3].map(|index| cluster.worker_of(&task(&cancelled, index)));
@@ -72,7 +72,7 @@
                 for job in [&next, &newest, &filler] {
                     cluster.until_done(&job.id, 150.0).await;
                 }
-                assert_eq!(cluster.ledger.running(&cancelled.id), 0);
+                assert_eq!(cluster.history.running(&cancelled.id), 0);
             });
         }
     }
@@ -88,37 +88,37 @@
 }
 
 async fn begin_change(cluster: &Rc<Cluster>, change: Change) {
-    let planner = cluster.planner_node();
+    let scheduler = cluster.planner_node();
     match change {
-        Change::Crash => cluster.kill(planner),
-        Change::Refusal => cluster.refused[planner].set(true),
+        Change::Crash => cluster.kill(scheduler),
+        Change::Refusal => cluster.refused[scheduler].set(true),
         Change::HandOver => {
             for worker in cluster.cloud.workers() {
-                cluster.net.cut(NODES[planner], &worker.settings.name);
+                cluster.net.cut(NODES[scheduler], &worker.settings.name);
             }
         }
         Change::Freeze => {
             let cluster = cluster.clone();
-            tokio::task::spawn_local(async move { cluster.freeze(planner, 14.0).await });
+            tokio::task::spawn_local(async move { cluster.freeze(scheduler, 14.0).await });
         }
     }
 }
 
-fn end_change(cluster: &Cluster, change: Change, planner: usize) {
+fn end_change(cluster: &Cluster, change: Change, scheduler: usize) {
     match change {
-        Change::Crash => cluster.start(planner),
-        Change::Refusal => cluster.refused[planner].set(false),
+        Change::Crash => cluster.start(scheduler),
+        Change::Refusal => cluster.refused[scheduler].set(false),
         Change::HandOver => cluster
             .cloud
             .workers()
             .iter()
-            .for_each(|worker| cluster.net.heal(NODES[planner], &worker.settings.name)),
+            .for_each(|worker| cluster.net.heal(NODES[scheduler], &worker.settings.name)),
         Change::Freeze => {}
     }
 }
 
 #[test]
-fn cancellations_in_the_seconds_of_a_planner_change_are_final_and_carried_out() {
+fn cancellations_in_the_seconds_of_a_leader_change_are_final_and_carried_out() {
     for change in [Change::Crash, Change::HandOver, Change::Refusal, Change::Freeze] {
         for seed in 0..3 {
             scenario(4, |cluster| async move {
@@ -130,9 +130,9 @@
                     cluster.submit(job, 300.0).await;
                 }
                 secs(3.0).await;
-                let planner = cluster.planner_node();
+                let scheduler = cluster.planner_node();
                 begin_change(&cluster, change).await;
-                let others = cluster.others(planner);
+                let others = cluster.others(scheduler);
                 for job in &cancelled {
                     secs(rng.random_range(0.1..1.1)).await;
                     let asked = others[rng.random_range(0..others.len())];
@@ -140,14 +140,14 @@
                     tokio::task::spawn_local(async move { cluster.cancel_at(asked, &id).await });
                 }
                 secs(1.0).await;
-                end_change(&cluster, change, planner);
+                end_change(&cluster, change, scheduler);
                 secs(LEASE_S + 8.0).await;
                 for job in &cancelled {
                     assert_eq!(cluster.status(&job.id).await, Some(JobStatus::Cancelled));
-                    assert_eq!(cluster.ledger.running(&job.id), 0, "{change:?}");
+                    assert_eq!(cluster.history.running(&job.id), 0, "{change:?}");
                 }
                 cluster.until_done(&kept.id, 200.0).await;
-                let late = cluster.ledger.late_starts();
+                let late = cluster.history.late_starts();
                 assert_eq!(late, 0, "{change:?}, seed {seed}: started after the confirmation");
             });
         }
@@ -179,7 +179,7 @@
             hung.iter().for_each(|worker| worker.set_hung(false));
             secs(5.0).await;
             for job in &jobs {
-                assert_eq!(cluster.ledger.running(&job.id), 0);
+                assert_eq!(cluster.history.running(&job.id), 0);
             }
         });
     }
--- a/crates/corkfield/tests/combined_faults/close_questions.rs
+++ b/crates/corkfield/tests/combined_faults/close_questions.rs
@@ -41,7 +41,7 @@
                 let job = spec(number, 1 + number % 2);
                 let node = number as usize % NODES.len();
                 // The ledger has to know the job before its worker does.
-                cluster.ledger.submitted(corkfield_fakes::Plan {
+                cluster.history.submitted(corkfield_fakes::Plan {
                     spec: job.clone(),
                     run_s: if number % 3 == 0 { 120.0 } else { 1.0 },
                     broken: false,
--- a/crates/corkfield/tests/combined_faults/late_commands.rs
+++ b/crates/corkfield/tests/combined_faults/late_commands.rs
@@ -1,13 +1,13 @@
 //! Direct commands that are held up and carried out after newer ones, and copies of reports that
-//! reach a planner as it begins.
+//! reach a leader as it begins.
 
 use crate::cluster::{scenario, secs, spec, Cluster, LEASE_S, NODES};
-use corkfield_wire::worker::PATH_REPORT;
+use corkfield_wire::worker::PATH_HEARTBEAT;
 use corkfield_wire::JobSpec;
 use std::rc::Rc;
 
 #[test]
-fn held_up_commands_of_a_replaced_planner_stop_nothing_that_its_successor_started() {
+fn held_up_commands_of_a_replaced_leader_stop_nothing_that_its_successor_started() {
     for delay_s in [2.0, 5.0, 9.0, 16.0] {
         for restart_s in [0.1, 2.5, 4.0] {
             scenario(3, |cluster| async move {
@@ -30,7 +30,7 @@
                 cluster.until_done(&kept.id, 120.0).await;
                 secs(LEASE_S).await;
                 for job in &cancelled {
-                    assert_eq!(cluster.ledger.running(&job.id), 0);
+                    assert_eq!(cluster.history.running(&job.id), 0);
                 }
                 let late: u32 = workers.iter().map(|worker| worker.delayed_commands()).sum();
                 assert!(late > 0, "no command was carried out late");
@@ -46,16 +46,16 @@
         for node in 0..NODES.len() {
             let (sender, copy) = (cluster.clone(), copy.clone());
             tokio::task::spawn_local(async move {
-                sender.ask(node, "POST", PATH_REPORT, &copy).await;
+                sender.ask(node, "POST", PATH_HEARTBEAT, &copy).await;
             });
         }
     }
 }
 
 #[test]
-fn copies_of_reports_that_meet_a_new_planner_prove_nothing() {
+fn copies_of_heartbeats_that_meet_a_new_leader_prove_nothing() {
     for wait_s in [0.0, 0.4, 1.5, 4.0] {
-        for kept_reports in [1, 6, 40] {
+        for kept_heartbeats in [1, 6, 40] {
             scenario(3, |cluster| async move {
                 let (short, long) = (spec(1, 40), spec(2, 8));
                 cluster.submit(&short, 2.5).await;
@@ -68,14 +68,14 @@
                     let copies: Vec<Vec<u8>> = workers
                         .iter()
                         .flat_map(|worker| {
-                            let sent = worker.sent_reports();
-                            let first = sent.len().saturating_sub(kept_reports);
+                            let sent = worker.sent_heartbeats();
+                            let first = sent.len().saturating_sub(kept_heartbeats);
                             sent[first..].to_vec()
                         })
                         .collect();
-                    let term = cluster.planner().map_or(0, |(_, term)| term);
+                    let term = cluster.scheduler().map_or(0, |(_, term)| term);
                     cluster.restart(cluster.planner_node(), 0.1).await;
-                    while cluster.planner().is_none_or(|(_, now)| now == term) {
+                    while cluster.scheduler().is_none_or(|(_, now)| now == term) {
                         secs(0.05).await;
                     }
                     secs(wait_s).await;
--- a/crates/corkfield/tests/combined_faults/leaders.rs
+++ b/crates/corkfield/tests/combined_faults/leaders.rs
@@ -1,4 +1,4 @@
-//! Changes of the planner, and what meets them.
+//! Changes of the leader, and what meets them.
 
 use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
 use corkfield_fakes::Fault;
@@ -6,7 +6,7 @@
 use corkfield_wire::JobStatus;
 
 #[test]
-fn ten_changes_of_the_planner_in_two_minutes_lose_and_double_nothing() {
+fn ten_changes_of_the_leader_in_two_minutes_lose_and_double_nothing() {
     for outage in [false, true] {
         scenario(3, |cluster| async move {
             let jobs: Vec<_> = (1..=4).map(|n| spec(n, 12)).collect();
@@ -19,8 +19,8 @@
                 if outage && round == 4 {
                     cluster.store.set_down(true);
                 }
-                let planner = cluster.planner_node();
-                cluster.restart(planner, 0.1 + f64::from(round % 3)).await;
+                let scheduler = cluster.planner_node();
+                cluster.restart(scheduler, 0.1 + f64::from(round % 3)).await;
                 secs(if outage { 4.0 } else { 9.0 }).await;
                 if round == 2 {
                     cluster.cancel(&doomed.id).await;
@@ -33,14 +33,14 @@
             for job in &jobs {
                 cluster.until_done(&job.id, 200.0).await;
             }
-            assert_eq!(cluster.ledger.running(&doomed.id), 0);
+            assert_eq!(cluster.history.running(&doomed.id), 0);
         });
     }
 }
 
 #[test]
-fn a_planner_that_ends_leaves_long_tasks_where_they_can_not_be_asked() {
-    // Cut off, hearing nothing, or heard by nobody, while planners change.
+fn a_leader_that_ends_leaves_long_tasks_where_they_can_not_be_asked() {
+    // Cut off, hearing nothing, or heard by nobody, while leaders change.
     for kind in 0..3 {
         for after in [1.0, LEASE_S - 3.0, LEASE_S + 6.0] {
             scenario(3, |cluster| async move {
@@ -57,8 +57,8 @@
                     _ => worker.mute.set(true),
                 }
                 secs(0.7).await;
-                let planner = cluster.planner_node();
-                cluster.restart(planner, 0.5).await;
+                let scheduler = cluster.planner_node();
+                cluster.restart(scheduler, 0.5).await;
                 secs(after).await;
                 match kind {
                     0 => cluster.net.heal(&name, "*"),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_planner_alone_with_its_workers_tells_no_user_anything_old() {
+fn a_leader_alone_with_its_workers_tells_no_user_anything_old() {
     for hung in [false, true] {
         scenario(3, |cluster| async move {
             let (kept, doomed) = (spec(1, 8), spec(2, 8));
@@ -100,7 +100,7 @@
                 assert_eq!(told, None, "no answer without the store");
                 secs(1.0).await;
             }
-            assert_eq!(cluster.ledger.running(&doomed.id), 0);
+            assert_eq!(cluster.history.running(&doomed.id), 0);
             cluster.net.heal(NODES[old], "state");
             cluster.part(old, false);
             cluster.until_done(&kept.id, 120.0).await;
@@ -128,7 +128,7 @@
             secs(5.0).await;
             hung.set_hung(false);
             secs(7.0).await;
-            assert_eq!(cluster.ledger.running(&doomed.id), 0);
+            assert_eq!(cluster.history.running(&doomed.id), 0);
             cluster.until_done(&job.id, 90.0).await;
             assert_eq!(cluster.status(&doomed.id).await, Some(JobStatus::Cancelled));
         });
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_planner_that_stands_still_while_clocks_run_on_does_no_harm_when_it_goes_on() {
+fn a_leader_that_stands_still_while_clocks_run_on_does_no_harm_when_it_goes_on() {
     for still in [3.0, 9.5, 11.0, LEASE_S + 2.0, 70.0] {
         scenario(3, |cluster| async move {
             let (job, stream, doomed) = (spec(1, 10), spec(2, 200), spec(3, 4));
@@ -144,19 +144,19 @@
             cluster.submit(&doomed, 300.0).await;
             cluster.submit(&stream, 0.8).await;
             secs(5.0).await;
-            let planner = cluster.planner_node();
+            let scheduler = cluster.planner_node();
             let cancelling = {
                 let (cluster, id) = (cluster.clone(), doomed.id.clone());
                 tokio::task::spawn_local(async move {
                     secs(1.0).await;
-                    cluster.cancel_at(cluster.others(planner)[0], &id).await;
+                    cluster.cancel_at(cluster.others(scheduler)[0], &id).await;
                 })
             };
-            cluster.freeze(planner, still).await;
+            cluster.freeze(scheduler, still).await;
             cancelling.await.expect("it is cancelled");
             // It wakes to orders, transactions and reports that are long over.
             secs(LEASE_S + 6.0).await;
-            assert_eq!(cluster.ledger.running(&doomed.id), 0);
+            assert_eq!(cluster.history.running(&doomed.id), 0);
             for job in [&job, &stream] {
                 cluster.until_done(&job.id, 150.0).await;
             }
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_planner_that_wakes_returns_no_machine_that_another_one_uses() {
+fn a_leader_that_wakes_returns_no_machine_that_another_one_uses() {
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(4);
         cluster.cloud.boot_s.set(20.0);
@@ -173,14 +173,14 @@
         job.estimate_s = 60.0;
         cluster.submit(&job, 60.0).await;
         secs(3.0).await;
-        // To it the rented machines are about to come up; to the next planner they do.
-        let planner = cluster.planner_node();
-        cluster.freeze(planner, 40.0).await;
-        assert_ne!(cluster.planner_node(), planner);
+        // To it the rented machines are about to come up; to the next leader they do.
+        let scheduler = cluster.planner_node();
+        cluster.freeze(scheduler, 40.0).await;
+        assert_ne!(cluster.planner_node(), scheduler);
         // And the store is out of its reach for a while yet.
-        cluster.net.cut(NODES[planner], "state");
+        cluster.net.cut(NODES[scheduler], "state");
         secs(4.0).await;
-        cluster.net.heal(NODES[planner], "state");
+        cluster.net.heal(NODES[scheduler], "state");
         secs(5.0).await;
         assert_eq!(cluster.cloud.workers().len(), 4, "none was returned");
         cluster.until_done(&job.id, 120.0).await;
@@ -189,19 +189,19 @@
 }
 
 #[test]
-fn a_planner_that_was_cut_off_from_all_returns_no_machine_when_the_cut_ends() {
+fn a_leader_that_was_cut_off_from_all_returns_no_machine_when_the_cut_ends() {
     for cut_s in [20.0, 45.0] {
         scenario(4, |cluster| async move {
             let mut job = spec(1, 30);
             job.estimate_s = 60.0;
             cluster.submit(&job, 90.0).await;
             secs(5.0).await;
-            let planner = cluster.planner_node();
+            let scheduler = cluster.planner_node();
             // The machines silent, it asks for others meanwhile.
             cluster.cloud.lose_answers.set(true);
-            cluster.net.cut(NODES[planner], "*");
+            cluster.net.cut(NODES[scheduler], "*");
             secs(cut_s).await;
-            assert_ne!(cluster.planner_node(), planner);
+            assert_ne!(cluster.planner_node(), scheduler);
             // It learns at once that its jobs are another's, so that nothing seems to need the
             // machines, and only seconds later that another plans and its lease is lost.
             cluster.store.set_faults(|request| {
@@ -212,7 +212,7 @@
                     Fault::None
                 }
             });
-            cluster.net.heal(NODES[planner], "*");
+            cluster.net.heal(NODES[scheduler], "*");
             secs(3.0).await;
             cluster.store.clear_faults();
             cluster.cloud.lose_answers.set(false);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_zone_with_a_controller_that_is_cut_off_goes_on_or_lapses_and_doubles_nothing() {
+fn a_zone_with_a_controller_that_is_cut_off_goes_on_or_expires_and_doubles_nothing() {
     for planner_inside in [true, false] {
         for long in [LEASE_S - 4.0, LEASE_S + 8.0] {
             scenario(4, |cluster| async move {
@@ -233,8 +233,8 @@
                 cluster.submit(&job, 30.0).await;
                 cluster.submit(&doomed, 300.0).await;
                 secs(5.0).await;
-                let planner = cluster.planner_node();
-                let inside = if planner_inside { planner } else { cluster.others(planner)[0] };
+                let scheduler = cluster.planner_node();
+                let inside = if planner_inside { scheduler } else { cluster.others(scheduler)[0] };
                 let workers = cluster.cloud.workers();
                 let (near, far): (Vec<_>, Vec<_>) =
                     workers.iter().partition(|worker| worker.settings.zone == "z1");
@@ -255,7 +255,7 @@
                 secs(long).await;
                 cuts().for_each(|(a, b)| cluster.net.heal(&a, &b));
                 secs(LEASE_S).await;
-                assert_eq!(cluster.ledger.running(&doomed.id), 0);
+                assert_eq!(cluster.history.running(&doomed.id), 0);
                 cluster.until_done(&job.id, 150.0).await;
             });
         }
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn planners_hand_over_and_back_and_one_returns_within_an_instant() {
+fn leaders_hand_over_and_back_and_one_returns_within_an_instant() {
     for back in [0.05, 0.6, 4.0] {
         scenario(2, |cluster| async move {
             let job = spec(1, 14);
@@ -271,13 +271,13 @@
             secs(5.0).await;
             let machines: Vec<String> =
                 cluster.cloud.workers().iter().map(|w| w.settings.name.clone()).collect();
-            // Twice the workers lose their planner.
+            // Twice the workers lose their leader.
             for _ in 0..2 {
-                let planner = cluster.planner_node();
-                machines.iter().for_each(|machine| cluster.net.cut(NODES[planner], machine));
+                let scheduler = cluster.planner_node();
+                machines.iter().for_each(|machine| cluster.net.cut(NODES[scheduler], machine));
                 secs(LEASE_S).await;
-                assert_ne!(cluster.planner_node(), planner);
-                machines.iter().for_each(|machine| cluster.net.heal(NODES[planner], machine));
+                assert_ne!(cluster.planner_node(), scheduler);
+                machines.iter().for_each(|machine| cluster.net.heal(NODES[scheduler], machine));
                 secs(2.0).await;
             }
             let last = cluster.planner_node();
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn tasks_that_end_far_apart_across_changes_of_the_planner_are_each_counted_once() {
+fn tasks_that_end_far_apart_across_changes_of_the_leader_are_each_counted_once() {
     for seed in 0..4u32 {
         scenario(1, |cluster| async move {
             // Two or three tasks that run one after the other.
@@ -309,8 +309,8 @@
             }
             for round in 0..6u32 {
                 secs(4.0 + f64::from((seed * 7 + round * 5) % 6)).await;
-                let planner = cluster.planner_node();
-                cluster.restart(planner, 0.1 * f64::from(round)).await;
+                let scheduler = cluster.planner_node();
+                cluster.restart(scheduler, 0.1 * f64::from(round)).await;
             }
             for job in &jobs {
                 cluster.until_done(&job.id, 120.0).await;
--- a/crates/corkfield/tests/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/combined_faults/lost_answers.rs
@@ -2,8 +2,10 @@
 
 use crate::cluster::{scenario, secs, spec, Cluster, LEASE_S, NODES};
 use corkfield_fakes::Fault;
-use corkfield_wire::records::{CONTROLLERS, FINALS, JOBS, MACHINES, PLANNER};
-use corkfield_wire::store::{Change, Txn, PATH_TXN};
+use corkfield_wire::records::{
+    CONTROLLERS_PREFIX, FINAL_RECORDS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_RECORDS_PREFIX,
+};
+use corkfield_wire::store::{Change, Transaction, PATH_TXN};
 use corkfield_wire::user::PATH_CANCEL;
 use corkfield_wire::JobStatus;
 use std::cell::Cell;
@@ -18,21 +20,21 @@
     Completion,
     MachineRecord,
     HandOver,
-    Presence,
+    Membership,
 }
 
-fn commits(txn: &Txn, commit: Commit) -> bool {
-    txn.changes.iter().any(|change| {
+fn commits(transaction: &Transaction, commit: Commit) -> bool {
+    transaction.changes.iter().any(|change| {
         let Change::Put { key, value, .. } = change else { return false };
         let status = value["status"].as_str().unwrap_or("");
         match commit {
-            Commit::Acceptance => key.starts_with(JOBS) && value["owner"].is_null(),
-            Commit::Claim => key.starts_with(JOBS) && value["owner"].is_string(),
-            Commit::Cancellation => key.starts_with(FINALS) && status == "aborted",
-            Commit::Completion => key.starts_with(FINALS) && status == "done",
-            Commit::MachineRecord => key.starts_with(MACHINES),
-            Commit::HandOver => key == PLANNER && value["successor"].is_string(),
-            Commit::Presence => key.starts_with(CONTROLLERS),
+            Commit::Acceptance => key.starts_with(JOBS_PREFIX) && value["owner"].is_null(),
+            Commit::Claim => key.starts_with(JOBS_PREFIX) && value["owner"].is_string(),
+            Commit::Cancellation => key.starts_with(FINAL_RECORDS_PREFIX) && status == "aborted",
+            Commit::Completion => key.starts_with(FINAL_RECORDS_PREFIX) && status == "done",
+            Commit::MachineRecord => key.starts_with(MACHINE_RECORDS_PREFIX),
+            Commit::HandOver => key == LEADER_KEY && value["successor"].is_string(),
+            Commit::Membership => key.starts_with(CONTROLLERS_PREFIX),
         }
     })
 }
@@ -46,8 +48,8 @@
         if request.path() != PATH_TXN || counter.get() >= most {
             return Fault::None;
         }
-        let txn: Txn = serde_json::from_slice(&request.body).unwrap_or_default();
-        if !commits(&txn, commit) {
+        let transaction: Transaction = serde_json::from_slice(&request.body).unwrap_or_default();
+        if !commits(&transaction, commit) {
             return Fault::None;
         }
         counter.set(counter.get() + 1);
@@ -64,13 +66,13 @@
         Commit::Claim,
         Commit::Completion,
         Commit::MachineRecord,
-        Commit::Presence,
+        Commit::Membership,
     ];
     for commit in commits {
         for most in [1, 4] {
             scenario(3, |cluster| async move {
                 let lost = lose_answers(&cluster, commit, most);
-                if commit == Commit::Presence || commit == Commit::MachineRecord {
+                if commit == Commit::Membership || commit == Commit::MachineRecord {
                     cluster.restart(cluster.planner_node(), 0.2).await;
                     let machine = cluster.cloud.add("z1", false, 0.1);
                     secs(1.0).await;
@@ -103,21 +105,21 @@
 }
 
 #[test]
-fn a_hand_over_without_an_answer_leaves_one_planner() {
+fn a_hand_over_without_an_answer_leaves_one_leader() {
     scenario(3, |cluster| async move {
         let job = spec(1, 20);
         cluster.submit(&job, 14.0).await;
         secs(4.0).await;
         let lost = lose_answers(&cluster, Commit::HandOver, 2);
-        let planner = cluster.planner_node();
+        let scheduler = cluster.planner_node();
         for worker in cluster.cloud.workers() {
-            cluster.net.cut(NODES[planner], &worker.settings.name);
+            cluster.net.cut(NODES[scheduler], &worker.settings.name);
         }
         secs(LEASE_S).await;
         assert!(lost.get() >= 1, "no answer to a hand-over was lost");
-        assert_ne!(cluster.planner_node(), planner);
+        assert_ne!(cluster.planner_node(), scheduler);
         for worker in cluster.cloud.workers() {
-            cluster.net.heal(NODES[planner], &worker.settings.name);
+            cluster.net.heal(NODES[scheduler], &worker.settings.name);
         }
         cluster.until_done(&job.id, 90.0).await;
     });
@@ -154,6 +156,6 @@
             assert_eq!(cluster.ask_about(node, &job.id, None).await, told);
         }
         secs(4.0).await;
-        assert_eq!(cluster.ledger.running(&job.id), 0);
+        assert_eq!(cluster.history.running(&job.id), 0);
     });
 }
--- a/crates/corkfield/tests/combined_faults/machines.rs
+++ b/crates/corkfield/tests/combined_faults/machines.rs
@@ -4,8 +4,8 @@
 use corkfield_wire::{JobStatus, Priority};
 
 #[test]
-fn workers_that_reach_no_controller_lapse_and_obey_direct_orders_meanwhile() {
-    for (all, take_over) in [(false, false), (false, true), (true, false), (true, true)] {
+fn workers_that_reach_no_controller_expire_and_obey_direct_orders_meanwhile() {
+    for (all, failover) in [(false, false), (false, true), (true, false), (true, true)] {
         scenario(3, |cluster| async move {
             let (job, doomed) = (spec(1, 14), spec(2, 6));
             cluster.submit(&job, 25.0).await;
@@ -18,12 +18,12 @@
             mute.iter().for_each(|worker| worker.mute.set(true));
             secs(1.0).await;
             cluster.cancel(&doomed.id).await;
-            if take_over {
-                let planner = cluster.planner_node();
-                cluster.restart(planner, 0.3).await;
+            if failover {
+                let scheduler = cluster.planner_node();
+                cluster.restart(scheduler, 0.3).await;
             } else {
                 secs(2.5).await;
-                assert_eq!(cluster.ledger.running(&doomed.id), 0, "direct orders reach them");
+                assert_eq!(cluster.history.running(&doomed.id), 0, "direct orders reach them");
             }
             secs(LEASE_S + 8.0).await;
             mute.iter().for_each(|worker| worker.mute.set(false));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_limit_is_kept_while_planners_change_machines_are_silent_and_a_job_is_cancelled() {
+fn a_limit_is_kept_while_leaders_change_machines_are_silent_and_a_job_is_cancelled() {
     for (hung_s, when) in [(4.0, 0.5), (9.0, 2.0), (LEASE_S + 3.0, 0.0), (LEASE_S - 1.0, 5.0)] {
         scenario(4, |cluster| async move {
             let capped = |number: u32, tasks: u32, cpus: f64| {
@@ -50,8 +50,8 @@
             let worker = cluster.worker_of(&task(&second, 0));
             worker.set_hung(true);
             cluster.cloud.down.set(true);
-            let planner = cluster.planner_node();
-            cluster.restart(planner, 0.3).await;
+            let scheduler = cluster.planner_node();
+            cluster.restart(scheduler, 0.3).await;
             secs(when).await;
             // What is cancelled counts until it is surely gone.
             cluster.cancel(&second.id).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn work_that_nobody_began_waits_for_no_silent_machine_after_a_take_over() {
+fn work_that_nobody_began_waits_for_no_silent_machine_after_a_failover() {
     scenario(4, |cluster| async move {
         let (long, next) = (spec(1, 32), spec(2, 10));
         cluster.submit(&long, 300.0).await;
@@ -100,8 +100,8 @@
         cluster.cloud.down.set(true);
         let worker = cluster.worker_of(&task(&long, 0));
         worker.deaf.set(true);
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.2).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.2).await;
         cluster.cancel(&long.id).await;
         let waited = cluster.until_done(&next.id, 60.0).await;
         assert!(waited < 14.0, "{waited} s: no longer than if all machines had answered");
@@ -121,12 +121,12 @@
             cluster.submit(&together, 6.0).await;
             cluster.submit(&apart, 20.0).await;
             secs(4.0 + f64::from(seed)).await;
-            // Two of its machines are silent in the take-over.
+            // Two of its machines are silent in the failover.
             let silent =
                 [cluster.worker_of(&task(&together, 0)), cluster.worker_of(&task(&apart, 0))];
             silent.iter().for_each(|worker| worker.set_hung(true));
-            let planner = cluster.planner_node();
-            cluster.restart(planner, 0.3).await;
+            let scheduler = cluster.planner_node();
+            cluster.restart(scheduler, 0.3).await;
             secs(7.0).await;
             silent.iter().for_each(|worker| worker.set_hung(false));
             secs(4.0).await;
@@ -157,14 +157,14 @@
             }
             cluster.submit(&job, 5.0).await;
         }
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.5).await;
-        let begun = tokio::time::Instant::now();
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.5).await;
+        let started = tokio::time::Instant::now();
         for job in &urgent {
             cluster.until_done(&job.id, 120.0).await;
         }
         // A quarter of the work, and less.
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         assert!(seconds < 24.0, "{seconds} s");
         for number in 1..=12 {
             cluster.until_done(&spec(number, 8).id, 400.0).await;
@@ -183,17 +183,17 @@
                 let doomed = spec(number, 3);
                 cluster.submit(&doomed, 200.0).await;
                 secs(2.5).await;
-                let planner = cluster.planner_node();
+                let scheduler = cluster.planner_node();
                 let name = &workers[number as usize % 2].settings.name;
-                cluster.net.cut(NODES[planner], name);
+                cluster.net.cut(NODES[scheduler], name);
                 secs(0.2).await;
                 assert_eq!(cluster.cancel(&doomed.id).await, Some(JobStatus::Cancelled));
                 secs(held_s).await;
-                cluster.net.heal(NODES[planner], name);
+                cluster.net.heal(NODES[scheduler], name);
             }
             cluster.until_done(&stream.id, 200.0).await;
             secs(LEASE_S).await;
-            assert!((2..8).all(|number| cluster.ledger.running(&spec(number, 3).id) == 0));
+            assert!((2..8).all(|number| cluster.history.running(&spec(number, 3).id) == 0));
         });
     }
 }
--- a/crates/corkfield/tests/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/combined_faults/many_small_jobs.rs
@@ -2,8 +2,8 @@
 
 use crate::cluster::{scenario, secs, spec, Cluster};
 use corkfield_fakes::{Fault, Plan};
-use corkfield_wire::records::{machine_key, JOBS};
-use corkfield_wire::store::{Txn, PATH_TXN};
+use corkfield_wire::records::{machine_key, JOBS_PREFIX};
+use corkfield_wire::store::{Transaction, PATH_TXN};
 use corkfield_wire::{JobSpec, JobStatus};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -31,8 +31,9 @@
         let counter = changes.clone();
         cluster.store.set_faults(move |request| {
             if request.path() == PATH_TXN {
-                let txn: Txn = serde_json::from_slice(&request.body).unwrap_or_default();
-                counter.set(counter.get() + txn.changes.len());
+                let transaction: Transaction =
+                    serde_json::from_slice(&request.body).unwrap_or_default();
+                counter.set(counter.get() + transaction.changes.len());
             }
             Fault::None
         });
@@ -59,7 +60,11 @@
         let per_job = changes.get() as f64 / f64::from(JOBS_IN_ALL);
         assert!(per_job < 5.9, "{per_job} changes a job");
         secs(2.0).await;
-        assert_eq!(cluster.store.keys(JOBS), Vec::<String>::new(), "no record is left behind");
+        assert_eq!(
+            cluster.store.keys(JOBS_PREFIX),
+            Vec::<String>::new(),
+            "no record is left behind"
+        );
         for number in 0..JOBS_IN_ALL {
             let status = cluster.status(&spec(1000 + number, 1).id).await;
             assert!(status.is_some_and(JobStatus::is_final), "{status:?}");
@@ -67,12 +72,12 @@
     });
 }
 
-/// No task may be on a machine that the next planner doesn't know.
+/// No task may be on a machine that the next leader doesn't know.
 fn assert_recorded(cluster: &Cluster) {
     for worker in cluster.cloud.workers() {
         let name = &worker.settings.name;
         let recorded = cluster.store.get(&machine_key(name)).is_some();
-        assert!(recorded || cluster.ledger.starts_on(name) == 0, "{name} has no record");
+        assert!(recorded || cluster.history.starts_on(name) == 0, "{name} has no record");
     }
 }
 
@@ -95,16 +100,16 @@
             for worker in cluster.cloud.workers() {
                 cluster.cloud.take(&worker.settings.name);
             }
-            // The planner notices, rents anew, and ends as soon as the new ones get work.
+            // The leader notices, rents anew, and ends as soon as the new ones get work.
             let mut restarted = false;
             for round in 0..400 {
                 secs(0.05).await;
                 assert_recorded(&cluster);
-                let rented = cluster.cloud.rentals.get() > 0;
-                if rented && !restarted && f64::from(round) * 0.05 > 8.0 + restart_s {
+                let rental_answered = cluster.cloud.rentals.get() > 0;
+                if rental_answered && !restarted && f64::from(round) * 0.05 > 8.0 + restart_s {
                     restarted = true;
-                    if let Some((planner, _)) = cluster.planner() {
-                        cluster.restart(planner, 0.2).await;
+                    if let Some((scheduler, _)) = cluster.scheduler() {
+                        cluster.restart(scheduler, 0.2).await;
                     }
                 }
             }
--- a/crates/corkfield/tests/combined_faults/messages.rs
+++ b/crates/corkfield/tests/combined_faults/messages.rs
@@ -3,13 +3,13 @@
 use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
 use corkfield_fakes::Fault;
 use corkfield_wire::store::PATH_TXN;
-use corkfield_wire::worker::PATH_REPORT;
+use corkfield_wire::worker::PATH_HEARTBEAT;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
 
 #[test]
-fn a_report_held_back_until_a_new_planner_has_acted_proves_nothing() {
+fn a_heartbeat_held_back_until_a_new_leader_has_acted_proves_nothing() {
     for held_s in [3.0, 9.0, 16.0, 30.0, 45.0] {
         scenario(3, |cluster| async move {
             let job = spec(1, 20);
@@ -18,13 +18,13 @@
             let worker = cluster.worker_of(&task(&job, 0));
             let name = worker.settings.name.clone();
             cluster.cloud.down.set(true);
-            // Its reports to each controller are under way when the planner ends.
+            // Its reports to each controller are under way when the leader ends.
             for node in NODES {
                 cluster.net.cut(&name, node);
             }
             secs(1.0).await;
-            let planner = cluster.planner_node();
-            cluster.restart(planner, 0.4).await;
+            let scheduler = cluster.planner_node();
+            cluster.restart(scheduler, 0.4).await;
             secs(held_s).await;
             for node in NODES {
                 cluster.net.heal(&name, node);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn old_reports_after_newer_ones_lose_no_task_and_start_none_twice() {
+fn old_heartbeats_after_newer_ones_lose_no_task_and_start_none_twice() {
     for seed in 0..3 {
         scenario(3, |cluster| async move {
             let mut rng = SmallRng::seed_from_u64(seed);
@@ -52,10 +52,10 @@
                     continue;
                 };
                 // Of this session, of an earlier one, of an earlier attempt.
-                let sent = worker.sent_reports();
+                let sent = worker.sent_heartbeats();
                 if let Some(copy) = sent.get(rng.random_range(0..sent.len().max(1))) {
                     let n = rng.random_range(0..NODES.len());
-                    cluster.ask(n, "POST", PATH_REPORT, copy).await;
+                    cluster.ask(n, "POST", PATH_HEARTBEAT, copy).await;
                 }
                 match round {
                     40 => {
@@ -68,8 +68,8 @@
                         });
                     }
                     90 => {
-                        let planner = cluster.planner_node();
-                        cluster.restart(planner, 0.2).await;
+                        let scheduler = cluster.planner_node();
+                        cluster.restart(scheduler, 0.2).await;
                     }
                     _ => {}
                 }
@@ -101,21 +101,21 @@
             let doomed = spec(9, 6);
             cluster.submit(&doomed, 300.0).await;
             // A hand-over, a crash and a cancellation among them.
-            let planner = cluster.planner_node();
+            let scheduler = cluster.planner_node();
             let machines: Vec<String> =
                 cluster.cloud.workers().iter().map(|w| w.settings.name.clone()).collect();
-            machines.iter().for_each(|machine| cluster.net.cut(NODES[planner], machine));
+            machines.iter().for_each(|machine| cluster.net.cut(NODES[scheduler], machine));
             secs(LEASE_S - 1.0).await;
-            machines.iter().for_each(|machine| cluster.net.heal(NODES[planner], machine));
+            machines.iter().for_each(|machine| cluster.net.heal(NODES[scheduler], machine));
             cluster.cancel(&doomed.id).await;
-            let planner = cluster.planner_node();
-            cluster.restart(planner, 0.3).await;
+            let scheduler = cluster.planner_node();
+            cluster.restart(scheduler, 0.3).await;
             for job in &jobs {
                 cluster.until_done(&job.id, 250.0).await;
             }
             cluster.store.clear_faults();
             secs(14.0).await;
-            assert_eq!(cluster.ledger.running(&doomed.id), 0);
+            assert_eq!(cluster.history.running(&doomed.id), 0);
             for job in &jobs {
                 cluster.until_done(&job.id, 5.0).await;
             }
--- a/crates/corkfield/tests/combined_faults/users.rs
+++ b/crates/corkfield/tests/combined_faults/users.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{scenario, secs, spec, NODES};
 use corkfield_fakes::Fault;
-use corkfield_wire::store::{Txn, PATH_TXN};
+use corkfield_wire::store::{Transaction, PATH_TXN};
 use corkfield_wire::user::PATH_CANCEL;
 use corkfield_wire::{JobSpec, Priority};
 use std::cell::Cell;
@@ -53,8 +53,8 @@
                 }));
                 secs(0.3).await;
                 if planner_ends && number == 12 {
-                    let planner = cluster.planner_node();
-                    cluster.restart(planner, 0.2).await;
+                    let scheduler = cluster.planner_node();
+                    cluster.restart(scheduler, 0.2).await;
                 }
             }
             for asked in asking {
@@ -102,8 +102,9 @@
         let counted = writes.clone();
         cluster.store.set_faults(move |request| {
             if request.path() == PATH_TXN {
-                let txn: Txn = serde_json::from_slice(&request.body).unwrap_or_default();
-                counted.set(counted.get() + txn.changes.len());
+                let transaction: Transaction =
+                    serde_json::from_slice(&request.body).unwrap_or_default();
+                counted.set(counted.get() + transaction.changes.len());
             }
             Fault::None
         });
@@ -121,7 +122,7 @@
         for job in swarm.iter().chain(&usual).chain([&urgent]) {
             cluster.submit(job, 2.0).await;
         }
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let (asked, late) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         for round in 0..150usize {
             for job in swarm.iter().chain(&usual).skip(round % 5).step_by(5) {
@@ -142,7 +143,7 @@
         for job in swarm.iter().chain(&usual).chain([&huge, &spare]) {
             cluster.until_done(&job.id, 240.0).await;
         }
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         assert!(seconds < 240.0, "{seconds} s");
         assert!(late.get() * 50 < asked.get(), "{} of {} in vain", late.get(), asked.get());
         // A tiny job is accepted, claimed and ended; what else it costs is less than that.
--- a/crates/corkfield/tests/fleet/large.rs
+++ b/crates/corkfield/tests/fleet/large.rs
@@ -20,15 +20,15 @@
 
 /// Waits until so many tasks were started.
 async fn until_started(cluster: &Cluster, starts: u32, limit_s: f64) {
-    let begun = tokio::time::Instant::now();
-    while cluster.ledger.starts_in_all() < starts {
-        let waited = begun.elapsed().as_secs_f64();
-        assert!(waited < limit_s, "{} of {starts} starts", cluster.ledger.starts_in_all());
+    let started = tokio::time::Instant::now();
+    while cluster.history.starts_in_all() < starts {
+        let waited = started.elapsed().as_secs_f64();
+        assert!(waited < limit_s, "{} of {starts} starts", cluster.history.starts_in_all());
         secs(0.5).await;
     }
 }
 
-/// Machines come up, jobs are called off, the planner ends while a part of the machines is silent,
+/// Machines come up, jobs are called off, the leader ends while a part of the machines is silent,
 /// and all other jobs are done: no worker loses its lease, and nothing is started twice.
 fn comes_up_and_is_taken_over(machines: usize) {
     scenario_with(grants(machines), 16, |cluster| async move {
@@ -53,8 +53,8 @@
             cluster.until_done(&job.id, 60.0).await;
             cluster.assert_started_once(job, "no lease ran out");
         }
-        let sessions = cluster.cloud.workers().iter().map(|worker| worker.session()).max();
-        assert_eq!(sessions, Some(1), "no lease ran out");
+        let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
+        assert_eq!(agent_epochs, Some(1), "no lease ran out");
         secs(CANCEL_S).await;
     });
 }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn hundreds_of_jobs_are_claimed_in_few_transactions_after_a_take_over() {
+fn hundreds_of_jobs_are_claimed_in_few_transactions_after_a_failover() {
     let grants = Grants { state_rps: 300.0, write_rps: 120.0, ..grants(1700) };
     scenario_with(grants, 20, |cluster| async move {
         // More than the machines can do: nearly all of them wait.
@@ -78,12 +78,12 @@
         for job in &jobs {
             cluster.submit(job, 60.0).await;
         }
-        let (_, term_before) = cluster.planner().expect("somebody plans");
+        let (_, term_before) = cluster.scheduler().expect("somebody plans");
         cluster.restart(cluster.planner_node(), 0.3).await;
-        while cluster.planner().is_none_or(|(_, term)| term == term_before) {
+        while cluster.scheduler().is_none_or(|(_, term)| term == term_before) {
             secs(0.1).await;
         }
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let claims = Rc::new(Cell::new(0));
         let counted = claims.clone();
         cluster.store.set_faults(move |request| {
@@ -92,9 +92,9 @@
             counted.set(counted.get() + u32::from(is_claim && body.contains("\"put\":\"c/jobs/")));
             Fault::None
         });
-        let (planner, _) = cluster.planner().expect("somebody plans");
+        let (scheduler, _) = cluster.scheduler().expect("somebody plans");
         loop {
-            let view = cluster.ask(planner, "GET", "/operator/overview", b"").await;
+            let view = cluster.ask(scheduler, "GET", "/operator/overview", b"").await;
             let view: serde_json::Value =
                 serde_json::from_slice(&view.expect("an answer").1).expect("an overview");
             let claimed = view["planning"]["jobs"].as_u64();
@@ -105,7 +105,7 @@
         }
         // The changes that may be written a second set the time; four records at a time would
         // take 200 transactions besides.
-        let took = begun.elapsed().as_secs_f64();
+        let took = started.elapsed().as_secs_f64();
         assert!(took < 12.0, "{took}");
         assert!(claims.get() < 120, "{}", claims.get());
     });
--- a/crates/corkfield/tests/fleet/mod.rs
+++ b/crates/corkfield/tests/fleet/mod.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{scenario_with, secs, spec, Cluster, Grants, NODES};
 use corkfield_fakes::Fault;
 use corkfield_http::Network;
-use corkfield_wire::store::{Txn, PATH_TXN};
+use corkfield_wire::store::{Transaction, PATH_TXN};
 use corkfield_wire::user::PATH_JOBS;
 use corkfield_wire::JobSpec;
 use std::cell::Cell;
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 
-const MACHINES: usize = 1700;
+const MACHINE_RECORDS_PREFIX: usize = 1700;
 const GRANTS: Grants =
     Grants { state_rps: 500.0, write_rps: 200.0, cloud_rps: 12.0, sockets: 3900 };
 
 /// Requests to the state service and changes in them, calls of the cloud, machines and tasks
-/// looked at in planning passes.
+/// looked at in placement passes.
 #[derive(Debug, Clone, Copy)]
 struct Counts {
     requests: u32,
@@ -40,15 +40,18 @@
         cluster.store.set_faults(move |request| {
             counted.0.set(counted.0.get() + 1);
             if request.path() == PATH_TXN {
-                let txn: Txn = serde_json::from_slice(&request.body).unwrap_or_default();
-                counted.1.set(counted.1.get() + u32::try_from(txn.changes.len()).unwrap_or(0));
+                let transaction: Transaction =
+                    serde_json::from_slice(&request.body).unwrap_or_default();
+                counted
+                    .1
+                    .set(counted.1.get() + u32::try_from(transaction.changes.len()).unwrap_or(0));
             }
             Fault::None
         });
         Self { cluster: cluster.clone(), requests, changes }
     }
 
-    /// Counts since the last call; steps since the planner took over.
+    /// Counts since the last call; steps since the leader took over.
     async fn take(&self) -> Counts {
         let node = self.cluster.planner_node();
         let view = self.cluster.ask(node, "GET", "/operator/overview", b"").await;
@@ -66,36 +69,36 @@
 #[test]
 fn a_fleet_comes_up_is_taken_over_and_loses_a_third_within_its_limits() {
     scenario_with(GRANTS, 16, |cluster| async move {
-        cluster.cloud.capacity.set(MACHINES);
+        cluster.cloud.capacity.set(MACHINE_RECORDS_PREFIX);
         let counter = Counter::new(&cluster);
         let jobs: Vec<_> = (1..=6).map(|n| JobSpec { estimate_s: 20.0, ..spec(n, 3000) }).collect();
         for job in &jobs {
             cluster.submit(job, 20.0).await;
         }
-        let begun = tokio::time::Instant::now();
-        while cluster.ledger.starts_in_all() < 12_000 {
+        let started = tokio::time::Instant::now();
+        while cluster.history.starts_in_all() < 12_000 {
             secs(0.5).await;
             assert!(
-                begun.elapsed().as_secs_f64() < 30.0,
+                started.elapsed().as_secs_f64() < 30.0,
                 "{} starts",
-                cluster.ledger.starts_in_all()
+                cluster.history.starts_in_all()
             );
         }
         // 34 rentals, a record for each machine, a write for each job's next first starts.
         let ramp = counter.take().await;
         assert!(ramp.calls < 120 && ramp.requests < 500 && ramp.changes < 2500, "{ramp:?}");
         assert!(ramp.steps < 400_000, "{ramp:?}");
-        // A part of the machines is silent when the planner is replaced.
+        // A part of the machines is silent when the leader is replaced.
         let spot = cluster.cloud.workers().into_iter().filter(|worker| worker.settings.spot);
         let hung: Vec<_> = spot.step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
-        let before = cluster.ledger.starts_in_all();
+        let before = cluster.history.starts_in_all();
         cluster.restart(cluster.planner_node(), 0.3).await;
         secs(6.0).await;
         let taken = counter.take().await;
         assert!(taken.requests < 200 && taken.changes < 600, "{taken:?}");
         assert!(taken.steps < 300_000, "{taken:?}");
-        assert!(cluster.ledger.starts_in_all() > before + 500, "the others are not waited for");
+        assert!(cluster.history.starts_in_all() > before + 500, "the others are not waited for");
         hung.iter().for_each(|worker| worker.set_hung(false));
         secs(3.0).await;
         assert!(hung.iter().all(|worker| !worker.dead.get()), "too many to be given up");
@@ -112,7 +115,10 @@
         // Every worker's, a share for direct orders, and few besides.
         for node in NODES {
             let most = cluster.net.most_open(node);
-            assert!(most < MACHINES + GRANTS.sockets as usize * 24 / 100, "{node}: {most}");
+            assert!(
+                most < MACHINE_RECORDS_PREFIX + GRANTS.sockets as usize * 24 / 100,
+                "{node}: {most}"
+            );
         }
     });
 }
@@ -131,10 +137,10 @@
         cluster.net.reset_most_open();
         let open_before = NODES.map(|node| cluster.net.open_now(node));
         secs(14.0).await;
-        let planner = cluster.planner_node();
-        assert_ne!(planner, old);
+        let scheduler = cluster.planner_node();
+        assert_ne!(scheduler, old);
         // 66 questions at a time; the store, the cloud and the other controller were open before.
-        let most = cluster.net.most_open(NODES[planner]) - open_before[planner];
+        let most = cluster.net.most_open(NODES[scheduler]) - open_before[scheduler];
         assert!(most < 75, "{most}");
     });
 }
@@ -147,15 +153,15 @@
         let job = spec(1, 5000);
         cluster.submit(&job, 40.0).await;
         secs(30.0).await;
-        let sessions = cluster.cloud.workers().iter().map(|worker| worker.session()).max();
-        assert_eq!(sessions, Some(1), "no lease ran out");
+        let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
+        assert_eq!(agent_epochs, Some(1), "no lease ran out");
         cluster.until_done(&job.id, 60.0).await;
-        assert_eq!(cluster.ledger.starts_in_all(), job.tasks, "nothing is started again");
+        assert_eq!(cluster.history.starts_in_all(), job.tasks, "nothing is started again");
     });
 }
 
 #[test]
-fn bad_and_excessive_requests_in_a_take_over_harm_neither_workers_nor_users() {
+fn bad_and_excessive_requests_in_a_failover_harm_neither_workers_nor_users() {
     let grants = Grants { sockets: 300, ..GRANTS };
     scenario_with(grants, 60, |cluster| async move {
         let job = spec(1, 300);
@@ -183,13 +189,13 @@
         secs(2.0).await;
         let path = format!("{PATH_JOBS}/{}", job.id);
         for node in 0..NODES.len() {
-            let begun = tokio::time::Instant::now();
+            let started = tokio::time::Instant::now();
             let answer = cluster.ask(node, "GET", &path, b"").await.map(|(status, _)| status);
             assert!(matches!(answer, Some(200 | 503)), "node {node}: {answer:?}");
-            assert!(begun.elapsed().as_secs_f64() < 2.0, "never held back");
+            assert!(started.elapsed().as_secs_f64() < 2.0, "never held back");
         }
         cluster.until_done(&job.id, 60.0).await;
-        assert_eq!(cluster.ledger.starts_in_all(), 300, "no worker lost its lease");
+        assert_eq!(cluster.history.starts_in_all(), 300, "no worker lost its lease");
         drop(held);
     });
 }
--- a/crates/corkfield/tests/message_faults/mod.rs
+++ b/crates/corkfield/tests/message_faults/mod.rs
@@ -3,10 +3,10 @@
 
 use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
 use corkfield_fakes::{Fault, Plan};
-use corkfield_wire::records::MACHINES;
+use corkfield_wire::records::MACHINE_RECORDS_PREFIX;
 use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::{JobView, PATH_CANCEL, PATH_JOBS};
-use corkfield_wire::worker::PATH_REPORT;
+use corkfield_wire::worker::PATH_HEARTBEAT;
 use corkfield_wire::JobStatus;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,19 +23,19 @@
             cluster.submit(job, 4.0).await;
         }
         secs(45.0).await;
-        assert_eq!(cluster.ledger.starts_on(&name), 0);
+        assert_eq!(cluster.history.starts_on(&name), 0);
         let in_vain = cluster.lost_starts(&name);
         assert!(in_vain <= 2 * 8, "{in_vain} starts were sent in vain");
         deaf.deaf.set(false);
         for job in &jobs {
             cluster.until_done(&job.id, 200.0).await;
         }
-        assert!(cluster.ledger.starts_on(&name) > 0, "it is used again");
+        assert!(cluster.history.starts_on(&name) > 0, "it is used again");
     });
 }
 
 #[test]
-fn a_machine_that_hears_nothing_holds_up_no_take_over_for_good() {
+fn a_machine_that_hears_nothing_holds_up_no_failover_for_good() {
     scenario(3, |cluster| async move {
         let job = spec(1, 48);
         cluster.submit(&job, 15.0).await;
@@ -44,15 +44,15 @@
         deaf.deaf.set(true);
         // It can't be returned either.
         cluster.cloud.down.set(true);
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.2).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.2).await;
         // The answer limit, a worker's lease, and the rest of the work.
         cluster.until_done(&job.id, 100.0).await;
     });
 }
 
 #[test]
-fn late_copies_of_reports_prove_nothing_and_bring_nothing_back() {
+fn late_copies_of_heartbeats_prove_nothing_and_bring_nothing_back() {
     scenario(3, |cluster| async move {
         let job = spec(1, 24);
         cluster.submit(&job, 4.0).await;
@@ -62,18 +62,18 @@
         cluster.cloud.take(&name);
         // Long enough for the list to tell.
         secs(20.0).await;
-        let copies = gone.sent_reports();
-        let record = format!("{MACHINES}{name}");
+        let copies = gone.sent_heartbeats();
+        let record = format!("{MACHINE_RECORDS_PREFIX}{name}");
         for restart in [false, true] {
             if restart {
-                // A planner that never saw the machine.
-                let planner = cluster.planner_node();
-                cluster.restart(planner, 0.1).await;
+                // A leader that never saw the machine.
+                let scheduler = cluster.planner_node();
+                cluster.restart(scheduler, 0.1).await;
                 secs(5.0).await;
             }
             for copy in &copies {
                 for node in 0..NODES.len() {
-                    cluster.ask(node, "POST", PATH_REPORT, copy).await;
+                    cluster.ask(node, "POST", PATH_HEARTBEAT, copy).await;
                 }
             }
             let next = spec(if restart { 3 } else { 2 }, 32);
@@ -91,17 +91,17 @@
         let job = spec(1, 30);
         cluster.submit(&job, 20.0).await;
         secs(6.0).await;
-        let lost = cluster.ledger.machine_of(&task(&job, 0)).expect("running");
+        let lost = cluster.history.machine_of(&task(&job, 0)).expect("running");
         let worker = cluster.cloud.worker(&lost).expect("a worker");
-        let old = worker.sent_reports();
+        let old = worker.sent_heartbeats();
         worker.restart();
         secs(0.5).await;
         for copy in &old {
-            cluster.ask(cluster.planner_node(), "POST", PATH_REPORT, copy).await;
+            cluster.ask(cluster.planner_node(), "POST", PATH_HEARTBEAT, copy).await;
         }
         cluster.until_done(&job.id, LEASE_S + 60.0).await;
         // Its tasks did not wait for a lease to lapse.
-        let starts = cluster.ledger.starts_in_all();
+        let starts = cluster.history.starts_in_all();
         assert!(starts <= 30 + 8, "{starts} starts");
         let there = cluster.cloud.worker(&lost);
         assert!(there.is_none(), "the machine was returned");
@@ -134,9 +134,9 @@
         cluster.store.set_faults(move |request| {
             counted.0.set(counted.0.get() + 1);
             if request.target == PATH_TXN {
-                let txn: serde_json::Value =
+                let transaction: serde_json::Value =
                     serde_json::from_slice(&request.body).unwrap_or_default();
-                let changes = txn["then"].as_array().map_or(0, Vec::len);
+                let changes = transaction["then"].as_array().map_or(0, Vec::len);
                 counted.1.set(counted.1.get() + u32::try_from(changes).unwrap_or(0));
             }
             Fault::None
@@ -149,7 +149,7 @@
             view["planning"]["passes"].as_u64().expect("it plans")
         };
         let before = passes().await;
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let jobs: Vec<_> = (1..=3).map(|n| spec(n, 3000)).collect();
         for job in &jobs {
             cluster.submit(job, 6.0).await;
@@ -157,7 +157,7 @@
         for job in &jobs {
             cluster.until_done(&job.id, 90.0).await;
         }
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         let (passes, requests, writes) = (passes().await - before, requests.get(), writes.get());
         // 9,000 tasks on 2,400 CPUs, 6 s each, on machines that report twice a second.
         assert!(seconds < 60.0, "{seconds} s");
@@ -165,7 +165,7 @@
         assert!(requests < 700, "{requests} requests");
         // Settling is written by job, not by task.
         assert!(writes < 300, "{writes} writes");
-        assert_eq!(cluster.ledger.starts_in_all(), 9000);
+        assert_eq!(cluster.history.starts_in_all(), 9000);
     });
 }
 
@@ -199,10 +199,10 @@
                 let (in_time, node) = (in_time.clone(), poll % NODES.len());
                 asked.set(asked.get() + 1);
                 tokio::task::spawn_local(async move {
-                    let begun = tokio::time::Instant::now();
+                    let started = tokio::time::Instant::now();
                     let answer = cluster.ask(node, "GET", &path, b"").await;
                     let ok = answer.is_some_and(|(status, _)| status == 200);
-                    if ok && begun.elapsed().as_secs_f64() < 2.0 {
+                    if ok && started.elapsed().as_secs_f64() < 2.0 {
                         in_time.set(in_time.get() + 1);
                     }
                 });
@@ -223,7 +223,7 @@
         cluster.submit(&cancelled, 30.0).await;
         cluster.until_done(&done.id, 30.0).await;
         assert_eq!(cluster.cancel(&cancelled.id).await, Some(JobStatus::Cancelled));
-        let starts = cluster.ledger.starts_in_all();
+        let starts = cluster.history.starts_in_all();
         for node in 0..NODES.len() {
             for body in &bodies {
                 let answer = cluster.ask(node, "POST", PATH_JOBS, body).await;
@@ -238,7 +238,7 @@
         secs(10.0).await;
         assert_eq!(cluster.status(&cancelled.id).await, Some(JobStatus::Cancelled));
         assert_eq!(cluster.status(&done.id).await, Some(JobStatus::Done));
-        assert_eq!(cluster.ledger.starts_in_all(), starts, "nothing starts for a copy");
+        assert_eq!(cluster.history.starts_in_all(), starts, "nothing starts for a copy");
     });
 }
 
@@ -249,8 +249,8 @@
             let job = spec(1, 60);
             cluster.submit(&job, 6.0).await;
             secs(4.0).await;
-            let planner = cluster.planner_node();
-            let alone = if planning { planner } else { (planner + 1) % NODES.len() };
+            let scheduler = cluster.planner_node();
+            let alone = if planning { scheduler } else { (scheduler + 1) % NODES.len() };
             for other in ["state", "cloud"].into_iter().chain(NODES) {
                 if other != NODES[alone] {
                     cluster.net.cut(NODES[alone], other);
@@ -264,7 +264,7 @@
             let path = format!("{PATH_JOBS}/{}", job.id);
             let answer = cluster.ask(alone, "GET", &path, b"").await;
             assert_eq!(answer.map(|(status, _)| status), Some(503));
-            // Its workers are heard by the others: the new planner's fence reaches them (S7), and
+            // Its workers are heard by the others: the new leader's fence reaches them (S7), and
             // even if it didn't, it may not answer them for long (S6). Either is enough here.
             let others = (0..NODES.len()).filter(|n| *n != alone).collect::<Vec<_>>();
             let mut done = false;
@@ -294,14 +294,14 @@
         });
         // Their first 128 tasks may begin at once; the others wait for a write of each record.
         let jobs: Vec<_> = (1..=40).map(|n| spec(n, 200)).collect();
-        let begun = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         for job in &jobs {
             cluster.submit(job, 2.0).await;
         }
         for job in &jobs {
             cluster.until_done(&job.id, 200.0).await;
         }
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         // 8,000 tasks of 2 s on 480 CPUs, claims of 0.9 s; 90 s with one write after another.
         assert!(seconds < 75.0, "{seconds} s");
     });
--- a/crates/corkfield/tests/scenarios.rs
+++ b/crates/corkfield/tests/scenarios.rs
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn one_of_three_wins_the_planner_record_and_each_job_is_claimed_once() {
+fn one_of_three_wins_the_leader_record_and_each_job_is_claimed_once() {
     scenario(1, |cluster| async move {
-        assert_eq!(cluster.planner().expect("somebody plans").1, 1, "one claim, one term");
+        assert_eq!(cluster.scheduler().expect("somebody plans").1, 1, "one claim, one term");
         let job = spec(1, 4);
         cluster.submit(&job, 20.0).await;
         secs(3.0).await;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_claim_of_the_planner_record_whose_answer_is_lost_leaves_no_gap() {
+fn a_claim_of_the_leader_record_whose_answer_is_lost_leaves_no_gap() {
     scenario(1, |cluster| async move {
         let lost = Cell::new(0);
         cluster.store.set_faults(move |request| {
@@ -62,8 +62,8 @@
                 Fault::None
             }
         });
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.5).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.5).await;
         secs(8.0).await;
         let job = spec(1, 2);
         cluster.submit(&job, 2.0).await;
@@ -94,7 +94,7 @@
         }
         for job in &jobs {
             cluster.until_done(&job.id, 60.0).await;
-            assert_eq!(cluster.ledger.started(&task(job, 0)), 1, "nothing was started again");
+            assert_eq!(cluster.history.started(&task(job, 0)), 1, "nothing was started again");
         }
     });
 }
@@ -105,7 +105,7 @@
         let job = spec(1, 40);
         cluster.submit(&job, 5.0).await;
         secs(3.0).await;
-        let (planner, term) = cluster.planner().expect("somebody plans");
+        let (scheduler, term) = cluster.scheduler().expect("somebody plans");
         // Settling writes are under way when their writer dies; they arrive much later.
         let key = job_key(&job.id);
         cluster.store.set_faults(move |request| {
@@ -119,9 +119,12 @@
         });
         secs(7.0).await;
         cluster.store.clear_faults();
-        cluster.restart(planner, 0.3).await;
+        cluster.restart(scheduler, 0.3).await;
         secs(1.5).await;
-        assert!(cluster.planner().expect("somebody plans").1 > term, "the old lease ended at once");
+        assert!(
+            cluster.scheduler().expect("somebody plans").1 > term,
+            "the old lease ended at once"
+        );
         cluster.until_done(&job.id, 45.0).await;
         secs(45.0).await;
         assert_eq!(cluster.status(&job.id).await, Some(JobStatus::Done));
@@ -153,22 +156,22 @@
 }
 
 #[test]
-fn a_take_over_waits_for_a_hung_machine_until_its_lease_has_surely_lapsed() {
+fn a_failover_waits_for_a_hung_machine_until_its_lease_has_surely_expired() {
     scenario(2, |cluster| async move {
         let job = spec(1, 16);
         cluster.submit(&job, 15.0).await;
         secs(5.0).await;
-        let hung = cluster.ledger.machine_of(&task(&job, 0)).expect("running");
+        let hung = cluster.history.machine_of(&task(&job, 0)).expect("running");
         let worker = cluster.cloud.worker(&hung).expect("a worker");
         worker.set_hung(true);
         // Otherwise the machine would be returned after a while, which settles it as well.
         cluster.cloud.down.set(true);
         secs(1.0).await;
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 1.0).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 1.0).await;
         secs(LEASE_S - 4.0).await;
         assert_eq!(
-            cluster.ledger.machine_of(&task(&job, 0)),
+            cluster.history.machine_of(&task(&job, 0)),
             Some(hung),
             "still there, for all we know"
         );
@@ -184,27 +187,27 @@
         let job = spec(1, 10);
         cluster.submit(&job, 20.0).await;
         secs(5.0).await;
-        let hung = cluster.ledger.machine_of(&task(&job, 0)).expect("running");
+        let hung = cluster.history.machine_of(&task(&job, 0)).expect("running");
         let worker = cluster.cloud.worker(&hung).expect("a worker");
         worker.set_hung(true);
         secs(LEASE_S + 1.0).await;
         // Its worker still holds the tasks, but its lease is over: it forgets them when it wakes.
         worker.set_hung(false);
         cluster.until_done(&job.id, 120.0).await;
-        assert!(worker.session() > 1);
+        assert!(worker.agent_epoch() > 1);
     });
 }
 
 #[test]
-fn a_planner_that_alone_is_refused_by_the_store_is_replaced_and_starts_nothing() {
+fn a_leader_that_alone_is_refused_by_the_store_is_replaced_and_starts_nothing() {
     scenario(3, |cluster| async move {
         let job = spec(1, 24);
         cluster.submit(&job, 30.0).await;
         secs(5.0).await;
-        let (old, term) = cluster.planner().expect("somebody plans");
+        let (old, term) = cluster.scheduler().expect("somebody plans");
         cluster.refused[old].set(true);
         secs(20.0).await;
-        let (new, new_term) = cluster.planner().expect("somebody plans");
+        let (new, new_term) = cluster.scheduler().expect("somebody plans");
         assert!(new != old && new_term > term);
         let next = spec(2, 6);
         cluster.submit(&next, 3.0).await;
@@ -218,7 +221,7 @@
 }
 
 #[test]
-fn a_planner_whose_lease_may_have_ended_starts_nothing() {
+fn a_leader_whose_lease_may_have_ended_starts_nothing() {
     // The lease alone: starts need no younger proof of fresh state than it gives.
     let operator = Operator { start_proof_s: 60.0, ..Operator::default() };
     scenario_under(operator, 2, |cluster| async move {
@@ -237,20 +240,20 @@
             }
         }
         cluster.refused[old].set(true);
-        let before = cluster.ledger.starts_in_all();
+        let before = cluster.history.starts_in_all();
         secs(6.0).await;
-        assert!(cluster.ledger.starts_in_all() > before, "its lease goes on for a while");
+        assert!(cluster.history.starts_in_all() > before, "its lease goes on for a while");
         // Over by now, and for a while it may still answer its workers (S6).
         secs(4.3).await;
         assert_ne!(cluster.planner_node(), old);
-        let starts = cluster.ledger.starts_in_all();
+        let starts = cluster.history.starts_in_all();
         secs(6.0).await;
-        assert_eq!(cluster.ledger.starts_in_all(), starts, "S4");
+        assert_eq!(cluster.history.starts_in_all(), starts, "S4");
     });
 }
 
 #[test]
-fn a_machine_that_went_while_the_store_was_down_holds_up_no_take_over() {
+fn a_machine_that_went_while_the_store_was_down_holds_up_no_failover() {
     scenario(3, |cluster| async move {
         let job = spec(1, 60);
         cluster.submit(&job, 4.0).await;
@@ -265,14 +268,14 @@
             cluster.store.get(&machine_key(&victim)).is_none(),
             "its record is dropped after all"
         );
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.3).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.3).await;
         cluster.until_done(&job.id, 60.0).await;
     });
 }
 
 #[test]
-fn a_planner_that_no_worker_reaches_hands_over() {
+fn a_leader_that_no_worker_reaches_hands_over() {
     scenario(2, |cluster| async move {
         let job = spec(1, 10);
         cluster.submit(&job, 25.0).await;
@@ -298,20 +301,20 @@
 }
 
 #[test]
-fn a_worker_that_does_not_reach_the_planner_reports_by_way_of_another_controller() {
+fn a_worker_that_does_not_reach_the_leader_heartbeats_by_way_of_another_controller() {
     scenario(2, |cluster| async move {
         let job = spec(1, 160);
         cluster.submit(&job, 5.0).await;
         secs(4.0).await;
-        let planner = cluster.planner_node();
+        let scheduler = cluster.planner_node();
         let cut_off = cluster.cloud.workers()[0].clone();
-        cluster.net.cut(NODES[planner], &cut_off.settings.name);
+        cluster.net.cut(NODES[scheduler], &cut_off.settings.name);
         secs(12.0).await;
-        let before = cluster.ledger.starts_on(&cut_off.settings.name);
+        let before = cluster.history.starts_on(&cut_off.settings.name);
         secs(12.0).await;
-        assert!(cluster.ledger.starts_on(&cut_off.settings.name) > before, "it is given work");
-        assert_eq!(cut_off.session(), 1, "its lease never ran out");
-        assert_eq!(cluster.planner_node(), planner, "others reach the planner, so it stays");
+        assert!(cluster.history.starts_on(&cut_off.settings.name) > before, "it is given work");
+        assert_eq!(cut_off.agent_epoch(), 1, "its lease never ran out");
+        assert_eq!(cluster.planner_node(), scheduler, "others reach the planner, so it stays");
         cluster.until_done(&job.id, 120.0).await;
     });
 }
@@ -335,7 +338,11 @@
         cluster.kill(other);
         cluster.store.set_down(true);
         secs(45.0).await;
-        assert_eq!(cluster.ledger.running(&long.id), 0, "without fresh state, leases run out (S6)");
+        assert_eq!(
+            cluster.history.running(&long.id),
+            0,
+            "without fresh state, leases run out (S6)"
+        );
         cluster.store.set_down(false);
         cluster.start(other);
         cluster.until_done(&long.id, 150.0).await;
@@ -383,8 +390,8 @@
         for job in &jobs {
             cluster.submit(job, 4.0).await;
         }
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.3).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.3).await;
         for job in &jobs {
             cluster.until_done(&job.id, 200.0).await;
         }
@@ -408,7 +415,7 @@
         }
         secs(CANCEL_S).await;
         for number in 1..8 {
-            assert_eq!(cluster.ledger.running(&spec(number, 8).id), 0);
+            assert_eq!(cluster.history.running(&spec(number, 8).id), 0);
         }
     });
 }
@@ -431,12 +438,12 @@
         }
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
         secs(CANCEL_S + 5.0).await;
-        assert_eq!(cluster.ledger.running(&job.id), 0);
+        assert_eq!(cluster.history.running(&job.id), 0);
     });
 }
 
 #[test]
-fn a_limit_is_held_through_a_take_over() {
+fn a_limit_is_held_through_a_failover() {
     scenario(3, |cluster| async move {
         let mut jobs = Vec::new();
         for number in 1..4 {
@@ -447,8 +454,8 @@
         }
         secs(4.0).await;
         for _ in 0..2 {
-            let planner = cluster.planner_node();
-            cluster.restart(planner, 0.5).await;
+            let scheduler = cluster.planner_node();
+            cluster.restart(scheduler, 0.5).await;
             secs(7.0).await;
         }
         for job in &jobs {
@@ -468,7 +475,7 @@
         secs(25.0).await;
         cluster.cloud.lose_answers.set(false);
         assert!(cluster.cloud.workers().len() > 1, "machines came up all the same");
-        assert!(cluster.ledger.running(&job.id) > 8, "and are used");
+        assert!(cluster.history.running(&job.id) > 8, "and are used");
         cluster.until_done(&job.id, 150.0).await;
     });
 }
@@ -489,7 +496,7 @@
 }
 
 #[test]
-fn a_sick_machine_is_returned_and_a_broken_job_is_set_aside_without_blaming_machines() {
+fn a_sick_machine_is_returned_and_a_broken_job_is_dead_lettered_without_blaming_machines() {
     scenario(3, |cluster| async move {
         let workers = cluster.cloud.workers();
         workers[0].sick.set(true);
@@ -514,12 +521,12 @@
 }
 
 #[test]
-fn a_job_at_the_claim_limit_is_set_aside_and_can_be_released_or_cancelled() {
+fn a_job_at_the_claim_limit_is_dead_lettered_and_can_be_released_or_cancelled() {
     scenario(2, |cluster| async move {
         let broken = spec(1, 2);
         cluster.submit_plan(Plan { spec: broken.clone(), run_s: 1.0, broken: true }).await;
         let mut waited = 0;
-        while !cluster.record(&broken.id).is_some_and(|r| r.set_aside) {
+        while !cluster.record(&broken.id).is_some_and(|r| r.dead_lettered) {
             secs(20.0).await;
             waited += 1;
             assert!(waited < 120, "never set aside: {:?}", cluster.record(&broken.id));
@@ -533,7 +540,7 @@
         let release = format!("/operator/release/{}", broken.id);
         assert_eq!(cluster.ask(0, "POST", &release, b"").await.map(|r| r.0), Some(200));
         secs(5.0).await;
-        assert!(!cluster.record(&broken.id).expect("kept").set_aside);
+        assert!(!cluster.record(&broken.id).expect("kept").dead_lettered);
         assert_eq!(cluster.cancel(&broken.id).await, Some(JobStatus::Cancelled));
     });
 }
@@ -546,7 +553,7 @@
         low.priority = Priority::Low;
         cluster.submit(&low, 300.0).await;
         secs(5.0).await;
-        assert_eq!(cluster.ledger.running(&low.id), 8);
+        assert_eq!(cluster.history.running(&low.id), 8);
         let mut urgent = spec(2, 2);
         urgent.priority = Priority::High;
         urgent.cpus = 4.0;
@@ -556,7 +563,7 @@
 }
 
 #[test]
-fn a_job_of_a_hundred_thousand_tasks_stays_within_the_limits_and_survives_a_take_over() {
+fn a_job_of_a_hundred_thousand_tasks_stays_within_the_limits_and_survives_a_failover() {
     scenario(4, |cluster| async move {
         let mut job = spec(1, 100_000);
         job.cpus = 0.1;
@@ -564,8 +571,8 @@
         assert_eq!(cluster.submit(&job, 0.4).await, 201);
         secs(40.0).await;
         let before = cluster.record(&job.id).expect("unfinished").done;
-        let planner = cluster.planner_node();
-        cluster.restart(planner, 0.3).await;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.3).await;
         secs(20.0).await;
         let after = cluster.record(&job.id).expect("unfinished").done;
         assert!(before > 500 && after > before, "{before} then {after}");
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud.
 
-use crate::ledger::Ledger;
+use crate::history::ExecutionHistory;
 use crate::net::Hosts;
 use crate::worker::{FakeWorker, WorkerSettings};
 use crate::{json, now, param, sleep};
@@ -25,7 +25,7 @@
 
 pub struct FakeCloud {
     hosts: Rc<dyn Hosts>,
-    ledger: Rc<Ledger>,
+    history: Rc<ExecutionHistory>,
     template: WorkerSettings,
     pub types: Vec<MachineType>,
     pub capacity: Cell<usize>,
@@ -45,7 +45,7 @@
     /// Machines get addresses of the network (the first number) that the template's address is of.
     pub fn new(
         hosts: Rc<dyn Hosts>,
-        ledger: Rc<Ledger>,
+        history: Rc<ExecutionHistory>,
         template: WorkerSettings,
         types: Vec<MachineType>,
         capacity: usize,
@@ -53,7 +53,7 @@
         let boot_s = Cell::new(types[0].boot_s);
         Rc::new(Self {
             hosts,
-            ledger,
+            history,
             template,
             types,
             capacity: Cell::new(capacity),
@@ -83,14 +83,14 @@
         self.next.set(n + 1);
         let name = format!("host-{n:06}");
         let kind = &self.types[0];
-        let rented = Rented {
+        let rental_answered = Rented {
             machine_type: kind.name.clone(),
             zone: zone.to_owned(),
             spot,
             at: now(),
             worker: None,
         };
-        self.machines.borrow_mut().insert(name.clone(), rented);
+        self.machines.borrow_mut().insert(name.clone(), rental_answered);
         let network = match self.template.addr {
             SocketAddr::V4(addr) => addr.ip().octets()[0],
             SocketAddr::V6(_) => 10,
@@ -108,9 +108,10 @@
         let (cloud, booted) = (self.clone(), name.clone());
         self.hosts.spawn(Box::pin(async move {
             sleep(boot_s).await;
-            if let Some(rented) = cloud.machines.borrow_mut().get_mut(&booted) {
+            if let Some(rental_answered) = cloud.machines.borrow_mut().get_mut(&booted) {
                 let host = cloud.hosts.host(&booted);
-                rented.worker = Some(FakeWorker::start(settings, host, cloud.ledger.clone()));
+                rental_answered.worker =
+                    Some(FakeWorker::start(settings, host, cloud.history.clone()));
             }
         }));
         name
@@ -126,8 +127,8 @@
 
     /// Takes a machine without a notice.
     pub fn take(&self, name: &str) {
-        if let Some(rented) = self.machines.borrow_mut().remove(name) {
-            if let Some(worker) = rented.worker {
+        if let Some(rental_answered) = self.machines.borrow_mut().remove(name) {
+            if let Some(worker) = rental_answered.worker {
                 worker.kill();
             }
         }
@@ -188,17 +189,17 @@
         let mut listed: Vec<ListedMachine> = machines
             .iter()
             .filter(|(name, _)| name.as_str() > after)
-            .map(|(name, rented)| ListedMachine {
+            .map(|(name, rental_answered)| ListedMachine {
                 name: name.clone(),
                 addr: String::new(),
-                machine_type: rented.machine_type.clone(),
-                zone: rented.zone.clone(),
-                spot: rented.spot,
-                state: match rented.worker {
+                machine_type: rental_answered.machine_type.clone(),
+                zone: rental_answered.zone.clone(),
+                spot: rental_answered.spot,
+                state: match rental_answered.worker {
                     Some(_) => ListedState::Running,
                     None => ListedState::Booting,
                 },
-                age_s: now().saturating_duration_since(rented.at).as_secs_f64(),
+                age_s: now().saturating_duration_since(rental_answered.at).as_secs_f64(),
             })
             .collect();
         let more = listed.len() > limit;
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/history.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Default)]
-pub struct Ledger {
+pub struct ExecutionHistory {
     plans: RefCell<BTreeMap<JobId, Plan>>,
     on: RefCell<BTreeMap<TaskId, String>>,
     done: RefCell<BTreeMap<JobId, std::collections::BTreeSet<u32>>>,
@@ -37,7 +37,7 @@
     pub cancel_after: std::cell::Cell<Duration>,
 }
 
-impl Ledger {
+impl ExecutionHistory {
     pub fn set_teams(&self, teams: Vec<Team>) {
         *self.teams.borrow_mut() = teams;
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,14 +3,14 @@
 #![forbid(unsafe_code)]
 
 mod cloud;
-mod ledger;
+mod history;
 mod net;
 mod process;
 mod store;
 mod worker;
 
 pub use cloud::FakeCloud;
-pub use ledger::{Ledger, Plan};
+pub use history::{ExecutionHistory, Plan};
 pub use net::{Host, Hosts, Loopback, MemoryNet};
 pub use process::{Freezer, Process};
 pub use store::{FakeStore, Fault};
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -3,8 +3,8 @@
 use crate::{json, now, param, sleep};
 use corkfield_http::{serve, Limits, Network, Request, Response};
 use corkfield_wire::store::{
-    Change, Event, Events, Failed, Grant, GrantRequest, Item, Page, Revision, Txn, PATH_KEYS,
-    PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
+    Change, Event, Events, Failed, Grant, GrantRequest, Item, Page, Revision, Transaction,
+    PATH_KEYS, PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -123,8 +123,8 @@
 
     /// Writes as if somebody else did.
     pub fn put(&self, key: &str, value: Value) {
-        let txn = Txn::default().put(key, value);
-        self.execute(txn);
+        let transaction = Transaction::default().put(key, value);
+        self.execute(transaction);
     }
 
     fn expire(&self) {
@@ -146,7 +146,7 @@
             attached.map(|(key, _)| key.clone()).collect()
         };
         for key in keys {
-            self.execute(Txn::default().delete(key));
+            self.execute(Transaction::default().delete(key));
         }
     }
 
@@ -187,8 +187,8 @@
         let path = request.path().to_owned();
         let method = request.method.as_str();
         match (method, path.as_str()) {
-            ("POST", PATH_TXN) => match serde_json::from_slice::<Txn>(&request.body) {
-                Ok(txn) => self.execute(txn),
+            ("POST", PATH_TXN) => match serde_json::from_slice::<Transaction>(&request.body) {
+                Ok(transaction) => self.execute(transaction),
                 Err(_) => Response::new(400, b"{}".to_vec()),
             },
             ("POST", PATH_LEASES) => {
@@ -281,17 +281,17 @@
         }
     }
 
-    fn execute(&self, txn: Txn) -> Response {
+    fn execute(&self, transaction: Transaction) -> Response {
         let mut data = self.data.borrow_mut();
-        data.most_ops = data.most_ops.max(txn.changes.len());
+        data.most_ops = data.most_ops.max(transaction.changes.len());
         let version = |data: &Data, key: &str| data.keys.get(key).map_or(0, |k| k.1);
-        let failed: Vec<String> = txn
+        let failed: Vec<String> = transaction
             .conditions
             .iter()
             .filter(|c| version(&data, &c.key) != c.version)
             .map(|c| c.key.clone())
             .collect();
-        let expired = txn.changes.iter().any(|change| match change {
+        let expired = transaction.changes.iter().any(|change| match change {
             Change::Put { lease: Some(lease), .. } => !data.leases.contains_key(lease),
             _ => false,
         });
@@ -301,9 +301,9 @@
         if !failed.is_empty() {
             return json(409, &Failed { failed, revision: data.revision });
         }
-        data.revision += u64::from(!txn.changes.is_empty());
+        data.revision += u64::from(!transaction.changes.is_empty());
         let revision = data.revision;
-        for change in txn.changes {
+        for change in transaction.changes {
             match change {
                 Change::Put { key, value, lease } => {
                     data.largest = data.largest.max(value.to_string().len());
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,11 +1,11 @@
 //! A machine's worker.
 
-use crate::ledger::Ledger;
+use crate::history::ExecutionHistory;
 use crate::{json, now, sleep};
 use corkfield_http::{serve, Client, ClientError, Limits, Network, Request, Response};
 use corkfield_wire::worker::{
-    DirectOrders, ExitCause, Order, Redirect, Report, ReportReply, TaskPhase, TaskReport,
-    PATH_COMMANDS, PATH_REPORT,
+    DirectOrders, ExitCause, HeartbeatReply, Order, Redirect, TaskPhase, TaskStatus,
+    WorkerHeartbeat, PATH_COMMANDS, PATH_HEARTBEAT,
 };
 use corkfield_wire::TaskId;
 use std::cell::{Cell, RefCell};
@@ -23,11 +23,11 @@
     pub zone: String,
     pub spot: bool,
     pub cpus: f64,
-    pub report: Duration,
+    pub heartbeat: Duration,
     pub lease: Duration,
     /// Reports again after each answer, as if something had changed, not only after changes: a
     /// scenario then takes less simulated time. A measure of load needs the protocol's own rate.
-    pub reports_after_answers: bool,
+    pub heartbeats_after_answers: bool,
     /// All controllers, by name.
     pub controllers: Vec<(String, SocketAddr)>,
 }
@@ -40,8 +40,8 @@
 }
 
 struct State {
-    session: u64,
-    seq: u64,
+    agent_epoch: u64,
+    sequence: u64,
     term: u64,
     renewed: Instant,
     tasks: BTreeMap<TaskId, Task>,
@@ -51,7 +51,7 @@
 
 pub struct FakeWorker {
     pub settings: WorkerSettings,
-    ledger: Rc<Ledger>,
+    history: Rc<ExecutionHistory>,
     state: RefCell<State>,
     changed: Notify,
     hung: Cell<bool>,
@@ -77,20 +77,20 @@
     pub fn start(
         settings: WorkerSettings,
         network: Rc<dyn Network>,
-        ledger: Rc<Ledger>,
+        history: Rc<ExecutionHistory>,
     ) -> Rc<Self> {
         let state = State {
-            session: 1,
-            seq: 0,
+            agent_epoch: 1,
+            sequence: 0,
             term: 0,
             renewed: now(),
             tasks: BTreeMap::new(),
             notice: None,
         };
-        ledger.machine_up(&settings);
+        history.machine_up(&settings);
         let worker = Rc::new(Self {
             settings,
-            ledger,
+            history,
             state: RefCell::new(state),
             changed: Notify::new(),
             hung: Cell::new(false),
@@ -106,7 +106,7 @@
         });
         tokio::task::spawn_local(worker.clone().listen(network.clone()));
         tokio::task::spawn_local(worker.clone().work());
-        tokio::task::spawn_local(worker.clone().report(network));
+        tokio::task::spawn_local(worker.clone().heartbeat(network));
         worker
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Reports that it sent, the oldest first, as they were.
-    pub fn sent_reports(&self) -> Vec<Vec<u8>> {
+    pub fn sent_heartbeats(&self) -> Vec<Vec<u8>> {
         self.sent.borrow().iter().cloned().collect()
     }
 
@@ -134,7 +134,7 @@
     pub fn restart(&self) {
         self.drop_tasks();
         let mut state = self.state.borrow_mut();
-        (state.session, state.seq, state.term) = (1, 0, 0);
+        (state.agent_epoch, state.sequence, state.term) = (1, 0, 0);
         state.renewed = now();
         self.changed.notify_one();
     }
@@ -144,8 +144,8 @@
         self.delayed_commands.get()
     }
 
-    pub fn session(&self) -> u64 {
-        self.state.borrow().session
+    pub fn agent_epoch(&self) -> u64 {
+        self.state.borrow().agent_epoch
     }
 
     /// The machine is gone, with all that is on it.
@@ -156,7 +156,7 @@
 
     fn drop_tasks(&self) {
         for (task, _) in std::mem::take(&mut self.state.borrow_mut().tasks) {
-            self.ledger.ends(&task, &self.settings.name);
+            self.history.ends(&task, &self.settings.name);
         }
     }
 
@@ -175,7 +175,7 @@
         if now() > self.state.borrow().renewed + self.settings.lease {
             self.drop_tasks();
             let mut state = self.state.borrow_mut();
-            state.session += 1;
+            state.agent_epoch += 1;
             state.renewed = now();
             self.changed.notify_one();
         }
@@ -195,10 +195,10 @@
             self.check_lease();
             let mut changed = false;
             for (id, task) in &mut self.state.borrow_mut().tasks {
-                let plan = self.ledger.plan(&id.job);
+                let plan = self.history.plan(&id.job);
                 let broken = self.sick.get() || plan.as_ref().is_some_and(|p| p.broken);
                 if task.phase != TaskPhase::Exited {
-                    self.ledger.check_cancelled(id);
+                    self.history.check_cancelled(id);
                 }
                 if now() < task.until {
                     continue;
@@ -208,7 +208,7 @@
                         task.phase = TaskPhase::Running;
                         let run_s = if broken { 0.2 } else { plan.map_or(1.0, |p| p.run_s) };
                         task.until = now() + Duration::from_secs_f64(run_s);
-                        self.ledger.starts(id, &self.settings.name);
+                        self.history.starts(id, &self.settings.name);
                     }
                     TaskPhase::Running | TaskPhase::Saving => {
                         let done = task.phase == TaskPhase::Running;
@@ -218,9 +218,9 @@
                             (true, true) => ExitCause::Error,
                             _ => ExitCause::Stopped,
                         });
-                        self.ledger.ends(id, &self.settings.name);
+                        self.history.ends(id, &self.settings.name);
                         if task.cause == Some(ExitCause::Done) {
-                            self.ledger.completes(id);
+                            self.history.completes(id);
                         }
                     }
                     _ => continue,
@@ -234,7 +234,7 @@
     }
 
     fn execute(&self, orders: Vec<Order>) {
-        if orders.is_empty() && !self.settings.reports_after_answers {
+        if orders.is_empty() && !self.settings.heartbeats_after_answers {
             return;
         }
         let mut state = self.state.borrow_mut();
@@ -245,9 +245,9 @@
                         .tasks
                         .iter()
                         .filter(|(_, t)| t.phase != TaskPhase::Exited)
-                        .filter_map(|(id, _)| self.ledger.plan(&id.job).map(|p| p.spec.cpus))
+                        .filter_map(|(id, _)| self.history.plan(&id.job).map(|p| p.spec.cpus))
                         .sum();
-                    let cause = match (state.tasks.get(&task), self.ledger.plan(&task.job)) {
+                    let cause = match (state.tasks.get(&task), self.history.plan(&task.job)) {
                         (Some(known), _) if known.attempt == attempt => continue,
                         (Some(known), _) if known.phase != TaskPhase::Exited => {
                             Some(ExitCause::Busy)
@@ -271,7 +271,7 @@
                         if known.attempt == attempt && known.phase != TaskPhase::Exited {
                             known.phase = TaskPhase::Exited;
                             known.cause = Some(ExitCause::Stopped);
-                            self.ledger.ends(&task, &self.settings.name);
+                            self.history.ends(&task, &self.settings.name);
                         }
                     }
                 }
@@ -286,24 +286,24 @@
         self.changed.notify_one();
     }
 
-    fn current(&self) -> Report {
+    fn current(&self) -> WorkerHeartbeat {
         let mut state = self.state.borrow_mut();
-        state.seq += 1;
-        let tasks = state.tasks.iter().map(|(task, t)| TaskReport {
+        state.sequence += 1;
+        let tasks = state.tasks.iter().map(|(task, t)| TaskStatus {
             task: task.clone(),
             attempt: t.attempt,
             phase: t.phase,
             cause: t.cause,
             saved: None,
         });
-        Report {
+        WorkerHeartbeat {
             machine: self.settings.name.clone(),
             addr: self.settings.addr.to_string(),
             machine_type: self.settings.machine_type.clone(),
             zone: self.settings.zone.clone(),
             spot: self.settings.spot,
-            session: state.session,
-            seq: state.seq,
+            agent_epoch: state.agent_epoch,
+            sequence: state.sequence,
             term: state.term,
             notice_s: state.notice,
             tasks: tasks.collect(),
@@ -358,7 +358,7 @@
     fn execute_direct(&self, direct: DirectOrders) -> bool {
         {
             let mut state = self.state.borrow_mut();
-            if direct.term < state.term || direct.session != state.session {
+            if direct.term < state.term || direct.agent_epoch != state.agent_epoch {
                 return false;
             }
             if direct.term > state.term {
@@ -370,7 +370,7 @@
         true
     }
 
-    async fn report(self: Rc<Self>, network: Rc<dyn Network>) {
+    async fn heartbeat(self: Rc<Self>, network: Rc<dyn Network>) {
         let controllers = self.settings.controllers.clone();
         let clients: Vec<Client> = controllers
             .iter()
@@ -385,11 +385,11 @@
                 sleep(1.0).await;
                 continue;
             }
-            let report = self.current();
+            let heartbeat = self.current();
             let sent = now();
-            let body = serde_json::to_vec(&report).unwrap_or_default();
+            let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
             let mut answer =
-                clients[at].request("POST", PATH_REPORT, &body, Duration::from_secs(4)).await;
+                clients[at].request("POST", PATH_HEARTBEAT, &body, Duration::from_secs(4)).await;
             {
                 let mut kept = self.sent.borrow_mut();
                 kept.push_back(body);
@@ -399,7 +399,7 @@
             }
             if self.deaf.get() {
                 if let Ok(reply) = &answer {
-                    let reply = serde_json::from_slice::<ReportReply>(&reply.body);
+                    let reply = serde_json::from_slice::<HeartbeatReply>(&reply.body);
                     let orders = reply.map(|reply| reply.orders).unwrap_or_default();
                     let starts = orders.iter().filter(|o| matches!(o, Order::Start { .. })).count();
                     self.unheard.set(self.unheard.get() + u32::try_from(starts).unwrap_or(0));
@@ -411,12 +411,12 @@
             self.check_lease();
             match answer {
                 Ok(reply) if reply.status == 200 && now() < sent + Duration::from_secs(4) => {
-                    let Ok(reply) = serde_json::from_slice::<ReportReply>(&reply.body) else {
+                    let Ok(reply) = serde_json::from_slice::<HeartbeatReply>(&reply.body) else {
                         continue;
                     };
                     let valid = {
                         let state = self.state.borrow();
-                        reply.term >= state.term && report.session == state.session
+                        reply.term >= state.term && heartbeat.agent_epoch == state.agent_epoch
                     };
                     if valid && !self.dead.get() {
                         {
@@ -430,7 +430,7 @@
                         self.execute(reply.orders);
                     }
                     sleep(0.5).await;
-                    let left = self.settings.report.saturating_sub(Duration::from_millis(500));
+                    let left = self.settings.heartbeat.saturating_sub(Duration::from_millis(500));
                     let _ = tokio::time::timeout(left, self.changed.notified()).await;
                 }
                 Ok(reply) if reply.status == 421 => {
--- a/crates/state/src/budget.rs
+++ b/crates/state/src/budget.rs
@@ -10,7 +10,7 @@
 /// What a request is for, the most important first. The less important a use, the more of the
 /// burst it has to leave for the others: renewals never wait behind housekeeping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
+pub enum RequestClass {
     /// Renewing and taking leases.
     Lease,
     /// Claims, and reads that other work waits for.
@@ -18,20 +18,20 @@
     /// Users' submissions.
     Submission,
     /// Settling writes and machine records.
-    Settling,
+    Completion,
     /// Reads for users' questions.
     Reading,
     /// What may wait.
     Housekeeping,
 }
 
-impl Use {
+impl RequestClass {
     fn reserve(self) -> f64 {
         match self {
             Self::Lease => 0.0,
             Self::Claim => 0.1,
             Self::Submission => 0.2,
-            Self::Settling => 0.3,
+            Self::Completion => 0.3,
             Self::Reading => 0.4,
             Self::Housekeeping => 0.5,
         }
@@ -47,28 +47,28 @@
 }
 
 /// Who waits for tokens: the most important use first, and within one in order of arrival.
-type Place = (Use, u64);
+type Place = (RequestClass, u64);
 
 /// A token bucket whose tokens go to the most important use first.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     bucket: RefCell<Bucket>,
     /// Only the first of them looks for tokens, the others sleep until they are first: hundreds
-    /// that each looked again every few milliseconds once took a planner's whole processor share.
+    /// that each looked again every few milliseconds once took a leader's whole processor share.
     waiting: RefCell<BTreeMap<Place, Rc<Notify>>>,
     arrivals: Cell<u64>,
 }
 
 /// One who waits; leaves its place when it is dropped.
 struct Waiter<'a> {
-    budget: &'a Budget,
+    budget: &'a RateLimiter,
     place: Place,
     first: Rc<Notify>,
 }
 
 impl<'a> Waiter<'a> {
-    fn new(budget: &'a Budget, for_use: Use) -> Self {
-        let place = (for_use, budget.arrivals.get());
+    fn new(budget: &'a RateLimiter, class: RequestClass) -> Self {
+        let place = (class, budget.arrivals.get());
         budget.arrivals.set(place.1 + 1);
         let first = Rc::new(Notify::new());
         budget.waiting.borrow_mut().insert(place, first.clone());
@@ -91,7 +91,7 @@
     }
 }
 
-impl Budget {
+impl RateLimiter {
     /// `rate` a second, with a burst worth `burst`.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
@@ -101,7 +101,7 @@
 
     /// Changes the rate, in tokens a second, and the most that may be saved up.
     pub fn set_rate(&self, rate: f64, burst: f64) {
-        self.try_take(Use::Lease, 0.0);
+        self.try_take(RequestClass::Lease, 0.0);
         let mut bucket = self.bucket.borrow_mut();
         bucket.rate = rate;
         bucket.burst = burst.max(1.0);
@@ -109,7 +109,7 @@
     }
 
     /// Takes `cost` if it is there; otherwise says how long to wait.
-    fn try_take(&self, for_use: Use, cost: f64) -> Option<Duration> {
+    fn try_take(&self, class: RequestClass, cost: f64) -> Option<Duration> {
         let mut bucket = self.bucket.borrow_mut();
         let now = Instant::now();
         let gained = now.duration_since(bucket.at).as_secs_f64() * bucket.rate;
@@ -118,7 +118,7 @@
         let cost = cost.min(bucket.burst);
         // What is left for more important uses is a part of a second's worth, however much may
         // come at once.
-        let reserve = for_use.reserve() * bucket.burst.min(bucket.rate.max(1.0));
+        let reserve = class.reserve() * bucket.burst.min(bucket.rate.max(1.0));
         let need = (cost + reserve).min(bucket.burst);
         if bucket.tokens + 1e-9 >= need {
             bucket.tokens -= cost;
@@ -129,14 +129,14 @@
     }
 
     /// Waits until the cost may be spent.
-    pub async fn take(&self, for_use: Use, cost: f64) {
-        let waiter = Waiter::new(self, for_use);
+    pub async fn take(&self, class: RequestClass, cost: f64) {
+        let waiter = Waiter::new(self, class);
         loop {
             if !waiter.is_first() {
                 waiter.first.notified().await;
                 continue;
             }
-            let Some(wait) = self.try_take(for_use, cost) else { return };
+            let Some(wait) = self.try_take(class, cost) else { return };
             tokio::time::sleep(wait).await;
         }
     }
--- a/crates/state/src/budget/tests.rs
+++ b/crates/state/src/budget/tests.rs
@@ -6,47 +6,47 @@
 
 #[tokio::test(start_paused = true)]
 async fn housekeeping_leaves_room_for_renewals() {
-    let budget = Budget::new(10.0, 10.0);
+    let budget = RateLimiter::new(10.0, 10.0);
     let mut taken = 0;
-    while budget.try_take(Use::Housekeeping, 1.0).is_none() {
+    while budget.try_take(RequestClass::Housekeeping, 1.0).is_none() {
         taken += 1;
     }
     assert_eq!(taken, 5);
-    assert!(budget.try_take(Use::Lease, 1.0).is_none());
+    assert!(budget.try_take(RequestClass::Lease, 1.0).is_none());
     let start = Instant::now();
-    budget.take(Use::Settling, 2.0).await;
+    budget.take(RequestClass::Completion, 2.0).await;
     assert!(start.elapsed() > Duration::from_millis(50));
 }
 
 #[tokio::test(start_paused = true)]
 async fn many_submissions_at_once_find_the_burst_that_nobody_used() {
-    let budget = Budget::new(12.0, 12.0 * 5.0);
+    let budget = RateLimiter::new(12.0, 12.0 * 5.0);
     let start = Instant::now();
     for _ in 0..50 {
-        budget.take(Use::Submission, 1.0).await;
+        budget.take(RequestClass::Submission, 1.0).await;
     }
     assert!(start.elapsed() < Duration::from_millis(10));
-    budget.take(Use::Submission, 10.0).await;
+    budget.take(RequestClass::Submission, 10.0).await;
     assert!(start.elapsed() > Duration::from_millis(100), "but no more than that");
 }
 
 #[tokio::test(start_paused = true)]
 async fn hundreds_that_wait_are_served_in_order_of_use_and_arrival_and_wake_once_each() {
-    let budget = Budget::new(100.0, 1.0);
+    let budget = RateLimiter::new(100.0, 1.0);
     let served = RefCell::new(Vec::new());
     let waits = (0..300).map(|n| {
         let (budget, served) = (&budget, &served);
-        let for_use = if n % 3 == 0 { Use::Claim } else { Use::Settling };
+        let class = if n % 3 == 0 { RequestClass::Claim } else { RequestClass::Completion };
         async move {
-            budget.take(for_use, 1.0).await;
-            served.borrow_mut().push((for_use, n));
+            budget.take(class, 1.0).await;
+            served.borrow_mut().push((class, n));
         }
     });
     let mut waits: Vec<_> = waits.map(Box::pin).collect();
     // One that gives up leaves its place to the next.
     let mut polls = 0_u32;
-    let begun = Instant::now();
-    let mut given_up = Some(Box::pin(budget.take(Use::Lease, 1.0)));
+    let started = Instant::now();
+    let mut given_up = Some(Box::pin(budget.take(RequestClass::Lease, 1.0)));
     std::future::poll_fn(|context| {
         polls += 1;
         if let Some(first) = &mut given_up {
@@ -61,7 +61,7 @@
         }
     })
     .await;
-    assert!(begun.elapsed() < Duration::from_secs(4), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
     let served = served.borrow().clone();
     let mut in_order = served.clone();
     in_order.sort();
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -5,5 +5,5 @@
 mod budget;
 mod client;
 
-pub use budget::{Budget, Use};
-pub use client::{Share, StateClient, StateError};
+pub use budget::{RateLimiter, RequestClass};
+pub use client::{RateBudget, StateClient, StateError};
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -8,7 +8,7 @@
 
 /// One controller's view, sent once a second or so.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     pub node: String,
     pub incarnation: String,
     /// Drawn anew by each process.
@@ -18,27 +18,27 @@
     pub number: u64,
     pub echo: u64,
     pub echo_process: u64,
-    /// The sender has had no answer from the state service for a while, knows of no planner but the
+    /// The sender has had no answer from the state service for a while, knows of no leader but the
     /// receiver, and every cancellation that it told a user of was acknowledged by the receiver.
     pub attests: bool,
-    /// It plans, or takes itself for the planner.
+    /// It plans, or takes itself for the leader.
     pub leading: bool,
     /// The state service answered this controller a moment ago.
     pub store_ok: bool,
-    /// The planner that it knows of, and that planner's term.
-    pub planner: Option<String>,
+    /// The leader that it knows of, and that leader's term.
+    pub scheduler: Option<String>,
     pub term: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
-    Heartbeat(Heartbeat),
-    /// A worker's report, passed on to the planner by a controller that the worker can reach.
-    Report {
+    PeerHeartbeat(PeerHeartbeat),
+    /// A worker's report, passed on to the leader by a controller that the worker can reach.
+    WorkerHeartbeat {
         number: u64,
         body: Vec<u8>,
     },
-    /// The planner's answer to it.
+    /// The leader's answer to it.
     Answer {
         number: u64,
         status: u16,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -201,7 +201,7 @@
         Duration::from_secs_f64(self.lease_s)
     }
 
-    pub fn report_interval(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.report_s)
     }
 
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -56,14 +56,14 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
-impl Txn {
+impl Transaction {
     #[must_use]
     pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push(Condition { key: key.into(), version });
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -15,7 +15,7 @@
 const JOB_ID_PREFIX: &str = "j-";
 const JOB_ID_DIGITS: usize = 20;
 
-/// The id of a job, chosen by its user. It is kept in place, without an allocation: a planner
+/// The id of a job, chosen by its user. It is kept in place, without an allocation: a leader
 /// compares and copies ids for every task of every report.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId {
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-pub const PATH_REPORT: &str = "/agent/beat";
+pub const PATH_HEARTBEAT: &str = "/agent/beat";
 pub const PATH_COMMANDS: &str = "/commands";
 pub const PATH_STATUS: &str = "/inspect";
 
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: TaskId,
     #[serde(rename = "try")]
@@ -87,7 +87,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     #[serde(rename = "host")]
     pub machine: String,
     pub addr: String,
@@ -98,15 +98,15 @@
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "serial")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "epoch", default)]
     pub term: u64,
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -139,7 +139,7 @@
 
 /// The answer to a report that was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     #[serde(rename = "epoch")]
     pub term: u64,
     pub orders: Vec<Order>,
@@ -158,6 +158,6 @@
     #[serde(rename = "epoch")]
     pub term: u64,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub agent_epoch: u64,
     pub orders: Vec<Order>,
 }
