--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,6 +3,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod cluster;
 mod config;
 mod job;
 mod machine;
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -13,18 +13,18 @@
 impl Scheduler {
     /// What there is room in for the jobs that wait.
     pub(super) fn capacity(&mut self, queue: &[(JobId, u32)], now: Instant) -> ClusterCapacity {
-        let silence = self.config.silence();
+        let silence = self.cluster.config.silence();
         let least = Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX };
         let mut capacity = ClusterCapacity { least, ..ClusterCapacity::default() };
         for (id, _) in queue {
-            let spec = self.jobs[id].spec();
+            let spec = self.cluster.jobs[id].spec();
             capacity.least = capacity.least.least(&Need::of(spec));
             capacity.top = Some(capacity.top.map_or(spec.priority, |top| top.min(spec.priority)));
             if !capacity.holding.contains_key(&spec.image) {
                 capacity.holding.insert(spec.image.clone(), Vec::new());
             }
         }
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             self.steps.set(self.steps.get() + 1);
             if !machine.takes_work(now, silence) {
                 continue;
@@ -66,7 +66,7 @@
     /// Keeps room for the waiting tasks of an urgent job, on machines where it will come free
     /// by itself: otherwise smaller tasks of less important jobs would fill each gap first.
     pub(super) fn reserve(&self, id: &JobId, capacity: &mut ClusterCapacity) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.cluster.jobs.get(id) else { return };
         let spec = job.spec();
         if spec.priority > Priority::High || spec.cpus <= 0.0 {
             return;
@@ -92,7 +92,10 @@
                 false => cpus,
             };
             let count = cpus.min(memory).floor();
-            if count >= 1.0 && (spec.spot || !room.spot) && self.machines[&room.name].allows(spec) {
+            if count >= 1.0
+                && (spec.spot || !room.spot)
+                && self.cluster.machines[&room.name].allows(spec)
+            {
                 slots.push((count as u32, room.free.cpus, *n));
             }
             true
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -30,10 +30,10 @@
     /// Assigns waiting tasks to machines with room.
     pub fn run_placement_pass(&mut self, now: Instant) {
         self.passes += 1;
-        if self.jobs.is_empty() {
+        if self.cluster.jobs.is_empty() {
             return;
         }
-        let mut usage = self.usage();
+        let mut usage = self.cluster.usage_by_team();
         let queue = self.queue(&usage, now);
         if queue.is_empty() {
             return;
@@ -43,7 +43,7 @@
         // First what comes before the rest because it is within a guarantee, and no more of it
         // than that; then what is left, in the order that results.
         let long_waiting = self.long_waiting(&queue, now);
-        let urgent = queue.partition_point(|(id, _)| self.jobs[id].is_urgent());
+        let urgent = queue.partition_point(|(id, _)| self.cluster.jobs[id].is_urgent());
         for (at, (id, _)) in queue.iter().enumerate() {
             if at == urgent {
                 self.place_long_waiting(
@@ -104,12 +104,12 @@
         now: Instant,
     ) {
         let fencing = !self.is_reconciled();
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         let need = Need::of(&job.record.spec);
         let one = Usage::of(&job.record.spec, 1);
-        let team = &self.config.teams[job.team];
+        let team = &self.cluster.config.teams[job.team];
         let unaccounted_usage = match unaccounted_usage {
             Some(unaccounted_usage) => unaccounted_usage,
             None if is_limited(team) => return,
@@ -128,7 +128,7 @@
         if fencing && together && job.record.previous_start_watermark > 0 {
             return;
         }
-        let candidates = matches(&self.machines, job, scope, capacity, &self.steps);
+        let candidates = matches(&self.cluster.machines, job, scope, capacity, &self.steps);
         if candidates.is_empty() {
             return;
         }
@@ -144,7 +144,7 @@
         let with_image = by_image.entry(spec.image.clone()).or_default();
         let mut candidates = Candidates::new(candidates, capacity, with_image, scope);
         let mut zones = match together {
-            true => zones_in_use(&self.machines, job),
+            true => zones_in_use(&self.cluster.machines, job),
             false => BTreeMap::new(),
         };
         let same_zone = job.record.spec.one_zone.then(|| match zones.keys().next() {
@@ -166,7 +166,8 @@
                 };
                 candidates.retain(fits);
             }
-            let chosen = candidates.choose(capacity, self.config.placement_sample, &mut self.rng);
+            let chosen =
+                candidates.choose(capacity, self.cluster.config.placement_sample, &mut self.rng);
             let Some((list, at)) = chosen else {
                 return;
             };
@@ -175,7 +176,7 @@
             };
             let n = candidates.take(list, at, with_image);
             let room = &mut capacity[n];
-            let Some(machine) = self.machines.get_mut(&room.name) else {
+            let Some(machine) = self.cluster.machines.get_mut(&room.name) else {
                 return;
             };
             let attempt = job.next_attempt();
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -30,7 +30,7 @@
             let of_kind = |o: &&corkfield_wire::settings::Objective| {
                 o.kind == kind && o.class.as_deref().is_none_or(|c| c == class)
             };
-            self.config.objectives.iter().find(of_kind).and_then(|o| o.within_s)
+            self.cluster.config.objectives.iter().find(of_kind).and_then(|o| o.within_s)
         };
         let aims = [within("wait"), within("guarantee").filter(|_| guaranteed)];
         let to_due = self
@@ -46,10 +46,11 @@
         if queue.is_empty() {
             return;
         }
-        let silence = self.config.silence();
+        let silence = self.cluster.config.silence();
         // Capacity that is being freed already.
-        let mut coming: f64 = self.machines.values().map(|m| m.tasks.totals().stopping_cpus).sum();
-        let working = self.machines.values().filter(|m| m.takes_work(now, silence));
+        let mut coming: f64 =
+            self.cluster.machines.values().map(|m| m.tasks.totals().stopping_cpus).sum();
+        let working = self.cluster.machines.values().filter(|m| m.takes_work(now, silence));
         let mut working: Vec<(f64, String, [f64; 4])> = working
             .map(|m| {
                 let free = m.free().map_or(0.0, |free| free.cpus);
@@ -58,15 +59,15 @@
             .collect();
         // Where most is free least has to be stopped.
         working.sort_by(|a, b| b.0.partial_cmp(&a.0).unwrap_or(Ordering::Equal));
-        let mut looks = self.config.placement_sample.max(1) * LOOKS;
+        let mut looks = self.cluster.config.placement_sample.max(1) * LOOKS;
         for (id, startable) in queue {
             if looks == 0 {
                 break;
             }
-            let Some(job) = self.jobs.get(&id) else { continue };
+            let Some(job) = self.cluster.jobs.get(&id) else { continue };
             let one = Usage::of(job.spec(), 1);
             let guaranteed =
-                within_guarantee(&self.config.teams[job.team], usage[job.team].plus(one));
+                within_guarantee(&self.cluster.config.teams[job.team], usage[job.team].plus(one));
             if now.saturating_duration_since(job.accepted_at) < self.grace(job, guaranteed) {
                 continue;
             }
@@ -85,7 +86,7 @@
             let mut candidates: Vec<usize> = (0..working.len()).filter(may).collect();
             // A look at all that run there costs too much to be taken at hundreds of machines for
             // hundreds of jobs: a sample each, another one in the next pass.
-            let most = self.config.placement_sample.max(wanted as usize * 2).min(looks);
+            let most = self.cluster.config.placement_sample.max(wanted as usize * 2).min(looks);
             if candidates.len() > most {
                 let sample = index::sample(&mut self.rng, candidates.len(), most);
                 let mut sample: Vec<usize> = sample.into_iter().map(|at| candidates[at]).collect();
@@ -98,7 +99,7 @@
                 }
                 looks -= 1;
                 let name = &working[n].1;
-                self.steps.set(self.steps.get() + self.machines[name].tasks.len() as u64);
+                self.steps.set(self.steps.get() + self.cluster.machines[name].tasks.len() as u64);
                 let victims = self.victims(&id, name, &mut wanted, usage, now);
                 self.stop_tasks(&id, name, victims);
             }
@@ -114,8 +115,8 @@
         usage: &mut [Usage],
         now: Instant,
     ) -> Vec<(TaskId, u64)> {
-        let (job, machine) = (&self.jobs[id], &self.machines[name]);
-        let team = &self.config.teams[job.team];
+        let (job, machine) = (&self.cluster.jobs[id], &self.cluster.machines[name]);
+        let team = &self.cluster.config.teams[job.team];
         let (need, one) = (Need::of(job.spec()), Usage::of(job.spec(), 1));
         let mut chosen = Vec::new();
         if !machine.allows(job.spec())
@@ -130,7 +131,7 @@
         }
         let mut losses: Vec<(f64, &(TaskId, u64), &Job)> = Vec::new();
         for (key, machine_task) in machine.tasks.iter() {
-            let Some(other) = self.jobs.get(&key.0.job) else { continue };
+            let Some(other) = self.cluster.jobs.get(&key.0.job) else { continue };
             if let Some(loss) = self.loss(job, other, machine_task, now) {
                 losses.push((loss, key, other));
             }
@@ -192,7 +193,7 @@
             return None;
         }
         // A task far beyond its expected time tells nothing about its end.
-        let run_s = other.expected_run_s(self.correction(&other.spec().class));
+        let run_s = other.expected_run_s(self.cluster.run_time_correction(&other.spec().class));
         let overdue = ran > run_s * 1.3;
         if running && run_s - ran < NEARLY_DONE_S && !overdue {
             return None;
@@ -207,13 +208,14 @@
 
     /// Orders tasks to stop, with time to save for those that can.
     fn stop_tasks(&mut self, id: &JobId, name: &str, tasks: Vec<(TaskId, u64)>) {
-        let Some(machine) = self.machines.get_mut(name).filter(|_| !tasks.is_empty()) else {
+        let Some(machine) = self.cluster.machines.get_mut(name).filter(|_| !tasks.is_empty())
+        else {
             return;
         };
         tracing::debug!(job = %id, machine = name, stopped = tasks.len(), "preempting");
         let mut orders = Vec::new();
         for key in tasks {
-            let grace = self.jobs.get(&key.0.job).map_or(Duration::ZERO, Job::stop_grace);
+            let grace = self.cluster.jobs.get(&key.0.job).map_or(Duration::ZERO, Job::stop_grace);
             orders.extend(machine.stop(&key, grace));
         }
         let action = direct_orders(machine, orders);
@@ -225,12 +227,12 @@
     /// again and again.
     fn standing(&self, job: &Job, usage: Usage) -> (bool, bool, Priority) {
         let urgent = job.is_urgent();
-        let guaranteed = within_guarantee(&self.config.teams[job.team], usage);
+        let guaranteed = within_guarantee(&self.cluster.config.teams[job.team], usage);
         (!urgent, !guaranteed, job.spec().priority)
     }
 
     fn beyond_guarantee(&self, team: usize, usage: &[Usage]) -> bool {
-        let team_settings = &self.config.teams[team];
+        let team_settings = &self.cluster.config.teams[team];
         let has = team_settings.cpus > 0.0 || team_settings.gpus > 0.0;
         !has || !within_guarantee(team_settings, usage[team])
     }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -21,26 +21,19 @@
 const STARVED_AFTER: Duration = Duration::from_secs(120);
 
 impl Scheduler {
-    pub(crate) fn correction(&self, class: &str) -> f64 {
-        match self.corrections.get(class) {
-            Some((n, sum)) if *n >= 3 => (sum / f64::from(*n)).clamp(0.1, 10.0),
-            _ => 1.0,
-        }
-    }
-
     /// When the job should be complete, by its own deadline or its class's objective.
     pub(crate) fn due(&self, job: &Job) -> Option<Instant> {
         job.due_at.or_else(|| {
             let finished = |o: &&corkfield_wire::settings::Objective| {
                 o.kind == "finished" && o.class.as_deref() == Some(job.spec().class.as_str())
             };
-            let within = self.config.objectives.iter().find(finished)?.within_s?;
+            let within = self.cluster.config.objectives.iter().find(finished)?.within_s?;
             Some(job.accepted_at + Duration::try_from_secs_f64(within).ok()?)
         })
     }
 
     fn rank(&self, job: &Job, usage: &[Usage], now: Instant) -> Rank {
-        let run_s = job.expected_run_s(self.correction(&job.spec().class));
+        let run_s = job.expected_run_s(self.cluster.run_time_correction(&job.spec().class));
         let late = self.due(job).is_some_and(|due| {
             now + Duration::try_from_secs_f64(run_s * 0.5).unwrap_or_default() > due
         });
@@ -49,7 +42,7 @@
             urgent: job.is_urgent(),
             starved: job.has_not_begun()
                 && now.saturating_duration_since(job.accepted_at) > STARVED_AFTER,
-            guaranteed: within_guarantee(&self.config.teams[job.team], one),
+            guaranteed: within_guarantee(&self.cluster.config.teams[job.team], one),
             priority: job.spec().priority,
             late,
             run_s,
@@ -64,24 +57,26 @@
         let fencing = !self.is_reconciled();
         // Those that need not wait for room have their first starts announced at once.
         let takes_room = |job: &Job| self.takes_room(job.spec(), usage);
-        let unannounced = self.jobs.iter().filter(|(_, job)| job.waits_unannounced());
+        let unannounced = self.cluster.jobs.iter().filter(|(_, job)| job.waits_unannounced());
         let unannounced = unannounced.filter(|(_, job)| takes_room(job));
         for id in unannounced.map(|(id, _)| id.clone()).collect::<Vec<JobId>>() {
-            if let Some(job) = self.jobs.get_mut(&id) {
+            if let Some(job) = self.cluster.jobs.get_mut(&id) {
                 job.unannounced = true;
             }
         }
-        let startable = self.jobs.iter_mut().filter(|(_, job)| job.may_start()).map(|(id, job)| {
-            let count = match job.waiting() {
-                0 => 0,
-                waiting if job.waits_unannounced() => waiting,
-                _ => job.startable(fencing),
-            };
-            (id.clone(), count)
-        });
+        let startable =
+            self.cluster.jobs.iter_mut().filter(|(_, job)| job.may_start()).map(|(id, job)| {
+                let count = match job.waiting() {
+                    0 => 0,
+                    waiting if job.waits_unannounced() => waiting,
+                    _ => job.startable(fencing),
+                };
+                (id.clone(), count)
+            });
         let startable: Vec<(JobId, u32)> = startable.filter(|(_, count)| *count > 0).collect();
-        let ranked =
-            startable.into_iter().map(|job| (self.rank(&self.jobs[&job.0], usage, now), job));
+        let ranked = startable
+            .into_iter()
+            .map(|job| (self.rank(&self.cluster.jobs[&job.0], usage, now), job));
         let mut ranked: Vec<(Rank, (JobId, u32))> = ranked.collect();
         ranked.sort_by(|(a, _), (b, _)| {
             b.urgent
@@ -103,24 +98,25 @@
 
     /// Whether others may be stopped for the job, so that it need not wait for room.
     fn takes_room(&self, spec: &JobSpec, usage: &[Usage]) -> bool {
-        let team = self.config.teams.iter().position(|team| team.name == spec.team);
+        let team = self.cluster.config.teams.iter().position(|team| team.name == spec.team);
         let guaranteed = |team: usize| {
             let one = usage[team].plus(Usage::of(spec, 1));
-            within_guarantee(&self.config.teams[team], one)
+            within_guarantee(&self.cluster.config.teams[team], one)
         };
         spec.priority <= Priority::High || team.is_some_and(guaranteed)
     }
 
     /// Whether a job that is claimed now may be expected to begin soon.
     pub fn may_begin_soon(&self, spec: &JobSpec, now: Instant) -> bool {
-        self.takes_room(spec, &self.usage())
-            || !self.jobs.values().any(|job| job.waits_unannounced()) && self.spare_cpus(now) > 0.0
+        self.takes_room(spec, &self.cluster.usage_by_team())
+            || !self.cluster.jobs.values().any(|job| job.waits_unannounced())
+                && self.spare_cpus(now) > 0.0
     }
 
     /// Jobs that are not urgent and of which nothing ran for long, the longest first.
     pub(super) fn long_waiting(&self, queue: &[(JobId, u32)], now: Instant) -> Vec<JobId> {
         let waiting = queue.iter().filter_map(|(id, _)| {
-            let job = &self.jobs[id];
+            let job = &self.cluster.jobs[id];
             let since = job.nothing_since.filter(|_| !job.is_urgent())?;
             (now.saturating_duration_since(since) > LONG_WAIT).then_some((since, id))
         });
@@ -130,14 +126,14 @@
     }
 
     fn free_cpus(&self, now: Instant) -> f64 {
-        let silence = self.config.silence();
-        let working = self.machines.values().filter(|m| m.takes_work(now, silence));
+        let silence = self.cluster.config.silence();
+        let working = self.cluster.machines.values().filter(|m| m.takes_work(now, silence));
         working.filter_map(|m| m.free()).map(|free| free.cpus.max(0.0)).sum()
     }
 
     /// CPUs that are free beyond what waits for them and may be started.
     fn spare_cpus(&self, now: Instant) -> f64 {
-        let waiting = self.jobs.values().filter(|job| job.may_start());
+        let waiting = self.cluster.jobs.values().filter(|job| job.may_start());
         let waiting = waiting.map(|job| f64::from(job.announced_waiting()) * job.spec().cpus);
         self.free_cpus(now) - waiting.sum::<f64>()
     }
@@ -148,7 +144,7 @@
     /// known.
     pub(super) fn unaccounted_usage(&self) -> Option<Usage> {
         let mut unaccounted_usage = Usage::default();
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             if self.is_unreconciled(&machine.name) || machine.tasks.totals().uncounted {
                 let size = machine.size.as_ref()?;
                 unaccounted_usage =
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -84,8 +84,8 @@
                 let short = names.len() < request.count as usize;
                 for name in names {
                     let RentRequest { machine_type, zone, spot, .. } = request.clone();
-                    let types = &self.types;
-                    self.machines.entry(name.clone()).or_insert_with(|| {
+                    let types = &self.cluster.machine_types;
+                    self.cluster.machines.entry(name.clone()).or_insert_with(|| {
                         Machine::new(name, machine_type, zone, spot, types, now)
                     });
                 }
@@ -106,7 +106,7 @@
 
     /// Rents what the waiting work needs and returns what it doesn't.
     pub fn scale(&mut self, now: Instant) {
-        if self.types.is_empty() {
+        if self.cluster.machine_types.is_empty() {
             return;
         }
         self.replace_late_boots(now);
@@ -124,7 +124,7 @@
         let mut cheap = 0.0;
         let mut expensive = Vec::new();
         let mut expensive_cpus = 0.0;
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             let Some(size) = &machine.size else { continue };
             if machine.state() != MachineState::Up || machine.notice || machine.lease_expired {
                 continue;
@@ -137,7 +137,7 @@
             }
         }
         // Work that must not run on spot machines needs them.
-        let all_spot = self.jobs.values().all(|job| job.spec().spot);
+        let all_spot = self.cluster.jobs.values().all(|job| job.spec().spot);
         let enough = enough_cheap(cheap, expensive_cpus, want);
         if !enough || !all_spot || !self.is_reconciled() {
             return;
@@ -152,7 +152,7 @@
     fn wanted_cpus(&self) -> (f64, f64) {
         let mut all = 0.0;
         let mut spot = 0.0;
-        for job in self.jobs.values().filter(|j| j.may_start()) {
+        for job in self.cluster.jobs.values().filter(|j| j.may_start()) {
             let want = self.wanted_by(job);
             all += want;
             if job.spec().spot {
@@ -163,7 +163,7 @@
     }
 
     fn wanted_by(&self, job: &Job) -> f64 {
-        let run_s = job.expected_run_s(self.correction(&job.spec().class));
+        let run_s = job.expected_run_s(self.cluster.run_time_correction(&job.spec().class));
         // Tasks shorter than the horizon can follow one another on the same machine.
         let want = job.demand().cpus * (run_s / HORIZON_S).min(1.0);
         want.max(job.spec().cpus)
@@ -182,7 +182,7 @@
     ) -> f64 {
         // A machine that should have reported is probably gone. What that means for its tasks
         // is for S5 to tell; another machine may be asked for meanwhile.
-        let silence = self.config.silence();
+        let silence = self.cluster.config.silence();
         let silent =
             |m: &Machine| m.heard_at.is_some_and(|at| now.saturating_duration_since(at) > silence);
         let working = |m: &&Machine| {
@@ -194,6 +194,7 @@
                 && matches(m)
         };
         let rental_answered: f64 = self
+            .cluster
             .machines
             .values()
             .filter(working)
@@ -205,7 +206,7 @@
             .values()
             .filter(|r| rental_matches(r))
             .filter_map(|r| {
-                let size = self.types.iter().find(|t| t.name == r.machine_type)?;
+                let size = self.cluster.machine_types.iter().find(|t| t.name == r.machine_type)?;
                 Some(size.cpus * f64::from(r.count))
             })
             .sum();
@@ -224,7 +225,7 @@
                     && !m.lease_expired
             };
             let cpus = |m: &Machine| m.size.as_ref().map(|t| t.cpus);
-            self.machines.values().filter(working).filter_map(cpus).sum::<f64>()
+            self.cluster.machines.values().filter(working).filter_map(cpus).sum::<f64>()
         };
         let (cheap, expensive_cpus) = (coming(true), coming(false));
         let spot_unanswered = self.scaling.under_way.values().any(|request| request.spot);
@@ -249,7 +250,7 @@
     fn scale_out_for_constrained(&mut self, now: Instant) {
         type Bounds = (Option<String>, Option<Vec<String>>, bool);
         let mut bound: BTreeMap<Bounds, (f64, JobSpec)> = BTreeMap::new();
-        for job in self.jobs.values().filter(|job| job.may_start() && job.waiting() > 0) {
+        for job in self.cluster.jobs.values().filter(|job| job.may_start() && job.waiting() > 0) {
             let spec = job.spec();
             if spec.zone.is_some() || spec.types.is_some() || !spec.spot {
                 let key = (spec.zone.clone(), spec.types.clone(), spec.spot);
@@ -275,7 +276,7 @@
     /// Offers that were not refused lately and are not asked for at the moment.
     fn open_offers(&self, now: Instant) -> Vec<Priced> {
         let mut open = Vec::new();
-        for kind in &self.types {
+        for kind in &self.cluster.machine_types {
             for zone in &kind.zones {
                 for spot in [true, false] {
                     let offer = (kind.name.clone(), zone.clone(), spot);
@@ -325,13 +326,13 @@
 
     fn somebody_fits(&self, kind: &MachineType, zone: &str, spot: bool) -> bool {
         let waits = |job: &Job| job.may_start() && job.waiting() > 0;
-        self.jobs.values().any(|job| waits(job) && fits(job.spec(), kind, zone, spot))
+        self.cluster.jobs.values().any(|job| waits(job) && fits(job.spec(), kind, zone, spot))
     }
 
     /// Machines that take several times their boot time may never come up.
     fn replace_late_boots(&mut self, now: Instant) {
         let mut late = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             let boot_s = machine.size.as_ref().map_or(60.0, |t| t.boot_s);
             let limit = Duration::from_secs_f64(boot_s * 2.5 + 10.0);
             if machine.state() == MachineState::Booting
@@ -350,13 +351,13 @@
     fn headroom(&mut self, now: Instant) -> f64 {
         let soon = |job: &Job| {
             let class = job.spec().class.as_str();
-            self.config.objectives.iter().any(|o| match o.kind.as_str() {
+            self.cluster.config.objectives.iter().any(|o| match o.kind.as_str() {
                 "wait" => o.class.as_deref() == Some(class),
-                "guarantee" => self.config.teams[job.team].cpus > 0.0,
+                "guarantee" => self.cluster.config.teams[job.team].cpus > 0.0,
                 _ => false,
             })
         };
-        let asked = self.jobs.values().filter(|j| soon(j)).map(|j| j.demand().cpus);
+        let asked = self.cluster.jobs.values().filter(|j| soon(j)).map(|j| j.demand().cpus);
         let asked = asked.fold(0.0, f64::max);
         let (at, most) = self.scaling.lately;
         if asked >= most || at.is_none_or(|at| now.saturating_duration_since(at) > LATELY) {
@@ -366,12 +367,12 @@
     }
 
     fn scale_in_idle(&mut self, want: f64, supply: f64, now: Instant) {
-        let keep = self.config.idle_keep;
+        let keep = self.cluster.config.idle_keep;
         let short = keep.mul_f64(SHORT_KEEP);
         let headroom = self.headroom(now);
         let mut spare = supply - want;
         let mut idle: Vec<(f64, String, f64, bool)> = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             let Some(size) = &machine.size else { continue };
             if machine.state() != MachineState::Up || !machine.tasks.is_empty() {
                 machine.idle_since = None;
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -12,7 +12,8 @@
 impl Scheduler {
     /// Jobs that have to be claimed once more.
     pub fn jobs_to_reclaim(&self) -> Vec<JobId> {
-        let lease_expired = self.jobs.iter().filter(|(_, j)| j.state() == JobState::NeedsReclaim);
+        let lease_expired =
+            self.cluster.jobs.iter().filter(|(_, j)| j.state() == JobState::NeedsReclaim);
         lease_expired.map(|(id, _)| id.clone()).collect()
     }
 
@@ -32,12 +33,13 @@
         age: Duration,
         now: Instant,
     ) {
-        let Some(team) = self.config.teams.iter().position(|t| t.name == record.spec.team) else {
+        let Some(team) = self.cluster.config.teams.iter().position(|t| t.name == record.spec.team)
+        else {
             tracing::error!(job = %record.spec.id, "claimed a job of an unknown team");
             return;
         };
         let id = record.spec.id.clone();
-        if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.is_live()) {
+        if let Some(job) = self.cluster.jobs.get_mut(&id).filter(|j| j.is_live()) {
             job.reclaimed(record, version, now);
             if job.state() == JobState::DeadLettered {
                 self.stop_job(&id);
@@ -46,7 +48,7 @@
         }
         let mut job = Job::new(record, finished, version, team, age, now);
         // Tasks that fresh machines reported before the claim are taken up now.
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             for ((task, attempt), machine_task) in
                 machine.tasks.iter_mut().filter(|((t, _), _)| t.job == id)
             {
@@ -78,12 +80,12 @@
             claims = job.record.claims,
             "claimed"
         );
-        self.jobs.insert(id, job);
+        self.cluster.jobs.insert(id, job);
     }
 
     /// Closes all jobs that are no longer unfinished.
     pub fn close_all_but(&mut self, unfinished: impl Fn(&JobId) -> bool) {
-        let live = self.jobs.iter().filter(|(_, job)| job.is_live()).map(|(id, _)| id);
+        let live = self.cluster.jobs.iter().filter(|(_, job)| job.is_live()).map(|(id, _)| id);
         let over = live.chain(&self.unclaimed).filter(|id| !unfinished(id)).cloned();
         for id in over.collect::<Vec<JobId>>() {
             self.close_job(&id);
@@ -94,7 +96,7 @@
     /// is on machines is stopped, whether it was claimed yet or not.
     pub fn close_job(&mut self, id: &JobId) {
         let unclaimed = self.unclaimed.remove(id);
-        match self.jobs.get_mut(id) {
+        match self.cluster.jobs.get_mut(id) {
             Some(job) if job.is_live() => job.enter(JobState::Closing),
             None if unclaimed => {}
             _ => return,
@@ -106,7 +108,7 @@
 
     fn stop_job(&mut self, id: &JobId) {
         let mut orders: Vec<Action> = Vec::new();
-        for machine in self.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
+        for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             machine.tasks.retain(|(task, _), machine_task| {
                 !(task.job == *id && machine_task.state == MachineTaskState::Assigned)
             });
@@ -123,11 +125,14 @@
             }
         }
         self.actions.extend(orders);
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.cluster.jobs.get_mut(id) {
             let id = id.clone();
             let machine_task = |index: u32, placed: &Placed| {
                 let key = (TaskId { job: id.clone(), index }, placed.attempt);
-                self.machines.get(&placed.machine).is_some_and(|m| m.tasks.contains_key(&key))
+                self.cluster
+                    .machines
+                    .get(&placed.machine)
+                    .is_some_and(|m| m.tasks.contains_key(&key))
             };
             let active = job.active().iter();
             let lost: Vec<(u32, Placed)> = active
@@ -141,8 +146,8 @@
     }
 
     pub(super) fn sweep_job(&mut self, id: &JobId) {
-        if self.jobs.get(id).is_some_and(|j| !j.is_live() && j.active().is_empty()) {
-            self.jobs.remove(id);
+        if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.active().is_empty()) {
+            self.cluster.jobs.remove(id);
         }
     }
 }
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -15,7 +15,7 @@
     /// waited longest: in the order of their ids, the last of hundreds would never have their
     /// turn. Each has to be answered with [`Self::completion_committed`] or [`Self::completion_commit_failed`].
     pub fn due_completion_commits(&mut self, most: usize, now: Instant) -> Vec<CompletionCommit> {
-        let due = self.jobs.values_mut().filter_map(|job| {
+        let due = self.cluster.jobs.values_mut().filter_map(|job| {
             let waited_for = job.commit_due(now)?;
             Some((!waited_for, job.last_commit_at, job))
         });
@@ -73,7 +73,7 @@
 
     /// A settling write was carried out, at that version.
     pub fn completion_committed(&mut self, completion_commit: &CompletionCommit, version: u64) {
-        let Some(job) = self.jobs.get_mut(&completion_commit.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&completion_commit.job) else {
             return;
         };
         job.committing = false;
@@ -92,7 +92,7 @@
         id: &JobId,
         found: Option<(JobRecord, TaskSet, u64)>,
     ) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.committing = false;
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -33,22 +33,29 @@
         now: Instant,
     ) {
         let MachineRecord { addr, machine_type, zone, spot, .. } = record.clone();
-        let mut machine = Machine::new(name.to_owned(), machine_type, zone, spot, &self.types, now);
+        let mut machine = Machine::new(
+            name.to_owned(),
+            machine_type,
+            zone,
+            spot,
+            &self.cluster.machine_types,
+            now,
+        );
         machine.addr = addr;
         machine.recorded = Recorded::Yes;
         // It existed then, so the first lists may tell already that it is gone.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         // S6: the leader before us may have answered it until its fresh state ran out.
-        machine.answered_at = now + self.config.answer_limit;
+        machine.answered_at = now + self.cluster.config.answer_limit;
         machine.enter(MachineState::Up);
         self.unreconciled.insert(name.to_owned());
         self.unreconciled_since.get_or_insert(now);
-        self.machines.insert(name.to_owned(), machine);
+        self.cluster.machines.insert(name.to_owned(), machine);
     }
 
     /// Machines that have to be asked, under our term, what they hold, or whether they hear.
     pub fn fence_targets(&self) -> Vec<(String, String, u64)> {
-        let asked = self.machines.values().filter(|machine| {
+        let asked = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
@@ -61,7 +68,7 @@
     /// The newest order number known of a machine: what it says in answer to a question asked
     /// after this is newer.
     pub fn known_order(&self, name: &str) -> (u64, u64) {
-        self.machines.get(name).map_or((0, 0), |m| (m.agent_epoch, m.sequence))
+        self.cluster.machines.get(name).map_or((0, 0), |m| (m.agent_epoch, m.sequence))
     }
 
     /// A machine's answer to direct orders that were sent when `known` was the newest order
@@ -87,7 +94,7 @@
 
     /// Returns a machine at once, with all that it may hold; the answered deletion settles that.
     fn hand_back(&mut self, name: &str, why: &'static str) {
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if machine.state() != MachineState::Deleting {
@@ -106,7 +113,7 @@
             return;
         };
         let waited = now.saturating_duration_since(since);
-        let machines = self.machines.len();
+        let machines = self.cluster.machines.len();
         if self.unreconciled.is_empty() {
             let waited_s = waited.as_secs_f64();
             tracing::info!(machines, waited_s, "all machines accounted for after the take-over");
@@ -114,7 +121,7 @@
             return;
         }
         let few = FEW_UNRECONCILED.min(machines / 2).max(machines / UNRECONCILED_PART);
-        let grace = self.config.heartbeat_interval + RECONCILIATION_GRACE;
+        let grace = self.cluster.config.heartbeat_interval + RECONCILIATION_GRACE;
         let coming = self
             .accounted_at
             .is_some_and(|at| now.saturating_duration_since(at) < RECONCILIATION_QUIET);
@@ -122,7 +129,10 @@
             return;
         }
         let asked = |name: &&String| {
-            self.machines.get(*name).is_some_and(|machine| machine.unanswered >= GIVEN_UP_AFTER)
+            self.cluster
+                .machines
+                .get(*name)
+                .is_some_and(|machine| machine.unanswered >= GIVEN_UP_AFTER)
         };
         let silent: Vec<String> = self.unreconciled.iter().filter(asked).cloned().collect();
         for name in silent {
@@ -132,7 +142,7 @@
 
     /// A machine did not answer direct orders in time.
     pub fn unanswered(&mut self, name: &str) {
-        if let Some(machine) = self.machines.get_mut(name) {
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.unanswered += 1;
         }
     }
--- a/crates/core/src/scheduler/heartbeats.rs
+++ b/crates/core/src/scheduler/heartbeats.rs
@@ -23,12 +23,12 @@
         if self.gone_names.contains(&heartbeat.machine) {
             return Verdict::Stale;
         }
-        let known = self.machines.contains_key(&heartbeat.machine);
+        let known = self.cluster.machines.contains_key(&heartbeat.machine);
         if !known {
             tracing::debug!(machine = %heartbeat.machine, kind = %heartbeat.machine_type, "new machine");
         }
-        let types = &self.types;
-        let machine = self.machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
+        let types = &self.cluster.machine_types;
+        let machine = self.cluster.machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
             Machine::new(
                 heartbeat.machine.clone(),
                 heartbeat.machine_type.clone(),
@@ -65,7 +65,7 @@
         }
         machine.addr.clone_from(&heartbeat.addr);
         let gap = machine.heard_at.map(|at| now.saturating_duration_since(at));
-        let prompt = gap.filter(|gap| *gap <= self.config.heartbeat_interval.mul_f64(1.5));
+        let prompt = gap.filter(|gap| *gap <= self.cluster.config.heartbeat_interval.mul_f64(1.5));
         machine.heard_at = Some(now);
         machine.notice = heartbeat.notice_s.is_some();
         if machine.state() == MachineState::Booting {
@@ -135,7 +135,7 @@
             };
             completion_committed && !reported.contains(key)
         };
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         let lost: Vec<((TaskId, u64), bool)> = machine
@@ -161,8 +161,8 @@
         now: Instant,
     ) -> bool {
         let key = (task.task.clone(), task.attempt);
-        let job = self.jobs.get_mut(&task.task.job);
-        let Some(machine) = self.machines.get_mut(name) else {
+        let job = self.cluster.jobs.get_mut(&task.task.job);
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return false;
         };
         let state = match (task.phase, task.cause) {
@@ -204,7 +204,13 @@
                     if let (Some((MachineTaskState::Running, since)), Some(gap)) = (before, prompt)
                     {
                         let ran = now.duration_since(since);
-                        Self::note_run(&mut self.corrections, job, machine, ran, gap);
+                        Self::note_run(
+                            &mut self.cluster.run_time_corrections,
+                            job,
+                            machine,
+                            ran,
+                            gap,
+                        );
                     }
                 }
             }
@@ -269,10 +275,10 @@
     }
 
     fn note_exit(&mut self, name: &str, task: &TaskStatus, now: Instant) {
-        let Some(job) = self.jobs.get_mut(&task.task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.task.job) else {
             return;
         };
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         match task.cause {
@@ -310,12 +316,12 @@
     }
 
     fn drain_noticed(&mut self, name: &str) {
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         let mut saving: Vec<((TaskId, u64), Duration)> = Vec::new();
         for (key, machine_task) in machine.tasks.iter() {
-            let Some(job) = self.jobs.get(&key.0.job) else {
+            let Some(job) = self.cluster.jobs.get(&key.0.job) else {
                 continue;
             };
             let saves = job.spec().checkpoint_s > 0.0;
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -16,34 +16,34 @@
 impl Scheduler {
     /// Takes over the cloud's machine types, also for machines known already.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             machine.size = types.iter().find(|t| t.name == machine.type_name).cloned();
         }
-        self.types = types;
+        self.cluster.machine_types = types;
     }
 
     /// Takes a machine out of use: it gets no new work, and is returned once it is empty.
     pub fn drain(&mut self, name: &str) {
-        if let Some(machine) = self.machines.get_mut(name) {
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.enter(MachineState::Draining);
         }
     }
 
     /// The machine's record is in the state service.
     pub fn machine_recorded(&mut self, name: &str, stored: bool) {
-        if let Some(machine) = self.machines.get_mut(name) {
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.recorded = if stored { Recorded::Yes } else { Recorded::No };
         }
     }
 
     /// Takes a task off a machine that surely no longer has it.
     pub(super) fn release(&mut self, name: &str, key: &(TaskId, u64)) {
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if let Some(machine_task) = machine.tasks.remove(key) {
             tracing::debug!(task = %key.0, machine = name, attempt = key.1, was = ?machine_task.state, "task off");
-            if let Some(job) = self.jobs.get_mut(&key.0.job) {
+            if let Some(job) = self.cluster.jobs.get_mut(&key.0.job) {
                 job.release(key.0.index, name, key.1);
             }
             self.sweep_job(&key.0.job);
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn drop_held(&mut self, name: &str, which: impl Fn(&MachineTask) -> bool) {
-        let Some(machine) = self.machines.get(name) else {
+        let Some(machine) = self.cluster.machines.get(name) else {
             return;
         };
         let keys: Vec<(TaskId, u64)> =
@@ -63,7 +63,7 @@
 
     fn machine_gone(&mut self, name: &str) {
         self.drop_held(name, |_| true);
-        if let Some(machine) = self.machines.remove(name) {
+        if let Some(machine) = self.cluster.machines.remove(name) {
             tracing::debug!(machine = name, "machine gone");
             if machine.recorded != Recorded::No {
                 self.actions.push(Action::Erase(name.to_owned()));
@@ -73,7 +73,7 @@
         if self.gone_names.insert(name.to_owned()) {
             self.gone.push_back(name.to_owned());
         }
-        if self.gone.len() > MIN_GONE.max(self.machines.len() * GONE_A_MACHINE) {
+        if self.gone.len() > MIN_GONE.max(self.cluster.machines.len() * GONE_A_MACHINE) {
             if let Some(oldest) = self.gone.pop_front() {
                 self.gone_names.remove(&oldest);
             }
@@ -89,7 +89,7 @@
 
     /// A whole list of the cloud, asked for at `asked`.
     pub fn on_list(&mut self, list: &[ListedMachine], asked: Instant, now: Instant) {
-        let commit_wanted = self.config.list_settles_after();
+        let commit_wanted = self.cluster.config.list_settles_after();
         let mut listed: BTreeSet<&str> = BTreeSet::new();
         for entry in list {
             listed.insert(&entry.name);
@@ -97,14 +97,14 @@
                 continue;
             }
             if entry.state == ListedState::Failed {
-                if self.machines.contains_key(&entry.name) {
+                if self.cluster.machines.contains_key(&entry.name) {
                     self.machine_gone(&entry.name);
                     self.actions.push(Action::Delete(vec![entry.name.clone()]));
                 }
                 continue;
             }
-            let types = &self.types;
-            let machine = self.machines.entry(entry.name.clone()).or_insert_with(|| {
+            let types = &self.cluster.machine_types;
+            let machine = self.cluster.machines.entry(entry.name.clone()).or_insert_with(|| {
                 let mut machine = Machine::new(
                     entry.name.clone(),
                     entry.machine_type.clone(),
@@ -122,7 +122,7 @@
             }
         }
         let mut missing = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             // It existed when we came to know it, and this list describes a later moment.
             if !listed.contains(machine.name.as_str())
                 && asked >= machine.known_since + commit_wanted
@@ -139,7 +139,7 @@
     pub(super) fn tick_machines(&mut self, now: Instant) {
         let mut delete = Vec::new();
         let again = self.last_delete.is_none_or(|at| now.duration_since(at) >= DELETE_RETRY);
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             if machine.state() == MachineState::Draining && machine.tasks.is_empty() {
                 machine.enter(MachineState::Deleting);
                 delete.push(machine.name.clone());
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -9,6 +9,7 @@
 mod machines;
 mod orders;
 
+use crate::cluster::Cluster;
 use crate::config::Config;
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability};
@@ -113,11 +114,8 @@
 
 /// The scheduler of one leader: all claimed jobs, all machines, and the decisions.
 pub struct Scheduler {
-    pub(crate) config: Config,
+    pub(crate) cluster: Cluster,
     term: u64,
-    pub(crate) types: Vec<MachineType>,
-    pub(crate) jobs: BTreeMap<JobId, Job>,
-    pub(crate) machines: BTreeMap<String, Machine>,
     gone: VecDeque<String>,
     gone_names: HashSet<String>,
     /// Unfinished jobs that are not claimed yet: their tasks are let be.
@@ -131,8 +129,6 @@
     pub(crate) actions: Vec<Action>,
     pub(crate) rng: SmallRng,
     pub(crate) scaling: ScalingState,
-    /// Run time seen against the owners' guesses, by class: count and sum of ratios.
-    pub(crate) corrections: HashMap<String, (u32, f64)>,
     last_delete: Option<Instant>,
     pub(crate) passes: u64,
     /// What happened to machines since the last log line of its kind: how often, and to which.
@@ -147,11 +143,8 @@
     /// A leader without jobs and machines, under a term that nobody else ever holds.
     pub fn new(config: Config, term: u64, seed: u64) -> Self {
         Self {
-            config,
+            cluster: Cluster::new(config),
             term,
-            types: Vec::new(),
-            jobs: BTreeMap::new(),
-            machines: BTreeMap::new(),
             gone: VecDeque::new(),
             gone_names: HashSet::new(),
             unclaimed: BTreeSet::new(),
@@ -161,7 +154,6 @@
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             scaling: ScalingState::new(term),
-            corrections: HashMap::new(),
             last_delete: None,
             passes: 0,
             noted: BTreeMap::new(),
@@ -188,17 +180,17 @@
 
     /// A claimed job.
     pub fn job(&self, id: &JobId) -> Option<&Job> {
-        self.jobs.get(id)
+        self.cluster.jobs.get(id)
     }
 
     /// A known machine.
     pub fn machine(&self, name: &str) -> Option<&Machine> {
-        self.machines.get(name)
+        self.cluster.machines.get(name)
     }
 
     /// How many machines are known.
     pub fn machine_count(&self) -> usize {
-        self.machines.len()
+        self.cluster.machines.len()
     }
 
     /// Notes what operators should know of a machine. Whole waves of them share a log line.
@@ -214,6 +206,7 @@
             return;
         }
         let deaf = self
+            .cluster
             .machines
             .values()
             .filter(|m| m.reachability() == Reachability::Unreachable)
@@ -230,10 +223,10 @@
 
     /// Everything that only time brings about.
     pub fn tick(&mut self, now: Instant) {
-        let lease_expiry = self.config.lease_expiry_after();
+        let lease_expiry = self.cluster.config.lease_expiry_after();
         let mut unassign = Vec::new();
         let mut lease_expired = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.cluster.machines.values_mut() {
             if !machine.lease_expired
                 && machine.state() != MachineState::Booting
                 && now.saturating_duration_since(machine.answered_at) > lease_expiry
@@ -266,7 +259,7 @@
         for name in unassign {
             self.drop_held(&name, |machine_task| machine_task.state == MachineTaskState::Assigned);
         }
-        for job in self.jobs.values_mut() {
+        for job in self.cluster.jobs.values_mut() {
             if matches!(job.state(), JobState::BackingOff(until) if now >= until) {
                 job.enter(JobState::NeedsReclaim);
             }
@@ -278,18 +271,18 @@
                     && m.allows(&job.record.spec)
                     && !job.failed_on.contains(&m.name)
             };
-            if !job.failed_on.is_empty() && !self.machines.values().any(untried) {
+            if !job.failed_on.is_empty() && !self.cluster.machines.values().any(untried) {
                 job.back_off(now);
             }
         }
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             for (job, count) in &machine.tasks.totals().running {
                 *running.entry(job).or_default() += count;
             }
         }
         for (id, count) in running {
-            if let Some(job) = self.jobs.get_mut(id) {
+            if let Some(job) = self.cluster.jobs.get_mut(id) {
                 job.running = count;
             }
         }
@@ -298,23 +291,13 @@
         self.tell_noted(now);
     }
 
-    pub(crate) fn usage(&self) -> Vec<Usage> {
-        let mut usage = vec![Usage::default(); self.config.teams.len()];
-        for machine in self.machines.values() {
-            for (sum, used) in usage.iter_mut().zip(&machine.tasks.totals().by_team) {
-                *sum = sum.plus(*used);
-            }
-        }
-        usage
-    }
-
     /// Figures for operators.
     pub fn overview(&self, now: Instant) -> Overview {
-        let mut view = Overview { jobs: self.jobs.len(), ..Overview::default() };
+        let mut view = Overview { jobs: self.cluster.jobs.len(), ..Overview::default() };
         view.unreconciled = self.unreconciled.len();
         view.passes = self.passes;
         view.steps = self.steps.get();
-        for (id, job) in &self.jobs {
+        for (id, job) in &self.cluster.jobs {
             view.waiting_tasks += u64::from(job.waiting());
             view.running_tasks += u64::from(job.running);
             view.most_claims = view.most_claims.max(job.record.claims);
@@ -327,7 +310,7 @@
                 view.oldest_waiting = Some((id.clone(), age));
             }
         }
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             match machine.state() {
                 MachineState::Up => view.machines_up += 1,
                 MachineState::Booting => view.machines_booting += 1,
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -11,22 +11,22 @@
 impl Scheduler {
     /// Whether a placement pass might start something there, now that it has reported.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
-        self.machines.get(name).is_some_and(|machine| {
+        self.cluster.machines.get(name).is_some_and(|machine| {
             machine.takes_work(now, Duration::MAX)
                 && machine.free().is_some_and(|free| free.cpus > 0.0)
-        }) && self.jobs.values().any(|job| job.may_start() && job.waiting() > 0)
+        }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting() > 0)
     }
 
     /// Whether starts wait for that machine's next report.
     pub fn has_starts_for(&self, name: &str) -> bool {
         let assigned =
             |machine_task: &MachineTask| machine_task.state == MachineTaskState::Assigned;
-        self.machines.get(name).is_some_and(|machine| machine.tasks.values().any(assigned))
+        self.cluster.machines.get(name).is_some_and(|machine| machine.tasks.values().any(assigned))
     }
 
     /// Whether the answer to a report may wait for work: the machine has nothing to tell.
     pub fn may_hold(&self, name: &str) -> bool {
-        self.machines.get(name).is_some_and(|m| {
+        self.cluster.machines.get(name).is_some_and(|m| {
             m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
         })
     }
@@ -41,7 +41,7 @@
         may_start: bool,
         now: Instant,
     ) -> Vec<Order> {
-        let Some(machine) = self.machines.get_mut(name) else {
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
             return Vec::new();
         };
         machine.answered(self.term, now);
@@ -50,7 +50,7 @@
         }
         let mut orders = Vec::new();
         for ((task, attempt), machine_task) in machine.tasks.iter_mut() {
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             if job.is_none() && self.unclaimed.contains(&task.job) {
                 continue;
             }
@@ -78,7 +78,7 @@
                 if machine_task.state != MachineTaskState::Assigned || orders.len() >= MAX_ORDERS {
                     continue;
                 }
-                let Some(job) = self.jobs.get(&task.job).filter(|j| j.may_start()) else {
+                let Some(job) = self.cluster.jobs.get(&task.job).filter(|j| j.may_start()) else {
                     continue;
                 };
                 // The order's generation must be that of the job's record.
--- a/crates/corkfield/src/completion_commits.rs
+++ b/crates/corkfield/src/completion_commits.rs
@@ -1,6 +1,7 @@
 //! Storing finished tasks and first starts, with the generation of our claim as condition (S9).
 
-use crate::node::{now, Node};
+use crate::clock::now;
+use crate::node::Node;
 use corkfield_core::{CompletionCommit, Scheduler};
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{
@@ -27,13 +28,13 @@
 
 pub async fn run(node: &Rc<Node>, scheduler: &SharedScheduler) {
     let under_way = Rc::new(());
-    let most = node.settings.platform.params.state.txn_ops.max(4) as usize;
+    let most = node.env.settings.platform.params.state.txn_ops.max(4) as usize;
     loop {
         let free = AT_ONCE.saturating_sub(Rc::strong_count(&under_way) - 1);
         let due = scheduler.borrow_mut().due_completion_commits(free * most / 2, now());
         if due.is_empty() {
             let woken = node.leadership.commit_wanted.notified();
-            node.timers.within(IDLE_INTERVAL, woken).await;
+            node.env.timers.within(IDLE_INTERVAL, woken).await;
             continue;
         }
         for batch in batches(due, most) {
@@ -103,7 +104,7 @@
         transaction.conditions.extend(write.transaction.conditions.iter().cloned());
         transaction.changes.extend(write.transaction.changes.iter().cloned());
     }
-    let outcome = node.state.transaction(RequestClass::Completion, &transaction).await;
+    let outcome = node.env.state.transaction(RequestClass::Completion, &transaction).await;
     match &outcome {
         Ok(version) => {
             for Write { completion_commit, .. } in &batch {
@@ -146,7 +147,7 @@
     id: &JobId,
     ours: &JobRecord,
 ) -> Option<(JobRecord, TaskSet, u64)> {
-    let Ok(read) = node.state.get(RequestClass::Completion, &job_key(id)).await else {
+    let Ok(read) = node.env.state.get(RequestClass::Completion, &job_key(id)).await else {
         return None;
     };
     let Some(item) = read else {
@@ -173,7 +174,7 @@
 
 /// Finished tasks of a job that is too large to keep them in its record; `None` without an answer.
 pub async fn finished_chunks(node: &Node, id: &JobId) -> Option<TaskSet> {
-    let (items, _) = node.state.list(RequestClass::Claim, &finished_prefix(id)).await.ok()?;
+    let (items, _) = node.env.state.list(RequestClass::Claim, &finished_prefix(id)).await.ok()?;
     let mut all = TaskSet::default();
     for item in items {
         if let Ok(set) = serde_json::from_value::<TaskSet>(item.value) {
@@ -190,6 +191,6 @@
         let transaction = part
             .iter()
             .fold(Transaction::default(), |transaction, key| transaction.delete(key.clone()));
-        let _ = node.state.transaction(RequestClass::Housekeeping, &transaction).await;
+        let _ = node.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
     }
 }
--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -3,7 +3,7 @@
 use super::fencing::send_direct_orders;
 use super::provisioning::rent_machines;
 use super::ActiveLeader;
-use crate::node::wall_ms;
+use crate::clock::wall_ms;
 use corkfield_core::Action;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::cloud::MAX_RENT;
@@ -48,7 +48,7 @@
 
     /// How many changes a transaction may have.
     fn txn_changes(&self) -> usize {
-        self.node.settings.platform.params.state.txn_ops.max(1) as usize
+        self.node.env.settings.platform.params.state.txn_ops.max(1) as usize
     }
 
     /// Writes the records of machines that came up. Those that come while as many writes as may be
@@ -101,7 +101,7 @@
             }
             Action::Delete(names) => {
                 tokio::task::spawn_local(async move {
-                    match node.cloud.delete(names.clone()).await {
+                    match node.env.cloud.delete(names.clone()).await {
                         Ok(()) => {
                             scheduler.borrow_mut().deleted(&names);
                             node.leadership.actions.notify_one();
@@ -129,7 +129,7 @@
         }
         tokio::task::spawn_local(async move {
             // After what users send: a fleet that comes up has hundreds of these.
-            let stored = node.state.transaction(RequestClass::Completion, &transaction).await;
+            let stored = node.env.state.transaction(RequestClass::Completion, &transaction).await;
             for (name, _) in &machines {
                 scheduler.borrow_mut().machine_recorded(name, stored.is_ok());
             }
@@ -151,7 +151,7 @@
                     .iter()
                     .fold(transaction, |transaction, name| transaction.delete(machine_key(name)));
                 let Err(error) =
-                    node.state.transaction(RequestClass::Housekeeping, &transaction).await
+                    node.env.state.transaction(RequestClass::Housekeeping, &transaction).await
                 else {
                     return;
                 };
@@ -160,7 +160,7 @@
                 if matches!(error, StateError::Conflict(_)) && version == current.get() {
                     return;
                 }
-                node.pause(500..1500).await;
+                node.env.pause(500..1500).await;
             }
         });
     }
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -1,8 +1,8 @@
 //! Claims of job records under the leader record.
 
 use super::ActiveLeader;
+use crate::clock::now;
 use crate::completion_commits::{finished_chunks, MOST_BYTES};
-use crate::node::now;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, job_key, JobRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
@@ -34,7 +34,7 @@
             let changed = self.node.replica.changed.notified();
             let claimed = self.claim_round().await;
             if !claimed {
-                self.node.timers.within(CLAIM_INTERVAL, changed).await;
+                self.node.env.timers.within(CLAIM_INTERVAL, changed).await;
             }
         }
     }
@@ -64,8 +64,8 @@
             }
         }
         due.sort_by_key(|(record, _)| (record.spec.priority, record.accepted_ms));
-        let most = self.node.settings.platform.params.state.txn_ops.max(1) as usize;
-        let batch = (self.node.settings.operator.claim_batch as usize).min(most);
+        let most = self.node.env.settings.platform.params.state.txn_ops.max(1) as usize;
+        let batch = (self.node.env.settings.operator.claim_batch as usize).min(most);
         // A failover has hundreds of them. How long they take is set by the changes that may be
         // written a second; larger claims spare most of the transactions.
         let batch = if due.len() > MANY_DUE { most } else { batch };
@@ -83,7 +83,7 @@
     async fn claim(&self, batch: Vec<(JobRecord, u64)>) -> bool {
         let mut transaction = Transaction::default()
             .when(LEADER_KEY, self.version.get())
-            .when(controller_key(&self.node.name), self.me.version);
+            .when(controller_key(&self.node.env.name), self.me.version);
         let mut claimed = Vec::new();
         for (mut record, version) in batch {
             let owner = self.me.incarnation.clone();
@@ -93,7 +93,7 @@
                 true => record.claim(owner),
                 false => record.claim_without_starts(owner),
             }
-            if record.claims > self.node.settings.operator.claim_limit {
+            if record.claims > self.node.env.settings.operator.claim_limit {
                 tracing::warn!(job = %record.spec.id, claims = record.claims, "claim limit reached; set aside");
                 record.dead_lettered = true;
             }
@@ -102,7 +102,8 @@
             transaction = transaction.when(key.clone(), version).put(key, value);
             claimed.push(record);
         }
-        let version = match self.node.state.transaction(RequestClass::Claim, &transaction).await {
+        let version = match self.node.env.state.transaction(RequestClass::Claim, &transaction).await
+        {
             Ok(version) => version,
             Err(StateError::NoAnswer(_)) => match self.claim_landed(&claimed[0]).await {
                 Some(version) => version,
@@ -110,7 +111,7 @@
             },
             Err(error) => {
                 tracing::debug!(%error, "claim failed");
-                self.node.pause(50..150).await;
+                self.node.env.pause(50..150).await;
                 return false;
             }
         };
@@ -153,8 +154,13 @@
 
     /// Whether a claim without an answer was carried out (all of it, as it is one transaction).
     async fn claim_landed(&self, record: &JobRecord) -> Option<u64> {
-        let item =
-            self.node.state.get(RequestClass::Claim, &job_key(&record.spec.id)).await.ok()??;
+        let item = self
+            .node
+            .env
+            .state
+            .get(RequestClass::Claim, &job_key(&record.spec.id))
+            .await
+            .ok()??;
         let found: JobRecord = serde_json::from_value(item.value).ok()?;
         (found.owner == record.owner && found.generation == record.generation)
             .then_some(item.version)
--- a/crates/corkfield/src/leadership/failover.rs
+++ b/crates/corkfield/src/leadership/failover.rs
@@ -1,7 +1,8 @@
 //! Election and hand-over: who holds the leader record, and when it passes on.
 
 use super::{ActiveLeader, LeadershipEnd};
-use crate::node::{now, Node};
+use crate::clock::now;
+use crate::node::Node;
 use crate::session_lease::Current;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{
@@ -30,7 +31,7 @@
             tokio::select! {
                 () = changed => {}
                 () = lease => {}
-                () = self.node.timers.tick(LEADERSHIP_CHECK) => {}
+                () = self.node.env.timers.tick(LEADERSHIP_CHECK) => {}
             }
         }
     }
@@ -39,7 +40,7 @@
     /// hand-over's transaction takes.
     pub(super) async fn until_handed_over(&self) {
         while !self.hand_over().await {
-            self.node.timers.tick(LEADERSHIP_CHECK).await;
+            self.node.env.timers.tick(LEADERSHIP_CHECK).await;
         }
     }
 
@@ -52,7 +53,7 @@
             .last_heartbeat
             .get()
             .map_or(Duration::ZERO, |at| now().saturating_duration_since(at));
-        let workers = &self.node.settings.platform.params.workers;
+        let workers = &self.node.env.settings.platform.params.workers;
         if quiet < workers.heartbeat_interval().mul_f64(1.5) + Duration::from_secs(1)
             || !self.node.leadership.is_ready()
         {
@@ -61,7 +62,7 @@
         let successor = {
             let contents = self.node.replica.contents.borrow();
             let mut recent = contents.transfer_requested_within(Duration::from_secs(3));
-            recent.find(|name| **name != self.node.name).cloned()
+            recent.find(|name| **name != self.node.env.name).cloned()
         };
         let Some(successor) = successor else {
             return false;
@@ -76,7 +77,7 @@
         let transaction =
             Transaction::default().when(LEADER_KEY, self.version.get()).put(LEADER_KEY, value);
         tracing::info!(%successor, "no worker reports here; handing over");
-        self.node.state.transaction(RequestClass::Lease, &transaction).await.is_ok()
+        self.node.env.state.transaction(RequestClass::Lease, &transaction).await.is_ok()
     }
 }
 
@@ -89,8 +90,8 @@
         // Carried out late, it must not drive out another leader than the one it is about.
         let transaction = Transaction::default()
             .when(LEADER_KEY, scheduler)
-            .put(transfer_request_key(&node.name), value);
-        let _ = node.state.transaction(RequestClass::Housekeeping, &transaction).await;
+            .put(transfer_request_key(&node.env.name), value);
+        let _ = node.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
         tokio::time::sleep(Duration::from_millis(700)).await;
     }
 }
@@ -123,32 +124,33 @@
     };
     let mut transaction = Transaction::default()
         .when(LEADER_KEY, version)
-        .when(controller_key(&node.name), me.version);
+        .when(controller_key(&node.env.name), me.version);
     match holder {
         // Its holder is there, unless that is this controller, which does not plan: the answer
         // to its claim was lost, or planning broke off. It claims anew, under a new term.
-        Some((key, None)) if key != controller_key(&node.name) => return None,
-        Some((key, Some(version))) if key != controller_key(&node.name) => {
+        Some((key, None)) if key != controller_key(&node.env.name) => return None,
+        Some((key, Some(version))) if key != controller_key(&node.env.name) => {
             transaction = transaction.when(key, version);
         }
         _ => {}
     }
     let successor = old.as_ref().and_then(|record| record.successor.clone());
-    if successor.is_some_and(|name| name != node.name) {
+    if successor.is_some_and(|name| name != node.env.name) {
         tokio::time::sleep(SUCCESSOR_HEAD_START).await;
     } else {
         // Not all at once.
-        node.pause(0..60).await;
+        node.env.pause(0..60).await;
     }
     let term = old.map_or(0, |record| record.term).max(node.leadership.highest_seen_term.get()) + 1;
     let record = LeaderRecord {
-        node: Some(node.name.clone()),
+        node: Some(node.env.name.clone()),
         incarnation: me.incarnation.clone(),
         term,
         successor: None,
     };
     let value = serde_json::to_value(&record).unwrap_or_default();
-    match node.state.transaction(RequestClass::Claim, &transaction.put(LEADER_KEY, value)).await {
+    match node.env.state.transaction(RequestClass::Claim, &transaction.put(LEADER_KEY, value)).await
+    {
         Ok(version) => Some((me, version, term)),
         Err(error) => {
             tracing::debug!(%error, "planner record not taken");
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -1,8 +1,9 @@
 //! Fences and other direct orders, and terms that workers have seen above ours (S7).
 
 use super::{ActiveLeader, Leadership};
+use crate::clock::now;
 use crate::completion_commits::SharedScheduler;
-use crate::node::{now, Node};
+use crate::node::Node;
 use corkfield_core::Verdict;
 use corkfield_http::Client;
 use corkfield_state::RequestClass;
@@ -44,7 +45,7 @@
                 if self.scheduler.borrow().is_reconciled() {
                     tried.clear();
                 }
-                self.node.timers.tick(IDLE_INTERVAL).await;
+                self.node.env.timers.tick(IDLE_INTERVAL).await;
                 continue;
             }
             // Those that never answered come after those that were never asked.
@@ -67,11 +68,11 @@
             let seen = self.node.leadership.highest_seen_term.get();
             let term = self.scheduler.borrow().term();
             if seen <= term {
-                self.node.timers.tick(IDLE_INTERVAL).await;
+                self.node.env.timers.tick(IDLE_INTERVAL).await;
                 continue;
             }
             let record = LeaderRecord {
-                node: Some(self.node.name.clone()),
+                node: Some(self.node.env.name.clone()),
                 incarnation: self.me.incarnation.clone(),
                 term: seen + 1,
                 successor: None,
@@ -79,7 +80,7 @@
             let value = serde_json::to_value(&record).unwrap_or_default();
             let transaction =
                 Transaction::default().when(LEADER_KEY, self.version.get()).put(LEADER_KEY, value);
-            match self.node.state.transaction(RequestClass::Claim, &transaction).await {
+            match self.node.env.state.transaction(RequestClass::Claim, &transaction).await {
                 Ok(version) => {
                     self.version.set(version);
                     self.scheduler.borrow_mut().raise_term(seen + 1);
@@ -106,7 +107,7 @@
     // fence, soon again.
     let Some(_under_way) = node
         .leadership
-        .begin_direct_orders(machine, node.settings.sockets().direct_orders_in_flight)
+        .begin_direct_orders(machine, node.env.settings.sockets().direct_orders_in_flight)
     else {
         tracing::debug!(machine, "too many direct orders under way");
         return;
@@ -116,7 +117,7 @@
     for _ in 0..2 {
         let term = scheduler.borrow().term();
         let body = serde_json::to_vec(&DirectOrders { term, agent_epoch, orders: orders.clone() });
-        let client = Client::new(node.network.clone(), addr, 1, 256 * 1024);
+        let client = Client::new(node.env.network.clone(), addr, 1, 256 * 1024);
         let body = body.unwrap_or_default();
         let known = scheduler.borrow().known_order(machine);
         let reply = match client.request("POST", PATH_COMMANDS, &body, DIRECT_TIMEOUT).await {
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -9,8 +9,9 @@
 mod overview;
 mod provisioning;
 
+use crate::clock::{now, wall_ms};
 use crate::completion_commits::{self, SharedScheduler};
-use crate::node::{now, wall_ms, Node};
+use crate::node::Node;
 use crate::replica::{ReplicaContents, StoreReplica};
 use crate::session_lease::Current;
 use cancelled::Cancelled;
@@ -271,7 +272,7 @@
 }
 
 fn standby_budget(node: &Node) -> RateBudget {
-    let others = f64::from(node.settings.platform.params.size.saturating_sub(1).max(1));
+    let others = f64::from(node.env.settings.platform.params.size.saturating_sub(1).max(1));
     RateBudget {
         requests: (1.0 - LEADER_REQUESTS) / others,
         writes: (1.0 - LEADER_WRITES) / others,
@@ -285,19 +286,19 @@
 /// Stands by, and plans whenever the record can be claimed.
 pub async fn run(node: Rc<Node>) {
     node.leadership.end();
-    node.state.set_budget(standby_budget(&node));
+    node.env.state.set_budget(standby_budget(&node));
     loop {
         if let Some((me, version, term)) = failover(&node).await {
             tracing::info!(term, "planning");
             node.leadership.leading.set(true);
-            node.state.set_budget(LEADER_BUDGET);
+            node.env.state.set_budget(LEADER_BUDGET);
             let end = lead(&node, &me, version, term).await;
             node.leadership.end();
-            node.state.set_budget(standby_budget(&node));
+            node.env.state.set_budget(standby_budget(&node));
             tracing::info!(term, ?end, "no longer planning");
         }
         let changed = node.replica.changed.notified();
-        node.timers.within(STANDBY_INTERVAL, changed).await;
+        node.env.timers.within(STANDBY_INTERVAL, changed).await;
         request_transfer(&node).await;
     }
 }
@@ -319,8 +320,8 @@
 }
 
 async fn lead(node: &Rc<Node>, me: &Current, version: u64, term: u64) -> LeadershipEnd {
-    let seed = node.random();
-    let scheduler = Scheduler::new(node.settings.scheduler_config(), term, seed);
+    let seed = node.env.random();
+    let scheduler = Scheduler::new(node.env.settings.scheduler_config(), term, seed);
     let version = Rc::new(Cell::new(version));
     let active = ActiveLeader {
         node,
@@ -349,7 +350,7 @@
     async fn run(&self) {
         // Every machine that may hold tasks has a record, written before its first task.
         loop {
-            match self.node.state.list(RequestClass::Claim, MACHINE_RECORDS_PREFIX).await {
+            match self.node.env.state.list(RequestClass::Claim, MACHINE_RECORDS_PREFIX).await {
                 Ok((items, _)) => {
                     for item in items {
                         let Some(name) = item.key.strip_prefix(MACHINE_RECORDS_PREFIX) else {
@@ -357,7 +358,7 @@
                         };
                         match serde_json::from_value::<MachineRecord>(item.value) {
                             Ok(record) => {
-                                let age = self.node.age_at_least(record.recorded_ms);
+                                let age = self.node.env.age_at_least(record.recorded_ms);
                                 let mut scheduler = self.scheduler.borrow_mut();
                                 scheduler.recorded_machine(name, &record, age, now());
                             }
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -1,6 +1,8 @@
 //! The operators' view.
 
-use crate::node::{json, now, Node};
+use crate::clock::now;
+use crate::node::Node;
+use crate::responses::json;
 use corkfield_http::Response;
 
 /// What operators see: the queue, the claims, what was set aside.
@@ -8,7 +10,7 @@
     let contents = node.replica.contents.borrow();
     let scheduler = contents.scheduler.as_ref().and_then(|(record, _)| record.node.clone());
     let mut body = serde_json::json!({
-        "node": node.name,
+        "node": node.env.name,
         "planner": scheduler,
         "unfinished_jobs": contents.jobs.len(),
         "set_aside": contents.jobs.iter().filter(|(_, (r, _))| r.dead_lettered).map(|(id, _)| id.to_string()).collect::<Vec<_>>(),
--- a/crates/corkfield/src/leadership/provisioning.rs
+++ b/crates/corkfield/src/leadership/provisioning.rs
@@ -1,8 +1,9 @@
 //! What only time and the cloud bring: ticks, lists of machines, machine types.
 
 use super::ActiveLeader;
+use crate::clock::now;
 use crate::completion_commits::SharedScheduler;
-use crate::node::{now, Node};
+use crate::node::Node;
 use corkfield_cloud::CloudError;
 use corkfield_state::RequestClass;
 use corkfield_wire::cloud::{MachineType, RentRequest};
@@ -30,7 +31,7 @@
             // rental that was filled: a request has a few dozen machines at most, and a fleet of
             // thousands would otherwise be asked for at that many a second.
             let pass_wanted = self.scaling_wanted.notified();
-            let woken = self.node.timers.within(self.tick_interval(), pass_wanted).await;
+            let woken = self.node.env.timers.within(self.tick_interval(), pass_wanted).await;
             let since = |before: Option<Instant>| {
                 before.map_or(Duration::MAX, |before| now().saturating_duration_since(before))
             };
@@ -63,11 +64,11 @@
     }
 
     pub(super) async fn poll_machine_list(&self) {
-        let rps = self.node.settings.platform.params.cloud.rps;
+        let rps = self.node.env.settings.platform.params.cloud.rps;
         let interval = Duration::from_secs_f64((6.0 / rps.max(0.1)).clamp(2.0, 10.0));
         loop {
             let asked = now();
-            match self.node.cloud.machines().await {
+            match self.node.env.cloud.machines().await {
                 Ok(list) => {
                     self.scheduler.borrow_mut().on_list(&list, asked, now());
                     self.node.leadership.actions.notify_one();
@@ -81,7 +82,7 @@
     /// Machine types come from the cloud, and are kept in the store for when it is away.
     pub(super) async fn refresh_machine_types(&self) {
         loop {
-            match self.node.cloud.types().await {
+            match self.node.env.cloud.types().await {
                 Ok(types) => {
                     let known = self.node.replica.contents.borrow().types.clone();
                     self.scheduler.borrow_mut().set_types(types.clone());
@@ -92,7 +93,7 @@
                             .when(LEADER_KEY, self.version.get())
                             .put(MACHINE_TYPES_KEY, value);
                         if let Err(error) =
-                            self.node.state.transaction(RequestClass::Claim, &transaction).await
+                            self.node.env.state.transaction(RequestClass::Claim, &transaction).await
                         {
                             tracing::debug!(%error, "can't keep the machine types");
                         }
@@ -122,7 +123,7 @@
 ) -> bool {
     let mut outcome = Err(false);
     for _ in 0..4 {
-        match node.cloud.rent(request).await {
+        match node.env.cloud.rent(request).await {
             Ok(names) => {
                 outcome = Ok(names);
                 break;
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -1,12 +1,15 @@
 //! A controller: settings, wiring, and everything that needs I/O.
 #![forbid(unsafe_code)]
 
+mod clock;
 mod completion_commits;
+mod environment;
 mod leadership;
 pub mod node;
 mod notifications;
 mod peers;
 mod replica;
+mod responses;
 mod session_lease;
 pub mod settings;
 mod timers;
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -1,44 +1,31 @@
 //! One controller: what its parts share, and how they are started.
 
+use crate::environment::Environment;
 use crate::leadership::Leadership;
 use crate::notifications::Notifications;
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
+use crate::responses::{error, json};
 use crate::session_lease::SessionLease;
 use crate::settings::Settings;
-use crate::timers::AlignedTimers;
 use crate::workers::RedirectedWorkers;
 use crate::{leadership, peers, replica, session_lease, users, workers};
-use corkfield_cloud::CloudClient;
 use corkfield_http::{serve_counted, Connections, Limits, Listener, Network, Request, Response};
-use corkfield_state::StateClient;
-use corkfield_wire::user::{ErrorView, JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
+use corkfield_wire::user::{JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
 use corkfield_wire::worker::PATH_HEARTBEAT;
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
-use serde::Serialize;
-use std::cell::RefCell;
 use std::future::Future;
-use std::ops::Range;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
+/// All parts of one controller, wired together.
 pub struct Node {
-    pub network: Rc<dyn Network>,
-    rng: RefCell<SmallRng>,
-    pub settings: Settings,
-    pub name: String,
-    /// Tells this process from others of the same controller.
-    pub process: u64,
-    pub state: StateClient,
-    pub cloud: CloudClient,
-    pub replica: StoreReplica,
-    pub session_lease: SessionLease,
-    pub leadership: Leadership,
-    pub peers: Peers,
-    pub notifications: Notifications,
-    pub redirected: RedirectedWorkers,
-    pub timers: AlignedTimers,
+    pub env: Rc<Environment>,
+    pub replica: Rc<StoreReplica>,
+    pub session_lease: Rc<SessionLease>,
+    pub leadership: Rc<Leadership>,
+    pub peers: Rc<Peers>,
+    pub notifications: Rc<Notifications>,
+    pub redirected: Rc<RedirectedWorkers>,
     /// Of users and workers.
     pub connections: Rc<Connections>,
 }
@@ -49,36 +36,6 @@
     Listen { addr: std::net::SocketAddr, error: std::io::Error },
 }
 
-/// The steady clock, as the scheduler sees it.
-pub fn now() -> Instant {
-    tokio::time::Instant::now().into_std()
-}
-
-/// The time of day in milliseconds since 1970.
-pub fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
-}
-
-impl Node {
-    /// A random wait, so that controllers don't all try again at once.
-    pub async fn pause(&self, ms: Range<u64>) {
-        let ms = self.rng.borrow_mut().random_range(ms);
-        tokio::time::sleep(Duration::from_millis(ms)).await;
-    }
-
-    /// How long ago another controller noted this time of day, at the least.
-    pub fn age_at_least(&self, noted_ms: u64) -> Duration {
-        let off_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
-        let age = Duration::from_millis(wall_ms().saturating_sub(noted_ms));
-        age.saturating_sub(Duration::try_from_secs_f64(off_ms / 1000.0).unwrap_or_default())
-    }
-
-    pub fn random(&self) -> u64 {
-        self.rng.borrow_mut().random()
-    }
-}
-
 async fn listen(
     network: &dyn Network,
     addr: std::net::SocketAddr,
@@ -100,7 +57,7 @@
 /// Runs a controller; returns only if it can't start.
 pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
     let platform = settings.platform.clone();
-    let params = &platform.params;
+    let _params = &platform.params;
     let sockets = settings.sockets();
     let users_listener = listen(&*network, platform.listen).await?;
     let peers_listener = listen(&*network, platform.peer_listen).await?;
@@ -114,29 +71,16 @@
         ..Limits::default()
     }));
     let node = Rc::new(Node {
-        process: SmallRng::seed_from_u64(!seed).random(),
-        name: platform.node.clone(),
-        state: StateClient::new(
-            network.clone(),
-            platform.endpoints.state,
-            params.state.rps,
-            params.state.write_rps,
-            settings.state_answer_limit(),
-        ),
-        cloud: CloudClient::new(network.clone(), platform.endpoints.cloud, params.cloud.rps),
-        network,
-        rng: RefCell::new(SmallRng::seed_from_u64(seed)),
-        replica: StoreReplica::default(),
-        session_lease: SessionLease::default(),
-        leadership: Leadership::default(),
-        peers: Peers::default(),
-        notifications: Notifications::default(),
-        redirected: RedirectedWorkers::default(),
-        timers: AlignedTimers::default(),
+        env: Rc::new(Environment::new(settings, network, seed)),
+        replica: Rc::default(),
+        session_lease: Rc::default(),
+        leadership: Rc::default(),
+        peers: Rc::default(),
+        notifications: Rc::default(),
+        redirected: Rc::default(),
         connections: connections.clone(),
-        settings,
     });
-    tracing::info!(node = %node.name, listen = %platform.listen, "controller started");
+    tracing::info!(node = %node.env.name, listen = %platform.listen, "controller started");
     let handler = {
         let node = node.clone();
         move |request| handle(node.clone(), request)
@@ -220,16 +164,3 @@
     }
     json(200, &serde_json::json!({"ready": true}))
 }
-
-pub fn json(status: u16, body: &impl Serialize) -> Response {
-    Response::new(status, serde_json::to_vec(body).unwrap_or_default())
-}
-
-pub fn error(status: u16, reason: &str) -> Response {
-    json(status, &ErrorView { error: reason.to_owned() })
-}
-
-/// Asks the client to come back.
-pub fn later(reason: &str) -> Response {
-    Response { retry_after: Some(1), ..error(503, reason) }
-}
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -4,7 +4,8 @@
 //! doesn't read it hears here, and stops at once. That comes on top of the answer limit (S6), which
 //! holds with no other controller in reach.
 
-use crate::node::{now, Node};
+use crate::clock::now;
+use crate::node::Node;
 use corkfield_wire::peer::Frame;
 use corkfield_wire::JobId;
 use std::cell::RefCell;
@@ -115,7 +116,7 @@
 /// no answer may never come about, and is not told.
 pub async fn notify_all(node: &Node, id: &JobId) {
     node.leadership.cancelled(id);
-    let peers = &node.settings.platform.peers;
+    let peers = &node.env.settings.platform.peers;
     peers.iter().for_each(|peer| node.notifications.add(&peer.node, id));
     node.notifications.added.notify_waiters();
     let leaders = node.peers.leaders(node);
@@ -133,7 +134,7 @@
 
 /// Sends what is due over a link, for as long as it takes frames.
 pub async fn send(node: &Node, peer: &str, put: impl Fn(Frame) -> bool) {
-    let keep = node.settings.platform.params.workers.cancel();
+    let keep = node.env.settings.platform.params.workers.cancel();
     node.notifications.link_opened(peer);
     loop {
         let added = node.notifications.added.notified();
@@ -141,7 +142,7 @@
         if jobs.is_empty() && !node.notifications.has_open(peer) {
             added.await;
         } else if jobs.is_empty() {
-            node.timers.within(RESEND_INTERVAL, added).await;
+            node.env.timers.within(RESEND_INTERVAL, added).await;
         } else if !put(Frame::Cancelled { jobs }) {
             return;
         }
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -1,6 +1,7 @@
 //! The link between controllers: heartbeats, and reports of workers that can't reach the leader.
 
-use crate::node::{now, Node};
+use crate::clock::now;
+use crate::node::Node;
 use crate::{notifications, workers};
 use corkfield_http::{Listener, Response, Stream};
 use corkfield_wire::peer::{Frame, PeerHeartbeat, MAX_FRAME};
@@ -99,7 +100,7 @@
     /// of all cancellations confirmed (S6). `None` if one of them didn't, or is another process
     /// than when the state service was read last: what a process before it confirmed is not known.
     pub fn attestation_age(&self, node: &Node) -> Option<Duration> {
-        let platform = &node.settings.platform;
+        let platform = &node.env.settings.platform;
         let term = node.leadership.term()?;
         let read = node.replica.proven_at()?;
         if platform.peers.len() + 1 < platform.params.size as usize {
@@ -169,7 +170,7 @@
 }
 
 fn max_waiting(node: &Node) -> usize {
-    node.settings.sockets().accepted.max(LEAST_WAITING)
+    node.env.settings.sockets().accepted.max(LEAST_WAITING)
 }
 
 pub async fn listen(node: Rc<Node>, listener: Box<dyn Listener>) {
@@ -202,7 +203,7 @@
             match frame {
                 Frame::PeerHeartbeat(heartbeat) => {
                     // Its newest read was begun no longer ago than that.
-                    let echoed = node.peers.echoed(&heartbeat, node.process);
+                    let echoed = node.peers.echoed(&heartbeat, node.env.process);
                     let read = echoed
                         .filter(|_| heartbeat.store_ok)
                         .and_then(|at| at.checked_sub(HEARTBEAT_TIMEOUT));
@@ -236,14 +237,16 @@
 /// Keeps a link to a peer: sends heartbeats to it again and again, and passes reports on.
 pub async fn maintain_link(node: Rc<Node>, peer: String, addr: SocketAddr) {
     loop {
-        if let Ok(Ok(stream)) = timeout(HEARTBEAT_INTERVAL * 2, node.network.connect(addr)).await {
+        if let Ok(Ok(stream)) =
+            timeout(HEARTBEAT_INTERVAL * 2, node.env.network.connect(addr)).await
+        {
             let (reader, writer) = tokio::io::split(stream);
             let mut reader = BufReader::with_capacity(READ_BUFFER, reader);
             let (frames, waiting) = mpsc::channel(max_waiting(&node));
             node.peers.links.borrow_mut().insert(peer.clone(), frames.clone());
             let heartbeat = async {
                 while frames.try_send(Frame::PeerHeartbeat(heartbeat(&node, &peer))).is_ok() {
-                    node.timers.tick(HEARTBEAT_INTERVAL).await;
+                    node.env.timers.tick(HEARTBEAT_INTERVAL).await;
                 }
             };
             let reading = async {
@@ -312,9 +315,9 @@
         && scheduler.is_some_and(|scheduler| scheduler.node.as_deref() == Some(to))
         && node.notifications.all_acknowledged(to);
     PeerHeartbeat {
-        node: node.name.clone(),
+        node: node.env.name.clone(),
         incarnation: node.session_lease.current().map(|c| c.incarnation).unwrap_or_default(),
-        process: node.process,
+        process: node.env.process,
         number: node.peers.sends(to),
         echo,
         echo_process,
--- a/crates/corkfield/src/replica.rs
+++ b/crates/corkfield/src/replica.rs
@@ -1,6 +1,7 @@
 //! Following the state service: a copy of everything below `c/`, and how fresh it is.
 
-use crate::node::{now, Node};
+use crate::clock::now;
+use crate::node::Node;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{
@@ -249,7 +250,7 @@
 /// Reads everything anew; the copy is replaced as a whole.
 async fn reload(node: &Node) -> Result<(), StateError> {
     let started = now();
-    let (items, revision) = node.state.list(RequestClass::Claim, REPLICATED_PREFIX).await?;
+    let (items, revision) = node.env.state.list(RequestClass::Claim, REPLICATED_PREFIX).await?;
     let mut contents = ReplicaContents { revision, ..ReplicaContents::default() };
     for item in items {
         contents.put(&item.key, item.value, item.version);
@@ -272,7 +273,7 @@
 /// Keeps a watch open, and starts over when the service has forgotten where we were.
 pub async fn watch(node: Rc<Node>) {
     let replica = &node.replica;
-    let wait = node.settings.watch_wait();
+    let wait = node.env.settings.watch_wait();
     loop {
         if !replica.is_synced() {
             if let Err(error) = reload(&node).await {
@@ -284,7 +285,8 @@
         let after = replica.contents.borrow().revision;
         let started = now();
         let pause =
-            match node.state.changes(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await {
+            match node.env.state.changes(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await
+            {
                 Ok(events) => {
                     let quiet = events.events.is_empty()
                         && now().saturating_duration_since(started) >= wait / 2;
@@ -309,7 +311,7 @@
                     WATCH_RETRY
                 }
             };
-        node.timers.tick(pause).await;
+        node.env.timers.tick(pause).await;
     }
 }
 
@@ -325,6 +327,7 @@
         let started = now();
         let fresh = if replica.is_synced() {
             match node
+                .env
                 .state
                 .changes(RequestClass::Reading, REPLICATED_PREFIX, after, Duration::ZERO)
                 .await
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -1,6 +1,7 @@
 //! This controller's lease and its presence key.
 
-use crate::node::{now, Node};
+use crate::clock::now;
+use crate::node::Node;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, Membership as Record};
 use corkfield_wire::store::Transaction;
@@ -42,7 +43,7 @@
 
 /// Takes a lease and renews it for ever; a lost one is replaced under a new incarnation.
 pub async fn maintain_lease(node: Rc<Node>) {
-    let ttl = Duration::from_secs_f64(node.settings.operator.lease_s);
+    let ttl = Duration::from_secs_f64(node.env.settings.operator.lease_s);
     loop {
         match take_lease(&node, ttl).await {
             Ok(current) => {
@@ -56,29 +57,29 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "can't take a lease");
-                node.pause(100..400).await;
+                node.env.pause(100..400).await;
             }
         }
     }
 }
 
 async fn take_lease(node: &Node, ttl: Duration) -> Result<Current, StateError> {
-    let key = controller_key(&node.name);
+    let key = controller_key(&node.env.name);
     // What a former process of this controller left is written over: whoever it was is gone.
-    let found = node.state.get(RequestClass::Lease, &key).await?;
+    let found = node.env.state.get(RequestClass::Lease, &key).await?;
     let started = now();
-    let lease = node.state.grant(ttl).await?;
-    let incarnation = format!("{}-{:08x}", node.name, node.random() as u32);
+    let lease = node.env.state.grant(ttl).await?;
+    let incarnation = format!("{}-{:08x}", node.env.name, node.env.random() as u32);
     let record = Record { incarnation: incarnation.clone(), lease };
     let value = serde_json::to_value(&record).unwrap_or_default();
     let version = found.map_or(0, |item| item.version);
     let transaction =
         Transaction::default().when(key.clone(), version).put_leased(key.clone(), value, lease);
-    let version = match node.state.transaction(RequestClass::Lease, &transaction).await {
+    let version = match node.env.state.transaction(RequestClass::Lease, &transaction).await {
         Ok(version) => version,
         Err(StateError::NoAnswer(error)) => {
             // It may have been carried out all the same.
-            let read = node.state.get(RequestClass::Lease, &key).await?;
+            let read = node.env.state.get(RequestClass::Lease, &key).await?;
             match read.filter(|item| item.value["incarnation"] == incarnation.as_str()) {
                 Some(item) => item.version,
                 None => return Err(StateError::NoAnswer(error)),
@@ -99,7 +100,7 @@
 async fn renew(node: &Node, lease: u64, ttl: Duration) {
     loop {
         let started = now();
-        let pause = match node.state.renew(lease, ttl.mul_f64(0.2)).await {
+        let pause = match node.env.state.renew(lease, ttl.mul_f64(0.2)).await {
             Ok(()) => {
                 node.session_lease.valid_until.set(Some(started + trusted(ttl)));
                 ttl.mul_f64(0.2)
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -1,7 +1,9 @@
 //! Answers to users. Only what is stored is answered (S1).
 
-use crate::node::{error, json, later, wall_ms, Node};
+use crate::clock::wall_ms;
+use crate::node::Node;
 use crate::notifications;
+use crate::responses::{error, json, later};
 use corkfield_core::fits_some_type;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
@@ -42,7 +44,7 @@
     }
     // Jobs that are over are not followed. One that is neither unfinished nor over now was
     // never accepted: final records are written in the transaction that drops the others.
-    let read = node.state.get(RequestClass::Reading, &final_key(id)).await.map_err(|_| ())?;
+    let read = node.env.state.get(RequestClass::Reading, &final_key(id)).await.map_err(|_| ())?;
     let Some(item) = read else {
         return Ok(Found::Nothing);
     };
@@ -105,10 +107,10 @@
 
 async fn accept(node: &Node, spec: JobSpec) -> Response {
     let id = spec.id.clone();
-    let teams = &node.settings.platform.params.teams;
+    let teams = &node.env.settings.platform.params.teams;
     let (verdict, crowded) = {
         let contents = node.replica.contents.borrow();
-        let crowded = contents.jobs.len() >= node.settings.max_jobs();
+        let crowded = contents.jobs.len() >= node.env.settings.max_jobs();
         (contents.types.as_ref().map(|types| fits_some_type(&spec, teams, types)), crowded)
     };
     match verdict {
@@ -131,7 +133,7 @@
         .when(final_key(&id), 0)
         .put(job_key(&id), value);
     loop {
-        match node.state.transaction(RequestClass::Submission, &transaction).await {
+        match node.env.state.transaction(RequestClass::Submission, &transaction).await {
             Ok(_) => {
                 tracing::debug!(job = %id, "accepted");
                 return json(201, &view(&id, JobStatus::Queued, 0, 0));
@@ -144,7 +146,7 @@
                 };
             }
             Err(StateError::NoAnswer(_) | StateError::Refused(429)) => {
-                node.pause(50..150).await;
+                node.env.pause(50..150).await;
             }
             Err(error) => {
                 tracing::debug!(job = %id, %error, "can't store a submission");
@@ -171,7 +173,7 @@
                 .when(final_key(id), 0)
                 .delete(job_key(id))
                 .put(final_key(id), value);
-            match node.state.transaction(RequestClass::Claim, &transaction).await {
+            match node.env.state.transaction(RequestClass::Claim, &transaction).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "cancelled");
                     learned(node, id, &over).await;
@@ -180,7 +182,7 @@
                 Err(
                     StateError::Conflict(_) | StateError::NoAnswer(_) | StateError::Refused(429),
                 ) => {
-                    node.pause(5..50).await;
+                    node.env.pause(5..50).await;
                 }
                 Err(error) => {
                     tracing::debug!(job = %id, %error, "can't store a cancellation");
@@ -203,7 +205,7 @@
     let record = JobRecord { dead_lettered: false, claims: 0, owner: None, ..*record };
     let value = serde_json::to_value(&record).unwrap_or_default();
     let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
-    match node.state.transaction(RequestClass::Submission, &transaction).await {
+    match node.env.state.transaction(RequestClass::Submission, &transaction).await {
         Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
         Err(error) => {
             tracing::debug!(job = %id, %error, "can't release");
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -1,6 +1,8 @@
 //! Answers to workers' reports.
 
-use crate::node::{error, json, later, now, Node};
+use crate::clock::now;
+use crate::node::Node;
+use crate::responses::{error, json, later};
 use corkfield_core::Verdict;
 use corkfield_http::Response;
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
@@ -135,7 +137,7 @@
     if scheduler.borrow().may_start_on(&heartbeat.machine, now()) {
         node.leadership.wait_for_pass().await;
     }
-    let hold = Duration::from_secs_f64(node.settings.operator.hold_s);
+    let hold = Duration::from_secs_f64(node.env.settings.operator.hold_s);
     // Short of sockets, an answer that waits for work would keep other workers out.
     let may_hold = !hold.is_zero() && !node.connections.are_short();
     if may_hold && scheduler.borrow().may_hold(&heartbeat.machine) {
@@ -145,7 +147,7 @@
     }
     // S4: a start leaves on a young proof. A cancellation that another controller confirms after
     // it can then meet no more than the starts of about that time.
-    let young = || node.replica.proof_age() <= node.settings.start_proof();
+    let young = || node.replica.proof_age() <= node.env.settings.start_proof();
     let starts = scheduler.borrow().has_starts_for(&heartbeat.machine);
     if starts && !young() && node.replica.proof_age() < STORE_AWAY {
         node.replica.refresh(START_PROOF_WAIT).await;
@@ -166,7 +168,7 @@
 /// or, while the state service is out for all, on the word of all other controllers; and it shows
 /// no other leader.
 fn may_answer(node: &Node) -> bool {
-    let limit = node.settings.answer_limit();
+    let limit = node.env.settings.answer_limit();
     let fresh = node.replica.proof_age() < limit
         || node.peers.attestation_age(node).is_some_and(|age| age < limit);
     fresh && !node.leadership.is_replaced(&node.replica.contents.borrow())
@@ -176,6 +178,6 @@
 fn planner_elsewhere(node: &Node) -> Option<String> {
     let contents = node.replica.contents.borrow();
     let (record, _) = contents.scheduler.as_ref()?;
-    let name = record.node.clone().filter(|name| *name != node.name)?;
+    let name = record.node.clone().filter(|name| *name != node.env.name)?;
     contents.is_present(record).then_some(name)
 }
