--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -14,15 +14,14 @@
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability};
 use crate::scaling::ScalingState;
-use crate::team::Usage;
-use corkfield_wire::cloud::{MachineType, RentRequest};
+use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::worker::Order;
 use corkfield_wire::{JobId, TaskSet};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
 /// A decision that no report came to fetch is taken back after this time.
