--- /dev/null
+++ b/crates/core/src/job/mod.rs
@@ -0,0 +1,380 @@
+//! A claimed job: which of its tasks wait, are placed, are finished, are stored.
+
+mod attempt;
+mod completion;
+mod failures;
+mod run_times;
+mod start_queue;
+mod state;
+
+pub use state::JobState;
+
+pub(crate) use attempt::AttemptNumber;
+pub(crate) use completion::CommitUrgency;
+pub(crate) use failures::JobFailures;
+pub(crate) use run_times::RunTimes;
+
+use crate::team::Usage;
+use completion::Completion;
+use corkfield_wire::records::JobRecord;
+use corkfield_wire::{JobSpec, Priority, TaskSet};
+use start_queue::{StartQueue, StartView};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// A claim held this long without a failure is refunded (S12).
+const HEALTHY_CLAIM: Duration = Duration::from_secs(10);
+/// The highest count of claims that still doubles the time of a back-off.
+const MAX_BACK_OFF_CLAIMS: u32 = 6;
+/// The shortest run time that is expected, in seconds, where only estimates are known.
+const MIN_ESTIMATE_S: f64 = 1.0;
+/// Given beyond the time to save when a task is stopped, in seconds.
+const SAVE_MARGIN_S: f64 = 1.0;
+
+/// Where a task is, and under which attempt.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Placed {
+    /// Its machine.
+    pub machine: String,
+    /// The attempt under which it was started.
+    pub attempt: u64,
+}
+
+/// A claimed job.
+#[derive(Debug)]
+pub struct Job {
+    /// Its record, as stored last.
+    pub record: JobRecord,
+    /// Version of the record in the key-value store that this claim rests on.
+    pub version: u64,
+    state: JobState,
+    /// Position of its team in the settings.
+    pub(crate) team: usize,
+    /// When it was accepted.
+    pub(crate) accepted_at: Instant,
+    /// When it should be complete, if its user said so.
+    pub(crate) due_at: Option<Instant>,
+    completion: Completion,
+    /// Placed tasks and their machines.
+    active: BTreeMap<u32, Placed>,
+    start_queue: StartQueue,
+    /// Attempts made under this generation.
+    attempts: u64,
+    /// How many of its tasks run, as of the last tick.
+    pub(crate) running: u32,
+    /// Since when tasks of it wait and none is placed.
+    pub(crate) unplaced_since: Option<Instant>,
+    claimed_at: Instant,
+    /// This claim was refunded.
+    refunded: bool,
+    /// Failures of its tasks.
+    pub(crate) failures: JobFailures,
+    /// Run times of its completed tasks.
+    pub(crate) run_times: RunTimes,
+}
+
+impl Job {
+    /// A job that was claimed now, and accepted `age` ago.
+    pub(crate) fn new(
+        record: JobRecord,
+        finished: TaskSet,
+        version: u64,
+        team: usize,
+        age: Duration,
+        now: Instant,
+    ) -> Self {
+        let accepted_at = now.checked_sub(age).unwrap_or(now);
+        let due_at = record.spec.deadline_s.map(|d| accepted_at + Duration::from_secs_f64(d));
+        let previous_start_watermark = record.previous_start_watermark;
+        // What an earlier owner began is about to be taken up from heartbeats.
+        let unplaced_since = Some(if previous_start_watermark == 0 { accepted_at } else { now });
+        Self {
+            state: JobState::after_claim(record.dead_lettered),
+            record,
+            version,
+            team,
+            accepted_at,
+            due_at,
+            completion: Completion::new(finished),
+            active: BTreeMap::new(),
+            start_queue: StartQueue::new(previous_start_watermark),
+            attempts: 0,
+            running: 0,
+            unplaced_since,
+            claimed_at: now,
+            refunded: false,
+            failures: JobFailures::default(),
+            run_times: RunTimes::default(),
+        }
+    }
+
+    /// What its user submitted.
+    pub fn spec(&self) -> &JobSpec {
+        &self.record.spec
+    }
+
+    /// Its state.
+    pub fn state(&self) -> JobState {
+        self.state
+    }
+
+    /// The one place where a job's state changes.
+    pub(crate) fn enter(&mut self, state: JobState) {
+        if self.state == state || self.state == JobState::Closing {
+            return;
+        }
+        tracing::debug!(job = %self.record.spec.id, from = ?self.state, to = ?state, "job state");
+        self.state = state;
+    }
+
+    /// Whether it is neither over nor another's.
+    pub fn is_live(&self) -> bool {
+        self.state != JobState::Closing
+    }
+
+    /// Whether its tasks may be started.
+    pub(crate) fn may_start(&self) -> bool {
+        self.state == JobState::Active
+    }
+
+    /// Tasks reported as done, stored or not.
+    pub fn finished(&self) -> &TaskSet {
+        self.completion.finished()
+    }
+
+    /// Whether the key-value store holds that the task is done.
+    pub fn is_stored(&self, index: u32) -> bool {
+        self.completion.is_stored(index)
+    }
+
+    /// Its placed tasks.
+    pub fn active(&self) -> &BTreeMap<u32, Placed> {
+        &self.active
+    }
+
+    /// How many of its tasks are placed.
+    fn placed_count(&self) -> u32 {
+        u32::try_from(self.active.len()).unwrap_or(u32::MAX)
+    }
+
+    /// How many of its tasks have no place and are not done.
+    pub fn waiting(&self) -> u32 {
+        self.spec().tasks.saturating_sub(self.finished().len() + self.placed_count())
+    }
+
+    /// How many of its tasks are not done.
+    pub fn remaining(&self) -> u32 {
+        self.spec().tasks.saturating_sub(self.finished().len())
+    }
+
+    /// Whether it comes before all that is not urgent.
+    pub(crate) fn is_urgent(&self) -> bool {
+        self.spec().priority <= Priority::High
+    }
+
+    /// Notes since when nothing of it is placed, though something waits.
+    pub(crate) fn update_unplaced_since(&mut self, now: Instant) {
+        if !self.active.is_empty() || self.waiting() == 0 {
+            self.unplaced_since = None;
+        } else {
+            self.unplaced_since.get_or_insert(now);
+        }
+    }
+
+    /// None of its tasks was ever placed, as far as is known.
+    pub(crate) fn has_not_begun(&self) -> bool {
+        self.active.is_empty() && self.finished().is_empty()
+    }
+
+    /// The next task to place; the caller places it. With `only_never_started`, only one that no
+    /// earlier owner can have started (S7).
+    pub(crate) fn take_waiting(&mut self, only_never_started: bool) -> Option<u32> {
+        let view = StartView {
+            record: &self.record,
+            finished: self.completion.finished(),
+            active: &self.active,
+        };
+        self.start_queue.pop(&view, only_never_started)
+    }
+
+    /// How many tasks [`Self::take_waiting`] would give, at the most; 0 only if there are none.
+    /// Jobs whose other tasks wait for their record to allow more first starts would otherwise
+    /// be looked at on every machine in every pass, and others stopped for what can't start.
+    pub(crate) fn startable(&mut self, only_never_started: bool) -> u32 {
+        let view = StartView {
+            record: &self.record,
+            finished: self.completion.finished(),
+            active: &self.active,
+        };
+        self.start_queue.len(&view, only_never_started).min(self.waiting())
+    }
+
+    /// Has its record allow (more) first starts with the next write.
+    pub(crate) fn raise_start_watermark(&mut self) {
+        self.start_queue.raise_watermark();
+    }
+
+    /// Whether the record that is about to be written has to allow more first starts.
+    pub(crate) fn take_watermark_raise(&mut self) -> bool {
+        self.start_queue.take_watermark_raise()
+    }
+
+    /// Its record allows no start at all yet, nor is that about to change.
+    pub(crate) fn needs_first_watermark(&self) -> bool {
+        self.may_start()
+            && self.record.start_watermark == 0
+            && !self.start_queue.is_watermark_raise_due()
+    }
+
+    /// Tasks that wait and may be started, at the least.
+    pub(crate) fn waiting_below_watermark(&self) -> u32 {
+        let allowed = self.spec().tasks.min(self.record.start_watermark);
+        allowed.saturating_sub(self.finished().len()).saturating_sub(self.placed_count())
+    }
+
+    /// The task is, or is about to be, on that machine.
+    pub(crate) fn place(&mut self, index: u32, machine: &str, attempt: u64) {
+        self.active.insert(index, Placed { machine: machine.to_owned(), attempt });
+    }
+
+    /// That attempt is surely no longer on that machine. An earlier attempt that its worker
+    /// only now forgets says nothing about a later one, even on the same machine.
+    pub(crate) fn release(&mut self, index: u32, machine: &str, attempt: u64) {
+        let same = |p: &Placed| p.machine == machine && p.attempt == attempt;
+        if self.active.get(&index).is_some_and(same) {
+            self.active.remove(&index);
+            if !self.finished().contains(index) {
+                self.start_queue.push_retry(index);
+            }
+        }
+    }
+
+    /// The number of a new attempt.
+    pub(crate) fn next_attempt(&mut self) -> u64 {
+        self.attempts += 1;
+        AttemptNumber::new(self.record.generation, self.attempts).get()
+    }
+
+    /// A task was reported as done; true if that was not known.
+    pub(crate) fn finish(&mut self, index: u32) -> bool {
+        let is_new = index < self.spec().tasks && self.completion.finish(index);
+        if is_new {
+            self.active.remove(&index);
+            self.failures.clear();
+        }
+        is_new
+    }
+
+    /// Whether something of it is to be stored, and how soon. Mere progress is stored less often
+    /// than what somebody waits for.
+    pub(crate) fn commit_due(&self, now: Instant) -> Option<CommitUrgency> {
+        if self.completion.is_committing() || !self.is_live() {
+            return None;
+        }
+        let unstored = !self.unstored().is_empty();
+        let shown_status_changes = (self.running > 0) != (self.record.running > 0);
+        let completes = unstored && self.finished().len() >= self.spec().tasks;
+        if self.start_queue.is_watermark_raise_due() || shown_status_changes || completes {
+            return Some(CommitUrgency::Awaited);
+        }
+        let progress = unstored || self.is_refund_due(now);
+        (progress && !self.completion.was_committed_recently(now))
+            .then_some(CommitUrgency::Progress)
+    }
+
+    /// When the newest write of it was begun.
+    pub(crate) fn last_commit_at(&self) -> Option<Instant> {
+        self.completion.last_commit_at()
+    }
+
+    /// A write of it is under way.
+    pub(crate) fn begin_commit(&mut self, now: Instant) {
+        self.completion.begin_commit(now);
+    }
+
+    /// The write of it was answered, or failed.
+    pub(crate) fn end_commit(&mut self) {
+        self.completion.end_commit();
+    }
+
+    /// A claim that harmed nobody for a while didn't end because of the job (S12).
+    fn is_refund_due(&self, now: Instant) -> bool {
+        self.record.claims > 0
+            && !self.refunded
+            && self.failures.is_empty()
+            && now.saturating_duration_since(self.claimed_at) > HEALTHY_CLAIM
+    }
+
+    /// Whether the record that is about to be written has to count a claim less (S12); true once
+    /// for each claim.
+    pub(crate) fn take_refund(&mut self, now: Instant) -> bool {
+        let due = self.is_refund_due(now);
+        self.refunded |= due;
+        due
+    }
+
+    /// Tasks reported as done but not yet stored.
+    pub(crate) fn unstored(&self) -> &BTreeSet<u32> {
+        self.completion.unstored()
+    }
+
+    /// These finished tasks were stored.
+    pub(crate) fn note_stored(&mut self, tasks: &[u32]) {
+        self.completion.note_stored(tasks);
+    }
+
+    /// Finished tasks found in the store (after a write whose answer was lost, say).
+    pub(crate) fn found_stored(&mut self, stored: &TaskSet) {
+        self.completion.found_stored(stored);
+    }
+
+    /// Finished numbers of a chunk.
+    pub(crate) fn chunk(&self, chunk: u32) -> TaskSet {
+        self.completion.chunk(chunk)
+    }
+
+    /// The job failed wherever it was tried: it waits, the longer the more often it was claimed.
+    pub(crate) fn back_off(&mut self, now: Instant) {
+        if self.may_start() {
+            let wait_s = 2f64.powi(self.record.claims.clamp(1, MAX_BACK_OFF_CLAIMS) as i32);
+            tracing::info!(job = %self.record.spec.id, wait_s, "job fails on several machines");
+            self.enter(JobState::BackingOff(now + Duration::from_secs_f64(wait_s)));
+        }
+    }
+
+    /// Claimed once more, after a back-off for example.
+    pub(crate) fn reclaimed(&mut self, record: JobRecord, version: u64, now: Instant) {
+        let state = JobState::after_claim(record.dead_lettered);
+        self.record = record;
+        self.version = version;
+        self.claimed_at = now;
+        self.refunded = false;
+        self.failures.forget_machines();
+        self.enter(state);
+    }
+
+    /// The time that a running task is given when it is stopped: enough to save, if it can.
+    pub(crate) fn stop_grace(&self) -> Duration {
+        let grace_s =
+            if self.saves_checkpoints() { self.spec().save_s + SAVE_MARGIN_S } else { 0.0 };
+        Duration::try_from_secs_f64(grace_s).unwrap_or_default()
+    }
+
+    /// Whether its tasks save checkpoints.
+    pub(crate) fn saves_checkpoints(&self) -> bool {
+        self.spec().checkpoint_s > 0.0
+    }
+
+    /// What all of its tasks that are not done take together.
+    pub(crate) fn demand(&self) -> Usage {
+        Usage::of(self.spec(), self.remaining())
+    }
+
+    /// Expected run time of a task: what was seen, else the owner's guess corrected by what
+    /// was seen of the class.
+    pub(crate) fn expected_run_s(&self, correction: f64) -> f64 {
+        self.run_times
+            .mean_s()
+            .unwrap_or_else(|| (self.spec().estimate_s * correction).max(MIN_ESTIMATE_S))
+    }
+}
--- /dev/null
+++ b/crates/core/src/job/state.rs
@@ -0,0 +1,43 @@
+//! What a claimed job is doing.
+
+use std::time::Instant;
+
+/// What a claimed job is doing.
+///
+/// | from            | event                                                   | to             |
+/// |-----------------|---------------------------------------------------------|----------------|
+/// | (new)           | claimed                                                 | `Active`       |
+/// | (new)           | claimed at the claim limit                              | `DeadLettered` |
+/// | `Active`        | failed on several machines, or wherever it may run      | `BackingOff`   |
+/// | any but Closing | a worker refused a start: no such job or task           | `BackingOff`   |
+/// | `BackingOff`    | its time is over                                        | `NeedsReclaim` |
+/// | any but Closing | claimed once more                                       | `Active`       |
+/// | any but Closing | claimed once more, at the claim limit                   | `DeadLettered` |
+/// | any             | cancelled, done, or claimed by another                  | `Closing`      |
+///
+/// `Closing` is final: the job is forgotten once none of its tasks is on a machine. Every change
+/// goes through [`super::Job::enter`].
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum JobState {
+    /// Its tasks may be started.
+    Active,
+    /// It failed on several machines: nothing is started before the time given.
+    BackingOff(Instant),
+    /// It waited long enough and has to be claimed anew, which counts (S12).
+    NeedsReclaim,
+    /// It reached the claim limit; its tasks are stopped.
+    DeadLettered,
+    /// Over, or another's: its tasks are stopped and nothing is started any more.
+    Closing,
+}
+
+impl JobState {
+    /// The state of a job that has just been claimed.
+    pub(super) fn after_claim(dead_lettered: bool) -> Self {
+        if dead_lettered {
+            Self::DeadLettered
+        } else {
+            Self::Active
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/machine/lease.rs
@@ -0,0 +1,75 @@
+//! The lease of a worker, as far as this controller can know it.
+
+use std::time::{Duration, Instant};
+
+/// When a worker's lease can have been renewed last, and whether it has expired since (S5, S6).
+///
+/// A worker's lease is renewed by each heartbeat that is answered with 200, by any controller.
+#[derive(Debug)]
+pub(crate) struct WorkerLease {
+    /// The last moment at which a heartbeat can have been answered with 200.
+    answered_at: Instant,
+    /// The same before the newest answer, in case that one was not received.
+    answered_before: Instant,
+    /// The term of the newest answer.
+    answered_term: u64,
+    expired: bool,
+}
+
+impl WorkerLease {
+    /// A lease that may have been renewed at `now`, but not later.
+    pub(super) fn new(now: Instant) -> Self {
+        Self { answered_at: now, answered_before: now, answered_term: 0, expired: false }
+    }
+
+    /// An earlier leader may have answered heartbeats until this moment (S6).
+    pub(crate) fn may_be_renewed_until(&mut self, at: Instant) {
+        self.answered_at = at;
+    }
+
+    /// The first heartbeat, or the first after an expiry, is going to be answered, perhaps not
+    /// at once. Counted from an answer long ago, the lease would be over before that.
+    pub(super) fn about_to_answer(&mut self, now: Instant) {
+        self.answered_at = self.answered_at.max(now);
+    }
+
+    /// A heartbeat is answered with 200 under this term.
+    pub(crate) fn note_answer(&mut self, term: u64, now: Instant) {
+        self.answered_before = self.answered_at;
+        self.answered_at = now;
+        self.answered_term = term;
+    }
+
+    /// The worker's next own heartbeat has come, with the term given. A worker sends it only once
+    /// it has taken the answer to the one before or given it up. So a lower term than that
+    /// answer's shows that the answer was not taken, and renewed no lease: otherwise a machine
+    /// that no answer reaches would hold up a failover for as long as its heartbeats come.
+    pub(super) fn note_heartbeat(&mut self, term: u64) {
+        if term < self.answered_term {
+            self.answered_at = self.answered_before;
+        }
+    }
+
+    /// Whether no controller can have renewed it for longer than it lasts (S5).
+    pub(super) fn is_over(&self, now: Instant, expiry_after: Duration) -> bool {
+        !self.expired && now.saturating_duration_since(self.answered_at) > expiry_after
+    }
+
+    /// The lease has expired: the worker has stopped its tasks.
+    pub(super) fn expire(&mut self) {
+        self.expired = true;
+    }
+
+    /// If the lease had expired, a fresh heartbeat begins a new one.
+    pub(crate) fn resume(&mut self, now: Instant) {
+        if self.expired {
+            self.expired = false;
+            self.about_to_answer(now);
+        }
+    }
+
+    /// Whether it has expired and the worker has sent no fresh heartbeat since.
+    pub(super) fn is_expired(&self) -> bool {
+        self.expired
+    }
+}
--- /dev/null
+++ b/crates/core/src/machine/mod.rs
@@ -0,0 +1,301 @@
+//! A machine and everything that may be on it.
+
+mod health;
+mod image_cache;
+mod lease;
+mod messages;
+mod reachability;
+mod resources;
+mod state;
+mod tasks;
+
+pub use reachability::Reachability;
+pub use resources::Need;
+pub use state::{MachineState, Recorded};
+pub use tasks::{MachineTask, MachineTaskState, MachineTasks, TaskAttempt};
+
+pub(crate) use messages::MessageNumber;
+
+use crate::job::Job;
+use corkfield_wire::cloud::MachineType;
+use corkfield_wire::records::MachineRecord;
+use corkfield_wire::worker::{Order, WorkerHeartbeat};
+use corkfield_wire::{JobSpec, TaskId};
+use health::MachineHealth;
+use image_cache::ImageCache;
+use lease::WorkerLease;
+use messages::MessageHistory;
+use std::time::{Duration, Instant};
+use tasks::TaskDemand;
+
+/// Whether a job may run on machines of that type, in that zone and of that kind.
+pub(crate) fn allows(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
+    (spec.spot || !spot)
+        && spec.types.as_ref().is_none_or(|names| names.iter().any(|name| name == type_name))
+        && spec.zone.as_ref().is_none_or(|only| only == zone)
+}
+
+/// A machine, and what this leader knows of it.
+#[derive(Debug)]
+pub struct Machine {
+    /// Its name in the cloud.
+    pub name: String,
+    /// Where its worker takes direct orders.
+    pub addr: String,
+    /// Name of its type.
+    pub type_name: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+    /// Its type, if the cloud's types are known and it is among them.
+    pub(crate) size: Option<MachineType>,
+    state: MachineState,
+    /// Whether the key-value store knows that it may hold tasks.
+    pub recorded: Recorded,
+    /// No order of an earlier leader can act on it any more (S7).
+    pub fenced: bool,
+    /// The order of its worker's messages.
+    pub(crate) messages: MessageHistory,
+    /// Its worker's lease.
+    pub(crate) lease: WorkerLease,
+    /// Since when it is known to exist.
+    pub(crate) known_since: Instant,
+    /// When it was rented, as far as is known.
+    pub(crate) rented_at: Instant,
+    /// When its worker's newest message came.
+    pub(crate) heard_at: Option<Instant>,
+    reachability: Reachability,
+    /// Direct orders in a row that were not answered.
+    pub(crate) unanswered: u32,
+    /// The cloud has announced that it takes this spot machine back.
+    pub(crate) notice: bool,
+    /// Since when nothing is on it, as scale-in found it.
+    pub(crate) idle_since: Option<Instant>,
+    /// The tasks that are, or may be, on it.
+    pub tasks: MachineTasks,
+    /// Images that it probably has.
+    pub(crate) images: ImageCache,
+    /// What its tasks tell about it.
+    pub(crate) health: MachineHealth,
+}
+
+impl Machine {
+    /// A machine of which nothing is known but that it exists.
+    pub(crate) fn new(
+        name: String,
+        type_name: String,
+        zone: String,
+        spot: bool,
+        types: &[MachineType],
+        now: Instant,
+    ) -> Self {
+        let size = types.iter().find(|t| t.name == type_name).cloned();
+        Self {
+            name,
+            addr: String::new(),
+            type_name,
+            zone,
+            spot,
+            size,
+            state: MachineState::Booting,
+            recorded: Recorded::No,
+            fenced: false,
+            messages: MessageHistory::default(),
+            lease: WorkerLease::new(now),
+            known_since: now,
+            rented_at: now,
+            heard_at: None,
+            reachability: Reachability::Reachable,
+            unanswered: 0,
+            notice: false,
+            idle_since: None,
+            tasks: MachineTasks::default(),
+            images: ImageCache::default(),
+            health: MachineHealth::default(),
+        }
+    }
+
+    /// What it is used for.
+    pub fn state(&self) -> MachineState {
+        self.state
+    }
+
+    /// The one place where a machine's state changes; it never comes back from deletion.
+    pub(crate) fn enter(&mut self, state: MachineState) {
+        if self.state == state || self.state == MachineState::Deleting {
+            return;
+        }
+        tracing::debug!(machine = %self.name, from = ?self.state, to = ?state, "machine state");
+        self.state = state;
+    }
+
+    /// Whether orders reach its worker.
+    pub fn reachability(&self) -> Reachability {
+        self.reachability
+    }
+
+    /// The one place where its reachability changes. `delivered` says whether its newest heartbeat
+    /// shows the starts sent before; an answer to a direct order proves that orders reach it.
+    pub(crate) fn note_delivery(&mut self, delivered: bool) {
+        let next = self.reachability.after_delivery(delivered);
+        if (next == Reachability::Unreachable) != (self.reachability == Reachability::Unreachable) {
+            tracing::debug!(
+                machine = %self.name,
+                from = ?self.reachability,
+                to = ?next,
+                "machine reachability"
+            );
+        }
+        self.reachability = next;
+    }
+
+    /// Takes what a message that is not outdated says of the machine itself. `own_heartbeat` is
+    /// false for an answer to direct orders. Returns the time since the message before.
+    pub(crate) fn receive(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        own_heartbeat: bool,
+        now: Instant,
+    ) -> Option<Duration> {
+        self.messages.accept(MessageNumber::from(heartbeat), heartbeat.term);
+        self.unanswered = 0;
+        if own_heartbeat {
+            self.lease.note_heartbeat(heartbeat.term);
+        } else {
+            self.note_delivery(true);
+        }
+        self.addr.clone_from(&heartbeat.addr);
+        let gap = self.heard_at.map(|at| now.saturating_duration_since(at));
+        self.heard_at = Some(now);
+        self.notice = heartbeat.notice_s.is_some();
+        if self.state == MachineState::Booting {
+            self.enter(MachineState::Up);
+            self.lease.about_to_answer(now);
+        }
+        gap
+    }
+
+    /// S7: only what was sent after the worker took our term is fresh. A machine without a
+    /// record was never given a task by anybody. Returns whether the machine is fenced now.
+    pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: u64) -> bool {
+        let unused = self.recorded == Recorded::No && heartbeat.tasks.is_empty();
+        self.fenced = self.fenced || unused || heartbeat.term == our_term;
+        self.fenced
+    }
+
+    /// Ends the worker's lease if it is surely over (S5c: no controller can have answered it for
+    /// longer than its lease). Returns whether it has just expired.
+    pub(crate) fn expire_lease(&mut self, now: Instant, expiry_after: Duration) -> bool {
+        if self.state == MachineState::Booting || !self.lease.is_over(now, expiry_after) {
+            return false;
+        }
+        tracing::debug!(machine = %self.name, "worker lease has expired");
+        self.lease.expire();
+        self.fenced = false;
+        self.messages.end_agent_epoch();
+        if self.tasks.values().any(MachineTask::is_ordered) {
+            self.note_delivery(false);
+        }
+        true
+    }
+
+    /// Whether its worker's lease has expired, with no fresh heartbeat since.
+    pub(crate) fn lease_expired(&self) -> bool {
+        self.lease.is_expired()
+    }
+
+    /// Begins the write of its record, if it has none: returns the record to store.
+    pub(crate) fn begin_recording(&mut self) -> Option<MachineRecord> {
+        if self.recorded != Recorded::No {
+            return None;
+        }
+        self.recorded = Recorded::Writing;
+        Some(MachineRecord {
+            addr: self.addr.clone(),
+            machine_type: self.type_name.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            recorded_ms: 0,
+        })
+    }
+
+    /// Capacity that no task takes; none while something of unknown size is there.
+    pub(crate) fn free(&self) -> Option<Need> {
+        let size = self.size.as_ref()?;
+        let totals = self.tasks.totals();
+        if totals.has_unknown_tasks {
+            return None;
+        }
+        let mut free = Need::size_of(size);
+        free.subtract(&totals.used);
+        Some(free)
+    }
+
+    /// Its tasks took much longer than the same jobs' tasks elsewhere.
+    pub(crate) fn is_slow(&self) -> bool {
+        self.health.is_slow()
+    }
+
+    /// Whether a task failed here since one last completed.
+    pub(crate) fn has_failures(&self) -> bool {
+        self.health.has_failures()
+    }
+
+    /// Takes a task of the job that was chosen for it; no order has left yet.
+    pub(crate) fn assign(&mut self, task: TaskId, attempt: u64, job: &Job, now: Instant) {
+        let spec = job.spec();
+        let assigned = MachineTask::assigned(TaskDemand::of(spec, job.team), now);
+        self.tasks.insert(TaskAttempt { task, attempt }, assigned);
+        self.touch_image(&spec.image, spec.image_gb);
+    }
+
+    /// Marks a task to be stopped, and gives the order for it.
+    pub(crate) fn stop(&mut self, key: &TaskAttempt, grace: Duration) -> Option<Order> {
+        self.tasks.get_mut(key)?.stop = Some(grace);
+        Some(stop_order(key, grace))
+    }
+
+    /// Whether nothing on it takes room.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.tasks.totals().tasks == 0
+    }
+
+    /// Whether starts may be assigned to it; `silence` is the longest time since its newest
+    /// message.
+    pub(crate) fn accepts_starts(&self, now: Instant, silence: Duration) -> bool {
+        self.state == MachineState::Up
+            && self.fenced
+            && !self.lease_expired()
+            && !self.notice
+            && self.reachability != Reachability::Unreachable
+            && self.recorded == Recorded::Yes
+            && self.heard_at.is_some_and(|at| now.duration_since(at) <= silence)
+            && self.health.accepts_starts(now)
+    }
+
+    /// Whether a job may run on it.
+    pub(crate) fn allows(&self, spec: &JobSpec) -> bool {
+        allows(spec, &self.type_name, &self.zone, self.spot)
+    }
+
+    /// Notes an image as the most recently used.
+    pub(crate) fn touch_image(&mut self, image: &str, size_gb: f64) {
+        let capacity_gb = self.size.as_ref().map_or(0.0, |size| size.cache_gb);
+        self.images.touch(image, size_gb, capacity_gb);
+    }
+
+    /// Stops that have to be sent to the worker, again with every answer.
+    pub(crate) fn stops(&self) -> impl Iterator<Item = Order> + '_ {
+        self.tasks.iter().filter_map(|(key, machine_task)| {
+            let grace = machine_task.stop_to_send()?;
+            Some(stop_order(key, grace))
+        })
+    }
+}
+
+/// The order to stop a task, with so much time to save.
+fn stop_order(key: &TaskAttempt, grace: Duration) -> Order {
+    let TaskAttempt { task, attempt } = key.clone();
+    Order::Stop { task, attempt, grace_s: grace.as_secs_f64() }
+}
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -18,7 +18,7 @@
         let mut capacity = ClusterCapacity { least, ..ClusterCapacity::default() };
         for (id, _) in queue {
             let spec = self.cluster.jobs[id].spec();
-            capacity.least = capacity.least.least(&Need::of(spec));
+            capacity.least = capacity.least.minimum(&Need::of(spec));
             capacity.top = Some(capacity.top.map_or(spec.priority, |top| top.min(spec.priority)));
             if !capacity.holding.contains_key(&spec.image) {
                 capacity.holding.insert(spec.image.clone(), Vec::new());
@@ -26,14 +26,14 @@
         }
         for machine in self.cluster.machines.values() {
             self.steps.set(self.steps.get() + 1);
-            if !machine.takes_work(now, silence) {
+            if !machine.accepts_starts(now, silence) {
                 continue;
             }
             // Left out altogether, a machine that is slow no more, or was taken for slow by
             // mistake, would never show it, and work would wait beside it for ever. So it is left
             // to jobs of which nothing runs.
             let slow = machine.is_slow();
-            let probing = machine.failures > 0 || slow;
+            let probing = machine.has_failures() || slow;
             let Some(free) = machine.free().filter(|_| !probing || machine.is_empty()) else {
                 continue;
             };
@@ -54,7 +54,7 @@
             });
             capacity.open.push(n);
             capacity.keepable.push(n);
-            for (image, _) in &machine.images {
+            for image in machine.images.names() {
                 if let Some(holding) = capacity.holding.get_mut(image) {
                     holding.push(n);
                 }
@@ -139,7 +139,7 @@
 
     pub(super) fn fits(&self, need: &Need) -> bool {
         let mut left = self.free;
-        left.take(&self.reserved);
+        left.subtract(&self.reserved);
         left.holds(need)
     }
 
@@ -149,7 +149,7 @@
         for lower in &self.by_priority[priority as usize + 1..] {
             may.add(lower);
         }
-        may.take(&self.reserved);
+        may.subtract(&self.reserved);
         may
     }
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -135,8 +135,8 @@
         // There is room, so its record is to allow first starts. Not before: what a record allows
         // counts as begun after a failover, and then has to wait until all machines have shown
         // what they hold, which takes long if a part of them is silent.
-        if job.waits_unannounced() {
-            job.unannounced = true;
+        if job.needs_first_watermark() {
+            job.raise_start_watermark();
             return;
         }
         let ClusterCapacity { all: capacity, holding: by_image, .. } = capacity;
@@ -187,7 +187,7 @@
             job.place(index, &room.name, attempt);
             *zones.entry(room.zone.clone()).or_default() += 1;
             usage[job.team] = usage[job.team].plus(one);
-            room.free.take(&need);
+            room.free.subtract(&need);
             room.by_priority[job.record.spec.priority as usize].add(&need);
             if room.probing {
                 room.free.cpus = -1.0;
@@ -217,7 +217,7 @@
             && (spec.spot || !machine.spot)
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && (spec.types.is_none() || machines[&machine.name].allows(spec))
-            && !job.failed_on.contains(&machine.name)
+            && !job.failures.include(&machine.name)
     };
     if scope == PlacementScope::One {
         steps.set(steps.get() + all.len() as u64);
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -1,10 +1,10 @@
 //! Work that is stopped for other work, the cheapest loss first.
 
 use crate::job::Job;
-use crate::machine::{MachineTask, MachineTaskState, Need};
+use crate::machine::{MachineTask, MachineTaskState, Need, TaskAttempt};
 use crate::scheduler::{direct_orders, Scheduler};
 use crate::team::{within_guarantee, within_limit, Usage};
-use corkfield_wire::{JobId, Priority, TaskId};
+use corkfield_wire::{JobId, Priority};
 use rand::seq::index;
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
         // Capacity that is being freed already.
         let mut coming: f64 =
             self.cluster.machines.values().map(|m| m.tasks.totals().stopping_cpus).sum();
-        let working = self.cluster.machines.values().filter(|m| m.takes_work(now, silence));
+        let working = self.cluster.machines.values().filter(|m| m.accepts_starts(now, silence));
         let mut working: Vec<(f64, String, [f64; 4])> = working
             .map(|m| {
                 let free = m.free().map_or(0.0, |free| free.cpus);
@@ -114,24 +114,21 @@
         wanted: &mut u32,
         usage: &mut [Usage],
         now: Instant,
-    ) -> Vec<(TaskId, u64)> {
+    ) -> Vec<TaskAttempt> {
         let (job, machine) = (&self.cluster.jobs[id], &self.cluster.machines[name]);
         let team = &self.cluster.config.teams[job.team];
         let (need, one) = (Need::of(job.spec()), Usage::of(job.spec(), 1));
         let mut chosen = Vec::new();
-        if !machine.allows(job.spec())
-            || machine.failures > 0
-            || job.failed_on.iter().any(|failed| failed == name)
-        {
+        if !machine.allows(job.spec()) || machine.has_failures() || job.failures.include(name) {
             return chosen;
         }
         let Some(mut free) = machine.free() else { return chosen };
         if !within_limit(team, usage[job.team].plus(one)) {
             return chosen;
         }
-        let mut losses: Vec<(f64, &(TaskId, u64), &Job)> = Vec::new();
+        let mut losses: Vec<(f64, &TaskAttempt, &Job)> = Vec::new();
         for (key, machine_task) in machine.tasks.iter() {
-            let Some(other) = self.cluster.jobs.get(&key.0.job) else { continue };
+            let Some(other) = self.cluster.jobs.get(&key.task.job) else { continue };
             if let Some(loss) = self.loss(job, other, machine_task, now) {
                 losses.push((loss, key, other));
             }
@@ -164,7 +161,7 @@
                 return chosen;
             }
             free = room;
-            free.take(&need);
+            free.subtract(&need);
             usage.copy_from_slice(&after);
             usage[job.team] = usage[job.team].plus(one);
             *wanted -= 1;
@@ -207,7 +204,7 @@
     }
 
     /// Orders tasks to stop, with time to save for those that can.
-    fn stop_tasks(&mut self, id: &JobId, name: &str, tasks: Vec<(TaskId, u64)>) {
+    fn stop_tasks(&mut self, id: &JobId, name: &str, tasks: Vec<TaskAttempt>) {
         let Some(machine) = self.cluster.machines.get_mut(name).filter(|_| !tasks.is_empty())
         else {
             return;
@@ -215,7 +212,8 @@
         tracing::debug!(job = %id, machine = name, stopped = tasks.len(), "preempting");
         let mut orders = Vec::new();
         for key in tasks {
-            let grace = self.cluster.jobs.get(&key.0.job).map_or(Duration::ZERO, Job::stop_grace);
+            let grace =
+                self.cluster.jobs.get(&key.task.job).map_or(Duration::ZERO, Job::stop_grace);
             orders.extend(machine.stop(&key, grace));
         }
         let action = direct_orders(machine, orders);
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -57,18 +57,18 @@
         let fencing = !self.is_reconciled();
         // Those that need not wait for room have their first starts announced at once.
         let takes_room = |job: &Job| self.takes_room(job.spec(), usage);
-        let unannounced = self.cluster.jobs.iter().filter(|(_, job)| job.waits_unannounced());
+        let unannounced = self.cluster.jobs.iter().filter(|(_, job)| job.needs_first_watermark());
         let unannounced = unannounced.filter(|(_, job)| takes_room(job));
         for id in unannounced.map(|(id, _)| id.clone()).collect::<Vec<JobId>>() {
             if let Some(job) = self.cluster.jobs.get_mut(&id) {
-                job.unannounced = true;
+                job.raise_start_watermark();
             }
         }
         let startable =
             self.cluster.jobs.iter_mut().filter(|(_, job)| job.may_start()).map(|(id, job)| {
                 let count = match job.waiting() {
                     0 => 0,
-                    waiting if job.waits_unannounced() => waiting,
+                    waiting if job.needs_first_watermark() => waiting,
                     _ => job.startable(fencing),
                 };
                 (id.clone(), count)
@@ -109,7 +109,7 @@
     /// Whether a job that is claimed now may be expected to begin soon.
     pub fn may_begin_soon(&self, spec: &JobSpec, now: Instant) -> bool {
         self.takes_room(spec, &self.cluster.usage_by_team())
-            || !self.cluster.jobs.values().any(|job| job.waits_unannounced())
+            || !self.cluster.jobs.values().any(|job| job.needs_first_watermark())
                 && self.spare_cpus(now) > 0.0
     }
 
@@ -117,7 +117,7 @@
     pub(super) fn long_waiting(&self, queue: &[(JobId, u32)], now: Instant) -> Vec<JobId> {
         let waiting = queue.iter().filter_map(|(id, _)| {
             let job = &self.cluster.jobs[id];
-            let since = job.nothing_since.filter(|_| !job.is_urgent())?;
+            let since = job.unplaced_since.filter(|_| !job.is_urgent())?;
             (now.saturating_duration_since(since) > LONG_WAIT).then_some((since, id))
         });
         let mut waiting: Vec<(Instant, &JobId)> = waiting.collect();
@@ -127,14 +127,14 @@
 
     fn free_cpus(&self, now: Instant) -> f64 {
         let silence = self.cluster.config.silence();
-        let working = self.cluster.machines.values().filter(|m| m.takes_work(now, silence));
+        let working = self.cluster.machines.values().filter(|m| m.accepts_starts(now, silence));
         working.filter_map(|m| m.free()).map(|free| free.cpus.max(0.0)).sum()
     }
 
     /// CPUs that are free beyond what waits for them and may be started.
     fn spare_cpus(&self, now: Instant) -> f64 {
         let waiting = self.cluster.jobs.values().filter(|job| job.may_start());
-        let waiting = waiting.map(|job| f64::from(job.announced_waiting()) * job.spec().cpus);
+        let waiting = waiting.map(|job| f64::from(job.waiting_below_watermark()) * job.spec().cpus);
         self.free_cpus(now) - waiting.sum::<f64>()
     }
 
@@ -145,7 +145,7 @@
     pub(super) fn unaccounted_usage(&self) -> Option<Usage> {
         let mut unaccounted_usage = Usage::default();
         for machine in self.cluster.machines.values() {
-            if self.is_unreconciled(&machine.name) || machine.tasks.totals().uncounted {
+            if self.is_unreconciled(&machine.name) || machine.tasks.totals().has_unknown_tasks {
                 let size = machine.size.as_ref()?;
                 unaccounted_usage =
                     unaccounted_usage.plus(Usage { cpus: size.cpus, gpus: size.gpus });
--- a/crates/core/src/scaling.rs
+++ b/crates/core/src/scaling.rs
@@ -126,7 +126,7 @@
         let mut expensive_cpus = 0.0;
         for machine in self.cluster.machines.values() {
             let Some(size) = &machine.size else { continue };
-            if machine.state() != MachineState::Up || machine.notice || machine.lease_expired {
+            if machine.state() != MachineState::Up || machine.notice || machine.lease_expired() {
                 continue;
             }
             if machine.spot {
@@ -144,7 +144,7 @@
         }
         for name in expensive {
             self.drain(&name);
-            self.note(&name, "returning a dear machine");
+            self.note_machine_event(&name, "returning a dear machine");
         }
     }
 
@@ -188,7 +188,7 @@
         let working = |m: &&Machine| {
             matches!(m.state(), MachineState::Up | MachineState::Booting)
                 && !m.notice
-                && !m.lease_expired
+                && !m.lease_expired()
                 && m.reachability() != Reachability::Unreachable
                 && !silent(m)
                 && matches(m)
@@ -222,7 +222,7 @@
             let working = |m: &&Machine| {
                 m.spot == spot
                     && matches!(m.state(), MachineState::Up | MachineState::Booting)
-                    && !m.lease_expired
+                    && !m.lease_expired()
             };
             let cpus = |m: &Machine| m.size.as_ref().map(|t| t.cpus);
             self.cluster.machines.values().filter(working).filter_map(cpus).sum::<f64>()
@@ -343,7 +343,7 @@
             }
         }
         for name in late {
-            self.note(&name, "machine didn't come up; returned");
+            self.note_machine_event(&name, "machine didn't come up; returned");
         }
     }
 
--- /dev/null
+++ b/crates/core/src/scheduler/action.rs
@@ -0,0 +1,42 @@
+//! What a scheduler asks the world outside to do.
+
+use crate::machine::Machine;
+use corkfield_wire::cloud::RentRequest;
+use corkfield_wire::records::MachineRecord;
+use corkfield_wire::worker::Order;
+
+/// What the world outside should do.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Action {
+    /// A heartbeat whose answer is held back should be answered now.
+    Answer(String),
+    /// Orders that are safe at any time (stops), straight to the machine.
+    Direct {
+        /// The machine's name.
+        machine: String,
+        /// Where its worker takes direct orders.
+        addr: String,
+        /// The agent epoch that the orders are for.
+        agent_epoch: u64,
+        /// What to do, in order.
+        orders: Vec<Order>,
+    },
+    /// The key-value store has to know the machine before anything starts on it.
+    Record(String, MachineRecord),
+    /// The machine is surely gone, and its record with it.
+    Erase(String),
+    /// Machines should be rented.
+    Rent(RentRequest),
+    /// Machines should be returned.
+    Delete(Vec<String>),
+}
+
+/// Orders that go straight to a machine, for its worker's current agent epoch.
+pub(crate) fn direct_orders(machine: &Machine, orders: Vec<Order>) -> Action {
+    Action::Direct {
+        machine: machine.name.clone(),
+        addr: machine.addr.clone(),
+        agent_epoch: machine.messages.newest().agent_epoch,
+        orders,
+    }
+}
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -1,30 +1,24 @@
 //! Failover: which machines earlier leaders may have used, and when each is accounted for (S7).
 
 use super::{Scheduler, Verdict};
-use crate::machine::{Machine, MachineState, Reachability, Recorded};
+use crate::machine::{Machine, MachineState, MessageNumber, Reachability, Recorded};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
 use std::time::{Duration, Instant};
 
-/// After a failover machines have a report interval and this long to show what they hold.
+/// After a failover machines have a heartbeat interval and this long to show what they hold.
 const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
-/// While others still come, the rest may be on their way: when a cut ends or hung machines go on,
-/// they answer one after the other, and the last of them must not be taken for the silent few.
-const RECONCILIATION_QUIET: Duration = Duration::from_secs(3);
 /// So many machines that don't, or that part of all, are given up; never most of a small fleet.
 const FEW_UNRECONCILED: usize = 2;
 const UNRECONCILED_PART: usize = 8;
-/// And only those that were asked this often in vain: a leader that is busy with the reports of
+/// And only those that were asked this often in vain: a leader that is busy with the heartbeats of
 /// a whole fleet may not have come round to the others yet.
 const GIVEN_UP_AFTER: u32 = 2;
-/// So many reports with low order numbers, each above the one before, and no others, are a reason
-/// to ask the worker whether it counts anew.
-const BEHIND_REPORTS: u32 = 2;
 
 impl Scheduler {
     /// A machine on which an earlier leader may have started tasks. Nothing that was claimed
-    /// before is started until it has reported under our term, or is gone, or has lapsed.
-    /// `age` is the time since the record was written, at the least.
+    /// before is started until it has sent a heartbeat under our term, or is gone, or its worker's
+    /// lease has expired. `age` is the time since the record was written, at the least.
     pub fn recorded_machine(
         &mut self,
         name: &str,
@@ -46,33 +40,40 @@
         // It existed then, so the first lists may tell already that it is gone.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         // S6: the leader before us may have answered it until its fresh state ran out.
-        machine.answered_at = now + self.cluster.config.answer_limit;
+        machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
         machine.enter(MachineState::Up);
-        self.unreconciled.insert(name.to_owned());
-        self.unreconciled_since.get_or_insert(now);
+        self.reconciliation.expect(name, now);
         self.cluster.machines.insert(name.to_owned(), machine);
     }
 
-    /// Machines that have to be asked, under our term, what they hold, or whether they hear.
+    /// Machines that have to be asked, under our term, what they hold, or whether orders reach
+    /// them: name, address and agent epoch of each.
     pub fn fence_targets(&self) -> Vec<(String, String, u64)> {
         let asked = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
-                    || machine.behind.1 >= BEHIND_REPORTS
-                    || self.unreconciled.contains(&machine.name))
+                    || machine.messages.may_count_anew()
+                    || self.is_unreconciled(&machine.name))
         });
-        asked.map(|m| (m.name.clone(), m.addr.clone(), m.agent_epoch.max(1))).collect()
+        asked
+            .map(|machine| {
+                let agent_epoch = machine.messages.newest().agent_epoch.max(1);
+                (machine.name.clone(), machine.addr.clone(), agent_epoch)
+            })
+            .collect()
     }
 
-    /// The newest order number known of a machine: what it says in answer to a question asked
-    /// after this is newer.
+    /// The newest message known of a machine, as agent epoch and sequence: what it says in answer
+    /// to a question asked after this is newer.
     pub fn known_order(&self, name: &str) -> (u64, u64) {
-        self.cluster.machines.get(name).map_or((0, 0), |m| (m.agent_epoch, m.sequence))
+        let newest = self.cluster.machines.get(name).map(|machine| machine.messages.newest());
+        let MessageNumber { agent_epoch, sequence } = newest.unwrap_or_default();
+        (agent_epoch, sequence)
     }
 
-    /// A machine's answer to direct orders that were sent when `known` was the newest order
-    /// number known of it.
+    /// A machine's answer to direct orders that were sent when `known` was the newest message
+    /// known of it, as agent epoch and sequence.
     pub fn on_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -81,65 +82,63 @@
     ) -> Verdict {
         let verdict = self.on_heartbeat(heartbeat, false, now);
         if (heartbeat.agent_epoch, heartbeat.sequence) <= known {
-            self.restarted(&heartbeat.machine);
+            self.return_restarted(&heartbeat.machine);
         }
         verdict
     }
 
     /// A worker that counts anew has lost all its tasks, and its numbers no longer tell old
-    /// reports from new ones. So it is not trusted again: the machine is returned.
-    pub(super) fn restarted(&mut self, name: &str) {
-        self.hand_back(name, "its worker began anew; returned");
+    /// heartbeats from new ones. So it is not trusted again: the machine is returned.
+    pub(super) fn return_restarted(&mut self, name: &str) {
+        self.return_at_once(name, "worker began anew; machine returned");
     }
 
     /// Returns a machine at once, with all that it may hold; the answered deletion settles that.
-    fn hand_back(&mut self, name: &str, why: &'static str) {
+    fn return_at_once(&mut self, name: &str, reason: &'static str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if machine.state() != MachineState::Deleting {
             machine.enter(MachineState::Deleting);
             self.last_delete = None;
-            self.note(name, why);
+            self.note_machine_event(name, reason);
         }
     }
 
-    /// A few machines that don't answer hold up every task claimed before, until they lapse or
-    /// the list drops them half a minute later. Returned ones are surely gone (S5b), so those
-    /// few are given up. Where many are silent it is more likely a zone, or this controller,
-    /// that is cut off: then their work is worth the wait.
+    /// A few machines that don't answer hold up every task claimed before, until their workers'
+    /// leases expire or the list drops them half a minute later. Returned ones are surely gone
+    /// (S5b), so those few are given up. Where many are silent it is more likely a zone, or this
+    /// controller, that is cut off: then their tasks are worth the wait.
     pub(super) fn give_up_unreconciled(&mut self, now: Instant) {
-        let Some(since) = self.unreconciled_since else {
+        let Some(waited) = self.reconciliation.waited(now) else {
             return;
         };
-        let waited = now.saturating_duration_since(since);
         let machines = self.cluster.machines.len();
-        if self.unreconciled.is_empty() {
+        if self.reconciliation.is_complete() {
             let waited_s = waited.as_secs_f64();
-            tracing::info!(machines, waited_s, "all machines accounted for after the take-over");
-            self.unreconciled_since = None;
+            tracing::info!(machines, waited_s, "all machines accounted for after the failover");
+            self.reconciliation.end();
             return;
         }
         let few = FEW_UNRECONCILED.min(machines / 2).max(machines / UNRECONCILED_PART);
         let grace = self.cluster.config.heartbeat_interval + RECONCILIATION_GRACE;
-        let coming = self
-            .accounted_at
-            .is_some_and(|at| now.saturating_duration_since(at) < RECONCILIATION_QUIET);
-        if waited < grace || coming || self.unreconciled.len() > few {
+        if waited < grace || !self.reconciliation.is_quiet(now) || self.reconciliation.len() > few {
             return;
         }
-        let asked = |name: &&String| {
-            self.cluster
-                .machines
-                .get(*name)
-                .is_some_and(|machine| machine.unanswered >= GIVEN_UP_AFTER)
-        };
-        let silent: Vec<String> = self.unreconciled.iter().filter(asked).cloned().collect();
-        for name in silent {
-            self.hand_back(&name, "no answer after the take-over; returned");
+        for name in self.silent_unreconciled() {
+            self.return_at_once(&name, "no answer after the failover; machine returned");
         }
     }
 
+    /// Unreconciled machines that did not answer several questions in a row.
+    fn silent_unreconciled(&self) -> Vec<String> {
+        let is_silent = |name: &&String| {
+            let machine = self.cluster.machines.get(*name);
+            machine.is_some_and(|machine| machine.unanswered >= GIVEN_UP_AFTER)
+        };
+        self.reconciliation.machines().filter(is_silent).cloned().collect()
+    }
+
     /// A machine did not answer direct orders in time.
     pub fn unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
@@ -149,10 +148,11 @@
 
     /// All tasks that earlier leaders started are accounted for.
     pub fn is_reconciled(&self) -> bool {
-        self.unreconciled.is_empty()
+        self.reconciliation.is_complete()
     }
 
+    /// Whether the machine may hold tasks of earlier leaders that are not known yet (S7, S8).
     pub(crate) fn is_unreconciled(&self, machine: &str) -> bool {
-        self.unreconciled.contains(machine)
+        self.reconciliation.contains(machine)
     }
 }
--- /dev/null
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -0,0 +1,177 @@
+//! Workers' heartbeats: which of them count, and what they prove.
+
+mod exits;
+mod run_times;
+mod task_status;
+
+use super::{direct_orders, Action, Scheduler};
+use crate::cluster::Cluster;
+use crate::machine::{Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
+use corkfield_wire::worker::{Order, WorkerHeartbeat};
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+/// A heartbeat that came later than this many intervals after the one before tells nothing of run
+/// times.
+const PROMPT_INTERVALS: f64 = 1.5;
+
+/// What to do with a heartbeat.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Verdict {
+    /// It was taken.
+    Accept,
+    /// Older than what is known, or of a machine that is gone: no answer with 200.
+    Stale,
+    /// The worker has seen a higher term than ours.
+    HigherTerm(u64),
+}
+
+/// What of a heartbeat matters to each task that it shows, or lacks.
+struct Receipt {
+    /// False for an answer to direct orders.
+    own_heartbeat: bool,
+    number: MessageNumber,
+    /// The time since the machine's message before, if that is no longer than usual.
+    prompt_gap: Option<Duration>,
+    now: Instant,
+}
+
+impl Scheduler {
+    /// Takes a message of a worker: one of its own heartbeats, or its answer to direct orders.
+    pub fn on_heartbeat(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        own_heartbeat: bool,
+        now: Instant,
+    ) -> Verdict {
+        if heartbeat.term > self.term {
+            return Verdict::HigherTerm(heartbeat.term);
+        }
+        if self.gone.contains(&heartbeat.machine) {
+            return Verdict::Stale;
+        }
+        let our_term = self.term;
+        let prompt = self.cluster.config.heartbeat_interval.mul_f64(PROMPT_INTERVALS);
+        let number = MessageNumber::from(heartbeat);
+        let machine = self.machine_of(heartbeat, now);
+        if machine.messages.is_outdated(number) {
+            if own_heartbeat {
+                machine.messages.note_outdated_heartbeat(number);
+            }
+            return Verdict::Stale;
+        }
+        if machine.messages.has_shown_higher_term(heartbeat.term) {
+            self.return_restarted(&heartbeat.machine);
+            return Verdict::Stale;
+        }
+        let gap = machine.receive(heartbeat, own_heartbeat, now);
+        if machine.update_fence(heartbeat, our_term) {
+            let prompt_gap = gap.filter(|gap| *gap <= prompt);
+            let receipt = Receipt { own_heartbeat, number, prompt_gap, now };
+            self.on_fresh_heartbeat(heartbeat, &receipt);
+        }
+        Verdict::Accept
+    }
+
+    /// The machine that a heartbeat is of; one that was not known is known from now on.
+    fn machine_of(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> &mut Machine {
+        let Cluster { machines, machine_types, .. } = &mut self.cluster;
+        machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
+            tracing::debug!(
+                machine = %heartbeat.machine,
+                machine_type = %heartbeat.machine_type,
+                "new machine"
+            );
+            Machine::new(
+                heartbeat.machine.clone(),
+                heartbeat.machine_type.clone(),
+                heartbeat.zone.clone(),
+                heartbeat.spot,
+                machine_types,
+                now,
+            )
+        })
+    }
+
+    /// Takes a heartbeat of a fenced machine: it shows what the machine holds (S7).
+    fn on_fresh_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, receipt: &Receipt) {
+        let name = &heartbeat.machine;
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
+            machine.lease.resume(receipt.now);
+            if let Some(record) = machine.begin_recording() {
+                self.actions.push(Action::Record(name.clone(), record));
+            }
+        }
+        self.sync_tasks(heartbeat, receipt);
+        self.reconciliation.note_reconciled(name, receipt.now);
+        if heartbeat.notice_s.is_some() {
+            self.save_noticed(name);
+        }
+    }
+
+    /// Brings the tasks known of a machine in line with its heartbeat.
+    fn sync_tasks(&mut self, heartbeat: &WorkerHeartbeat, receipt: &Receipt) {
+        let name = &heartbeat.machine;
+        let mut reported: BTreeSet<TaskAttempt> = BTreeSet::new();
+        let mut start_taken = false;
+        for status in &heartbeat.tasks {
+            reported.insert(TaskAttempt { task: status.task.clone(), attempt: status.attempt });
+            start_taken |= self.sync_task(name, status, receipt);
+        }
+        let Some(machine) = self.cluster.machines.get_mut(name) else {
+            return;
+        };
+        let missing = machine.tasks.iter().filter(|(key, machine_task)| {
+            receipt.settles_absence_of(machine_task) && !reported.contains(key)
+        });
+        let (mut lost, mut start_lost) = (Vec::new(), false);
+        for (key, machine_task) in missing {
+            start_lost |= machine_task.is_ordered();
+            lost.push(key.clone());
+        }
+        if start_taken || start_lost {
+            machine.note_delivery(start_taken);
+        }
+        for key in lost {
+            self.release_task(name, &key);
+        }
+    }
+
+    /// Has the tasks of a machine that is about to be taken save checkpoints, where they can.
+    fn save_noticed(&mut self, name: &str) {
+        let Cluster { jobs, machines, .. } = &mut self.cluster;
+        let Some(machine) = machines.get_mut(name) else {
+            return;
+        };
+        let mut saving: Vec<(TaskAttempt, Duration)> = Vec::new();
+        for (key, machine_task) in machine.tasks.iter() {
+            let Some(job) = jobs.get(&key.task.job).filter(|job| job.saves_checkpoints()) else {
+                continue;
+            };
+            if machine_task.state == MachineTaskState::Running && machine_task.stop.is_none() {
+                saving.push((key.clone(), job.stop_grace()));
+            }
+        }
+        let stops: Vec<Order> =
+            saving.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
+        if !stops.is_empty() {
+            self.actions.push(direct_orders(machine, stops));
+        }
+    }
+}
+
+impl Receipt {
+    /// Whether a task that this heartbeat lacks is surely not on the machine (S5a).
+    fn settles_absence_of(&self, machine_task: &MachineTask) -> bool {
+        match machine_task.state {
+            MachineTaskState::Assigned => false,
+            // A start travels only in the answer to a heartbeat, and the worker drops it after
+            // a while (S3). Only a later heartbeat of its own shows that it was not carried
+            // out; an answer to direct orders may have been made while it was under way.
+            MachineTaskState::Ordered { agent_epoch, sequence } => {
+                self.own_heartbeat && self.number > MessageNumber { agent_epoch, sequence }
+            }
+            _ => true,
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -0,0 +1,123 @@
+//! What a heartbeat says of one task.
+
+use super::{Receipt, Scheduler};
+use crate::cluster::Cluster;
+use crate::job::{Job, JobState};
+use crate::machine::{Machine, MachineTask, MachineTaskState, TaskAttempt};
+use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus};
+use std::time::{Duration, Instant};
+
+/// What was known of a task before a heartbeat.
+#[derive(Clone, Copy)]
+pub(super) struct KnownTask {
+    pub(super) state: MachineTaskState,
+    pub(super) since: Instant,
+}
+
+/// What a task that has not exited is to its job.
+enum LiveTask {
+    /// The attempt that the job knows.
+    Known,
+    /// Started by an earlier leader, or found again: it goes on.
+    Found,
+    /// It has to be stopped: its job needs none of its tasks, or not this attempt.
+    Unwanted,
+}
+
+impl LiveTask {
+    fn of(job: &Job, machine: &str, key: &TaskAttempt) -> Self {
+        let index = key.task.index;
+        if !job.is_live() || job.state() == JobState::DeadLettered || job.finished().contains(index)
+        {
+            return Self::Unwanted;
+        }
+        match job.active().get(&index) {
+            None => Self::Found,
+            Some(placed) if placed.machine == machine && placed.attempt == key.attempt => {
+                Self::Known
+            }
+            Some(placed) => {
+                let other_machine = &placed.machine;
+                tracing::warn!(task = %key.task, machine, other_machine, "task reported twice");
+                Self::Unwanted
+            }
+        }
+    }
+}
+
+/// The state of a task that a heartbeat shows.
+fn reported_state(status: &TaskStatus) -> MachineTaskState {
+    match (status.phase, status.cause) {
+        (TaskPhase::Fetching, _) => MachineTaskState::Fetching,
+        (TaskPhase::Running | TaskPhase::Other, _) => MachineTaskState::Running,
+        (TaskPhase::Saving, _) => MachineTaskState::Saving,
+        (TaskPhase::Exited, Some(ExitCause::Done)) => MachineTaskState::Done,
+        (TaskPhase::Exited, _) => MachineTaskState::Exited,
+    }
+}
+
+/// Brings a task on a machine in line with its status; returns what was known before, and the
+/// task.
+fn update_machine_task<'a>(
+    machine: &'a mut Machine,
+    key: &TaskAttempt,
+    state: MachineTaskState,
+    now: Instant,
+) -> (Option<KnownTask>, &'a mut MachineTask) {
+    let known = machine.tasks.get(key).map(|t| KnownTask { state: t.state, since: t.since });
+    if known.is_none_or(|known| known.state != state) {
+        let TaskAttempt { task, attempt } = key;
+        tracing::debug!(task = %task, machine = machine.name, attempt, ?state, "task state");
+    }
+    let found = || MachineTask::found(state, now);
+    let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
+    machine_task.enter(state, now);
+    (known, machine_task)
+}
+
+impl Scheduler {
+    /// Takes what a heartbeat says of a task; true if that shows that a start was taken.
+    pub(super) fn sync_task(&mut self, name: &str, status: &TaskStatus, receipt: &Receipt) -> bool {
+        let key = TaskAttempt { task: status.task.clone(), attempt: status.attempt };
+        let Cluster { jobs, machines, run_time_corrections, .. } = &mut self.cluster;
+        let Some(machine) = machines.get_mut(name) else {
+            return false;
+        };
+        let state = reported_state(status);
+        let (known, machine_task) = update_machine_task(machine, &key, state, receipt.now);
+        let start_taken =
+            known.is_some_and(|known| matches!(known.state, MachineTaskState::Ordered { .. }));
+        let Some(job) = jobs.get_mut(&key.task.job) else {
+            // Cancelled, done, or not claimed yet; stopped once all jobs are claimed.
+            return start_taken;
+        };
+        machine_task.belongs_to(job.spec(), job.team);
+        match state {
+            MachineTaskState::Done => {
+                let known = known.filter(|_| machine_task.started_by_us);
+                if job.finish(key.task.index) {
+                    machine.health.note_completion();
+                    if let Some(run) = receipt.run_time(known) {
+                        run.note(run_time_corrections, job, machine);
+                    }
+                }
+            }
+            MachineTaskState::Exited => {
+                if known.is_none_or(|known| known.state != MachineTaskState::Exited) {
+                    job.release(key.task.index, name, key.attempt);
+                    self.on_task_exit(name, status, receipt.now);
+                }
+            }
+            _ => match LiveTask::of(job, name, &key) {
+                LiveTask::Known => {}
+                LiveTask::Found => {
+                    job.place(key.task.index, name, key.attempt);
+                    machine.touch_image(&job.record.spec.image, job.record.spec.image_gb);
+                }
+                LiveTask::Unwanted => machine_task.stop = Some(Duration::ZERO),
+            },
+        }
+        self.remove_if_closed(&key.task.job);
+        start_taken
+    }
+}
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -1,38 +1,42 @@
-//! Answers to reports: which orders leave with them, and how long an answer may wait.
+//! Answers to heartbeats: which orders leave with them, and how long an answer may wait.
 
 use super::Scheduler;
-use crate::machine::{MachineState, MachineTask, MachineTaskState};
+use crate::job::{AttemptNumber, Job};
+use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, MessageNumber};
 use corkfield_wire::worker::Order;
+use corkfield_wire::JobId;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// Orders in one answer; keeps the answer's only line far below 64 KiB.
 const MAX_ORDERS: usize = 250;
 
 impl Scheduler {
-    /// Whether a placement pass might start something there, now that it has reported.
+    /// Whether a placement pass might start something there, now that it has sent a heartbeat.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
-            machine.takes_work(now, Duration::MAX)
+            machine.accepts_starts(now, Duration::MAX)
                 && machine.free().is_some_and(|free| free.cpus > 0.0)
         }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting() > 0)
     }
 
-    /// Whether starts wait for that machine's next report.
+    /// Whether starts wait for that machine's next heartbeat.
     pub fn has_starts_for(&self, name: &str) -> bool {
         let assigned =
             |machine_task: &MachineTask| machine_task.state == MachineTaskState::Assigned;
         self.cluster.machines.get(name).is_some_and(|machine| machine.tasks.values().any(assigned))
     }
 
-    /// Whether the answer to a report may wait for work: the machine has nothing to tell.
+    /// Whether the answer to a heartbeat may wait for tasks to start: the machine has nothing to
+    /// report.
     pub fn may_hold(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
             m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
         })
     }
 
-    /// The answer to the report with this session and number. `may_start` is false while our
-    /// own lease may have ended (S4). Every call counts as an answer with 200.
+    /// The answer to the heartbeat with this agent epoch and number. `may_start` is false while
+    /// our own lease may have ended (S4). Every call counts as an answer with 200.
     pub fn orders(
         &mut self,
         name: &str,
@@ -44,51 +48,87 @@
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return Vec::new();
         };
-        machine.answered(self.term, now);
+        machine.lease.note_answer(self.term, now);
         if !machine.fenced {
             return Vec::new();
         }
-        let mut orders = Vec::new();
-        for ((task, attempt), machine_task) in machine.tasks.iter_mut() {
-            let job = self.cluster.jobs.get(&task.job);
-            if job.is_none() && self.unclaimed.contains(&task.job) {
-                continue;
-            }
-            let forget = match machine_task.state {
-                // S9: stored before it is forgotten.
-                MachineTaskState::Done => match job {
-                    Some(job) => !job.is_live() || job.is_stored(task.index),
-                    None => true,
-                },
-                MachineTaskState::Exited => true,
-                _ => false,
-            };
-            if forget {
-                orders.push(Order::Forget { task: task.clone(), attempt: *attempt });
-            } else if job.is_none() && machine_task.takes_room() {
-                // S11: nobody's task, so cancelled, done or lost.
-                machine_task.stop = Some(Duration::ZERO);
-            }
-        }
+        let mut orders = forget_or_mark_stopped(machine, &self.cluster.jobs, &self.unclaimed);
         orders.extend(machine.stops());
         orders.truncate(MAX_ORDERS);
-        let current = (machine.agent_epoch, machine.sequence) == (agent_epoch, sequence);
-        if may_start && current && machine.takes_work(now, Duration::MAX) {
-            for ((task, attempt), machine_task) in machine.tasks.iter_mut() {
-                if machine_task.state != MachineTaskState::Assigned || orders.len() >= MAX_ORDERS {
-                    continue;
-                }
-                let Some(job) = self.cluster.jobs.get(&task.job).filter(|j| j.may_start()) else {
-                    continue;
-                };
-                // The order's generation must be that of the job's record.
-                debug_assert_eq!(*attempt >> 24, job.record.generation);
-                let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
-                machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
-                tracing::debug!(%task, machine = name, attempt, sequence, waited_ms, "start ordered");
-                orders.push(Order::Start { task: task.clone(), attempt: *attempt });
-            }
+        let answered = MessageNumber { agent_epoch, sequence };
+        let is_newest = machine.messages.newest() == answered;
+        if may_start && is_newest && machine.accepts_starts(now, Duration::MAX) {
+            let most = MAX_ORDERS - orders.len();
+            orders.extend(order_starts(machine, &self.cluster.jobs, answered, most, now));
         }
         orders
     }
 }
+
+/// Orders the worker to forget tasks that have exited, and marks tasks to be stopped that are
+/// nobody's.
+fn forget_or_mark_stopped(
+    machine: &mut Machine,
+    jobs: &BTreeMap<JobId, Job>,
+    unclaimed: &BTreeSet<JobId>,
+) -> Vec<Order> {
+    let mut orders = Vec::new();
+    for (key, machine_task) in machine.tasks.iter_mut() {
+        let job = jobs.get(&key.task.job);
+        if job.is_none() && unclaimed.contains(&key.task.job) {
+            continue;
+        }
+        if may_forget(machine_task.state, job, key.task.index) {
+            orders.push(Order::Forget { task: key.task.clone(), attempt: key.attempt });
+        } else if job.is_none() && machine_task.takes_room() {
+            // S11: nobody's task, so cancelled, done or lost.
+            machine_task.stop = Some(Duration::ZERO);
+        }
+    }
+    orders
+}
+
+/// Whether the worker may forget a task, given its job if that is known.
+fn may_forget(state: MachineTaskState, job: Option<&Job>, index: u32) -> bool {
+    match state {
+        // S9: stored before it is forgotten.
+        MachineTaskState::Done => job.is_none_or(|job| !job.is_live() || job.is_stored(index)),
+        MachineTaskState::Exited => true,
+        _ => false,
+    }
+}
+
+/// Orders up to `most` assigned tasks to start, with the answer to that heartbeat (S3).
+fn order_starts(
+    machine: &mut Machine,
+    jobs: &BTreeMap<JobId, Job>,
+    answered: MessageNumber,
+    most: usize,
+    now: Instant,
+) -> Vec<Order> {
+    let MessageNumber { agent_epoch, sequence } = answered;
+    let mut starts = Vec::new();
+    for (key, machine_task) in machine.tasks.iter_mut() {
+        if machine_task.state != MachineTaskState::Assigned || starts.len() >= most {
+            continue;
+        }
+        let Some(job) = jobs.get(&key.task.job).filter(|job| job.may_start()) else {
+            continue;
+        };
+        // The order's generation must be that of the job's record.
+        debug_assert_eq!(AttemptNumber::from(key.attempt).generation(), job.record.generation);
+        let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
+        machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
+        tracing::debug!(
+            task = %key.task,
+            machine = machine.name,
+            attempt = key.attempt,
+            agent_epoch,
+            sequence,
+            waited_ms,
+            "start ordered"
+        );
+        starts.push(Order::Start { task: key.task.clone(), attempt: key.attempt });
+    }
+    starts
+}
