--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,10 +2,14 @@
 //!
 //! Every name that an outside system uses appears in this crate and nowhere else; the rest of
 //! the project speaks in the field's own terms (lease, term, generation, attempt, spot, zone,
-//! image).
+//! image). Where a field's spelling in the protocol differs, its `serde` attribute holds it.
+//!
+//! Architecture invariant: this crate depends on no other of the project, and does no I/O.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod cloud;
+mod job_id;
 pub mod peer;
 pub mod records;
 pub mod settings;
@@ -15,6 +19,7 @@
 pub mod user;
 pub mod worker;
 
+pub use job_id::JobId;
 pub use taskset::TaskSet;
-pub use user::{JobId, JobSpec, JobStatus, Priority};
+pub use user::{JobSpec, JobStatus, Priority};
 pub use worker::TaskId;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -2,68 +2,88 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
+/// Version of the frames; others are refused.
 pub const VERSION: u8 = 2;
-/// No frame may be longer.
+/// No frame may be longer, in bytes.
 pub const MAX_FRAME: usize = 256 * 1024;
 
 /// One controller's view, sent once a second or so.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
+    /// Name of the sender's node.
     pub node: String,
+    /// The sender's incarnation; empty while it has no lease.
     pub incarnation: String,
     /// Drawn anew by each process.
     pub process: u64,
-    /// Counts the heartbeats sent to this receiver, and says which of its own was the last to come,
-    /// and of which of its processes.
+    /// Counts the heartbeats sent to this receiver.
     pub number: u64,
+    /// The number of the receiver's own heartbeat that came last; 0 if none did.
     pub echo: u64,
+    /// The receiver's process that sent that one.
     pub echo_process: u64,
     /// The sender has had no answer from the state service for a while, knows of no leader but the
-    /// receiver, and every cancellation that it told a user of was acknowledged by the receiver.
+    /// receiver, and every cancellation that it confirmed to a user was acknowledged by the
+    /// receiver (S11).
     pub attests: bool,
-    /// It plans, or takes itself for the leader.
+    /// It is the leader, or takes itself for the leader.
     pub leading: bool,
     /// The state service answered this controller a moment ago.
     pub store_ok: bool,
-    /// The leader that it knows of, and that leader's term.
+    /// The leader that it knows of.
     pub scheduler: Option<String>,
+    /// That leader's term; 0 without one.
     pub term: u64,
 }
 
+/// A message between controllers. The order of the variants is part of the format.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
+    /// The sender's view.
     PeerHeartbeat(PeerHeartbeat),
-    /// A worker's report, passed on to the leader by a controller that the worker can reach.
+    /// A worker's heartbeat, passed on to the leader by a controller that the worker can reach.
     WorkerHeartbeat {
+        /// Chosen by the sender; its answer carries the same.
         number: u64,
+        /// The heartbeat's JSON as it came.
         body: Vec<u8>,
     },
     /// The leader's answer to it.
     Answer {
+        /// The number of the heartbeat that it answers.
         number: u64,
+        /// The HTTP status for the worker.
         status: u16,
+        /// The JSON for the worker.
         body: Vec<u8>,
     },
-    /// The state service holds these jobs as cancelled: the sender committed that, or read it.
+    /// The state service holds these jobs as cancelled: the sender committed that, or read it
+    /// (S11).
     Cancelled {
+        /// Ids of the jobs.
         jobs: Vec<String>,
     },
-    /// That was heard.
+    /// The receiver of a [`Frame::Cancelled`] has taken it in.
     Acknowledged {
+        /// Ids of the jobs.
         jobs: Vec<String>,
     },
 }
 
+/// Why a frame can't be read.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
+    /// It is of another version than [`VERSION`].
     #[error("unknown peer version {0}")]
     Version(u8),
+    /// It is empty, or its body is no frame.
     #[error("malformed frame")]
     Malformed,
 }
 
 impl Frame {
-    /// The frame as it goes over the link: length (4 bytes, little endian), version, body.
+    /// The frame as it goes over the link: length (4 bytes, little endian), version, body. The
+    /// length counts the version and the body.
     pub fn encode(&self) -> Vec<u8> {
         let body = borsh::to_vec(self).unwrap_or_default();
         let length = u32::try_from(body.len() + 1).unwrap_or(u32::MAX);
@@ -74,6 +94,10 @@
     }
 
     /// Reads what follows the length.
+    ///
+    /// # Errors
+    ///
+    /// If the version is not [`VERSION`], or the body is no frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         match bytes.split_first() {
             Some((&VERSION, body)) => borsh::from_slice(body).map_err(|_| FrameError::Malformed),
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the peer module.
+
 use super::*;
 
 #[test]
--- a/crates/wire/src/settings/tests.rs
+++ b/crates/wire/src/settings/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the settings module.
+
 use super::*;
 
 const LEAST: &str = "node_name = \"n\"\ndomain = \"z\"\nclient_listen = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n\
--- a/crates/wire/src/taskset.rs
+++ b/crates/wire/src/taskset.rs
@@ -1,9 +1,11 @@
 //! A set of task numbers, kept and written as ranges.
 
+use crate::user::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
+/// A set of task numbers. It is written as text, in ranges: `0-2,5,9-10`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TaskSet {
@@ -12,33 +14,48 @@
     count: u32,
 }
 
+/// Why a text is no set of task numbers.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TaskSetError {
+    /// A range is neither a number nor two numbers with `-` between them.
+    #[error("malformed range {0}")]
+    MalformedRange(String),
+    /// A range ends before it begins, touches the one before it or comes before it, or goes
+    /// beyond [`MAX_TASKS`].
+    #[error("range {0} out of order")]
+    OutOfOrder(String),
+}
+
 impl TaskSet {
+    /// Whether it holds no number.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
+    /// How many numbers it holds.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    pub fn contains(&self, n: u32) -> bool {
-        self.ranges.range(..=n).next_back().is_some_and(|(_, &last)| n <= last)
+    /// Whether it holds this number.
+    pub fn contains(&self, index: u32) -> bool {
+        self.ranges.range(..=index).next_back().is_some_and(|(_, &last)| index <= last)
     }
 
     /// Adds a number; false if it was there already.
-    pub fn insert(&mut self, n: u32) -> bool {
-        if self.contains(n) {
+    pub fn insert(&mut self, index: u32) -> bool {
+        if self.contains(index) {
             return false;
         }
-        let mut first = n;
-        let mut last = n;
-        if let Some((&start, &end)) = self.ranges.range(..n).next_back() {
-            if end + 1 == n {
+        let mut first = index;
+        let mut last = index;
+        if let Some((&start, &end)) = self.ranges.range(..index).next_back() {
+            if end + 1 == index {
                 first = start;
             }
         }
-        if let Some(&end) = n.checked_add(1).and_then(|next| self.ranges.get(&next)) {
-            self.ranges.remove(&(n + 1));
+        if let Some(&end) = index.checked_add(1).and_then(|next| self.ranges.get(&next)) {
+            self.ranges.remove(&(index + 1));
             last = end;
         }
         self.ranges.insert(first, last);
@@ -46,10 +63,11 @@
         true
     }
 
+    /// Adds all numbers of another set.
     pub fn extend(&mut self, other: &Self) {
         for (&first, &last) in &other.ranges {
-            for n in first..=last {
-                self.insert(n);
+            for index in first..=last {
+                self.insert(index);
             }
         }
     }
@@ -58,8 +76,8 @@
     pub fn slice(&self, from: u32, to: u32) -> Self {
         let mut part = Self::default();
         let Some(to) = to.checked_sub(1) else { return part };
-        let first = self.ranges.range(..=from).next_back().map_or(from, |(&first, _)| first);
-        for (&first, &last) in self.ranges.range(first..=to) {
+        let start = self.ranges.range(..=from).next_back().map_or(from, |(&first, _)| first);
+        for (&first, &last) in self.ranges.range(start..=to) {
             let (first, last) = (first.max(from), last.min(to));
             if first <= last {
                 part.ranges.insert(first, last);
@@ -88,17 +106,17 @@
 }
 
 impl TryFrom<String> for TaskSet {
-    type Error = String;
+    type Error = TaskSetError;
+
     fn try_from(text: String) -> Result<Self, Self::Error> {
         let mut set = Self::default();
+        // The least number that the next range may begin with.
         let mut floor = 0u64;
         for part in text.split(',').filter(|part| !part.is_empty()) {
-            let (first, last) = part.split_once('-').unwrap_or((part, part));
-            let bad = |_| format!("malformed range {part}");
-            let (first, last): (u32, u32) =
-                (first.parse().map_err(bad)?, last.parse().map_err(bad)?);
-            if u64::from(first) < floor || last < first || last > crate::user::MAX_TASKS {
-                return Err(format!("range {part} out of order"));
+            let (first, last) =
+                parse_range(part).ok_or_else(|| TaskSetError::MalformedRange(part.to_owned()))?;
+            if u64::from(first) < floor || last < first || last > MAX_TASKS {
+                return Err(TaskSetError::OutOfOrder(part.to_owned()));
             }
             floor = u64::from(last) + 2;
             set.ranges.insert(first, last);
@@ -108,5 +126,11 @@
     }
 }
 
+/// The first and the last number of a range; of a single number, that one twice.
+fn parse_range(part: &str) -> Option<(u32, u32)> {
+    let (first, last) = part.split_once('-').unwrap_or((part, part));
+    Some((first.parse().ok()?, last.parse().ok()?))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/wire/src/text.rs
+++ b/crates/wire/src/text.rs
@@ -5,6 +5,7 @@
 
 /// Reads a text and parses it.
 pub(crate) struct ParsedText<T> {
+    /// Parses the text; none if it is malformed.
     pub parse: fn(&str) -> Option<T>,
     /// What it should be, for errors.
     pub expected: &'static str,
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -1,88 +1,43 @@
 //! What users send and receive.
 
-use crate::text::ParsedText;
-use serde::{Deserialize, Deserializer, Serialize, Serializer};
-use std::fmt;
+mod submission;
+
+pub use crate::job_id::JobId;
+pub use submission::BadSubmission;
+
+use serde::{Deserialize, Serialize};
 
 /// Most tasks that one job may have.
 pub const MAX_TASKS: u32 = 100_000;
-const MAX_NAME: usize = 120;
 
+/// Path of submissions; with `/{id}` added, of one job.
 pub const PATH_JOBS: &str = "/submissions";
+/// Last part of the path that cancels a job.
 pub const PATH_CANCEL: &str = "withdraw";
+/// Path of the load balancer's probes.
 pub const PATH_READY: &str = "/ready";
 
-const JOB_ID_PREFIX: &str = "j-";
-const JOB_ID_DIGITS: usize = 20;
-
-/// The id of a job, chosen by its user. It is kept in place, without an allocation: a leader
-/// compares and copies ids for every task of every report.
-#[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct JobId {
-    /// The digits as they were sent, leading zeros too, then zero bytes: so ids are in order of
-    /// their text.
-    digits: [u8; JOB_ID_DIGITS],
-    length: u8,
-}
-
-impl JobId {
-    pub fn parse(text: &str) -> Option<Self> {
-        let given = text.strip_prefix(JOB_ID_PREFIX)?.as_bytes();
-        let ok = (1..=JOB_ID_DIGITS).contains(&given.len()) && given.iter().all(u8::is_ascii_digit);
-        if !ok {
-            return None;
-        }
-        let mut digits = [0; JOB_ID_DIGITS];
-        digits[..given.len()].copy_from_slice(given);
-        Some(Self { digits, length: u8::try_from(given.len()).ok()? })
-    }
-
-    fn digits(&self) -> &str {
-        // They were taken from a text, and are ASCII.
-        std::str::from_utf8(&self.digits[..usize::from(self.length)]).unwrap_or_default()
-    }
-}
-
-impl fmt::Debug for JobId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "JobId({self})")
-    }
-}
-
-impl Serialize for JobId {
-    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.collect_str(self)
-    }
-}
-
-impl<'de> Deserialize<'de> for JobId {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_str(ParsedText { parse: Self::parse, expected: "job id" })
-    }
-}
-
-impl fmt::Display for JobId {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{JOB_ID_PREFIX}{}", self.digits())
-    }
-}
-
-/// The kinds of job that this service runs.
+/// The kinds of job that this service runs (`shape`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
+    /// Independent tasks, each of which runs to completion: a job array.
     #[serde(rename = "sweep")]
     Array,
 }
 
-/// Priorities, the highest first.
+/// Priorities (`rank`), the highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
+    /// Above all others.
     #[serde(rename = "production")]
     Production,
+    /// `urgent` in the protocol.
     #[serde(rename = "urgent")]
     High,
+    /// The ordinary priority.
     #[serde(rename = "normal")]
     Normal,
+    /// `idle` in the protocol.
     #[serde(rename = "idle")]
     Low,
 }
@@ -90,115 +45,68 @@
 /// A job as its user submits it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The job's id, chosen by the user; a repeated submission carries the same one.
     #[serde(rename = "name_id")]
     pub id: JobId,
+    /// The class of jobs that it belongs to; objectives are set for each class.
     #[serde(rename = "pool")]
     pub class: String,
+    /// The team whose guarantee and limit apply.
     #[serde(rename = "owner")]
     pub team: String,
+    /// Its kind.
     #[serde(rename = "shape")]
     pub kind: Kind,
+    /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
+    /// Number of tasks, 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
+    /// CPUs that each task takes of its machine.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
+    /// GPUs that each task takes.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
+    /// Memory that each task takes, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
+    /// The image that a machine needs before a task can start.
     #[serde(rename = "bundle")]
     pub image: String,
+    /// The image's size, in GB.
     pub image_gb: f64,
+    /// The only machine types allowed; none allows any.
     #[serde(rename = "flavours", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The only zone allowed; none allows any.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks have to be in the same zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// Spot machines are allowed.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// The user's estimate of a task's run time without the image fetch, in seconds; often wrong.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
+    /// Interval of progress between checkpoints, in seconds; 0 if tasks can't save any.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
+    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "flush_s")]
     pub save_s: f64,
+    /// When the job should be complete, in seconds from its submission; none without a deadline.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// Why a submission is malformed. The id is kept where it could be read, so that a repeat of
-/// an accepted submission can still be recognised.
-#[derive(Debug, thiserror::Error)]
-#[error("{reason}")]
-pub struct BadSubmission {
-    pub id: Option<JobId>,
-    pub reason: String,
-}
-
 impl JobSpec {
-    pub fn parse(body: &[u8]) -> Result<Self, BadSubmission> {
-        let bad = |id: Option<JobId>, reason: String| BadSubmission { id, reason };
-        let value: serde_json::Value = serde_json::from_slice(body)
-            .map_err(|e| bad(None, format!("body is not JSON: {e}")))?;
-        if !value.is_object() {
-            return Err(bad(None, "body is not an object".to_owned()));
-        }
-        let id = value["name_id"].as_str().and_then(JobId::parse);
-        let spec: Self =
-            serde_json::from_value(value).map_err(|e| bad(id.clone(), e.to_string()))?;
-        match spec.check() {
-            Ok(()) => Ok(spec),
-            Err(reason) => Err(bad(id, reason)),
-        }
-    }
-
-    fn check(&self) -> Result<(), String> {
-        let name = |field: &str, text: &str| {
-            if text.is_empty() || text.len() > MAX_NAME {
-                return Err(format!("{field}: must have 1 to {MAX_NAME} bytes"));
-            }
-            Ok(())
-        };
-        name("pool", &self.class)?;
-        name("owner", &self.team)?;
-        name("bundle", &self.image)?;
-        if let Some(zone) = &self.zone {
-            name("site", zone)?;
-        }
-        if let Some(types) = &self.types {
-            if types.is_empty() || types.len() > 64 {
-                return Err("flavours: must name 1 to 64 types".to_owned());
-            }
-            for label in types {
-                name("flavours", label)?;
-            }
-        }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(format!("pieces: must be 1 to {MAX_TASKS}"));
-        }
-        let amounts = [
-            ("vcpus", self.cpus),
-            ("accelerators", self.gpus),
-            ("mem_gb", self.memory_gb),
-            ("image_gb", self.image_gb),
-            ("guess_s", self.estimate_s),
-            ("snapshot_s", self.checkpoint_s),
-            ("flush_s", self.save_s),
-            ("due_s", self.deadline_s.unwrap_or(0.0)),
-        ];
-        for (field, amount) in amounts {
-            if !amount.is_finite() || !(0.0..=1e9).contains(&amount) {
-                return Err(format!("{field}: must be an amount of 0 or more"));
-            }
-        }
-        Ok(())
-    }
-
     /// Most tasks that `spread` allows in one zone at a time.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
@@ -212,17 +120,22 @@
 /// What a user is told of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
+    /// No task runs (`pending`).
     #[serde(rename = "pending")]
     Queued,
+    /// Tasks run.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are done. Final.
     #[serde(rename = "done")]
     Done,
+    /// Cancelled by its user (`aborted`). Final.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
 impl JobStatus {
+    /// Whether the job is over; a final status never changes.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
@@ -231,12 +144,16 @@
 /// The answer to a submission, a query or a cancellation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
+    /// The job.
     #[serde(rename = "name_id")]
     pub id: JobId,
+    /// Its status.
     #[serde(rename = "status")]
     pub status: JobStatus,
+    /// How many tasks are done, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
+    /// How many tasks run, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
@@ -244,5 +161,6 @@
 /// Any answer that is not a success.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorView {
+    /// What is wrong, as text for the user.
     pub error: String,
 }
