--- a/crates/http/src/server/tests.rs
+++ b/crates/http/src/server/tests.rs
@@ -53,6 +53,44 @@
     });
 }
 
+#[test]
+fn a_bad_request_is_told_what_is_wrong_with_it() {
+    run(async {
+        let head_of = |size: usize| format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(size - 19));
+        let headers = "X: y\r\n".repeat(49);
+        let cases = [
+            ("\0\r\n\r\n".to_owned(), "malformed message"),
+            (head_of(8193), "head over 8192 bytes"),
+            (format!("GET / HTTP/1.1\r\n{headers}\r\n"), "head over 8192 bytes"),
+            ("POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n".to_owned(), "body too large"),
+            ("POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n".to_owned(), "malformed message"),
+            (
+                "POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n".to_owned(),
+                "transfer encoding is not served",
+            ),
+        ];
+        for (request, reason) in cases {
+            let body = format!("{{\"error\":\"{reason}\"}}");
+            let expected = format!(
+                "HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\
+                 Connection: close\r\n\r\n{body}",
+                body.len()
+            );
+            assert_eq!(exchange(request.as_bytes()).await, expected, "{request:.60}");
+        }
+    });
+}
+
+#[test]
+fn a_client_that_asks_is_told_to_continue() {
+    run(async {
+        let request = b"POST /a HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\nab";
+        let answer = exchange(request).await;
+        assert!(answer.starts_with("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), "{answer}");
+        assert!(answer.ends_with("\r\n\r\nPOST /a 2"), "{answer}");
+    });
+}
+
 #[test]
 fn connections_beyond_the_others_share_are_refused_and_those_kept_are_not() {
     run(async {
