--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -2,8 +2,16 @@
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
+/// Longest head of a message, in bytes.
 pub(crate) const MAX_HEAD: usize = 8 * 1024;
+/// Most headers of a message.
 pub(crate) const MAX_HEADERS: usize = 48;
+/// Room that is made in the buffer before each read, in bytes.
+const READ_SIZE: usize = 2048;
+/// Longest line with a chunk's size, in bytes.
+const MAX_CHUNK_LINE: usize = 64;
+/// The line end after each chunk.
+const CHUNK_END: usize = b"\r\n".len();
 
 /// Why no message could be read.
 #[derive(Debug, thiserror::Error)]
@@ -31,12 +39,17 @@
 /// How a message's body is delimited, and whether the connection goes on after it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Framing {
+    /// Bytes of the body, where the head says so.
     pub length: Option<usize>,
+    /// The body comes in chunks.
     pub chunked: bool,
+    /// The sender closes the connection after the message.
     pub close: bool,
+    /// The sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
+/// Reads a message's framing from its headers.
 pub(crate) fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, ReadError> {
     let mut framing = Framing::default();
     for header in headers {
@@ -69,7 +82,7 @@
     stream: &mut R,
     buffer: &mut Vec<u8>,
 ) -> Result<(), ReadError> {
-    buffer.reserve(2048);
+    buffer.reserve(READ_SIZE);
     match stream.read_buf(buffer).await? {
         0 => Err(ReadError::Closed),
         _ => Ok(()),
@@ -81,9 +94,9 @@
     stream: &mut R,
     buffer: &mut Vec<u8>,
     length: usize,
-    limit: usize,
+    max_body: usize,
 ) -> Result<Vec<u8>, ReadError> {
-    if length > limit {
+    if length > max_body {
         return Err(ReadError::BodyTooLarge);
     }
     while buffer.len() < length {
@@ -97,30 +110,46 @@
 pub(crate) async fn chunked_body<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
-    limit: usize,
+    max_body: usize,
 ) -> Result<Vec<u8>, ReadError> {
     let mut body = Vec::new();
     loop {
-        let (start, size) = loop {
-            match httparse::parse_chunk_size(buffer) {
-                Ok(httparse::Status::Complete(found)) => break found,
-                Ok(httparse::Status::Partial) if buffer.len() < 64 => {
-                    fill(stream, buffer).await?;
-                }
-                _ => return Err(ReadError::Malformed),
-            }
-        };
+        let ChunkLine { start, size } = read_chunk_line(stream, buffer).await?;
         let size = usize::try_from(size).map_err(|_| ReadError::BodyTooLarge)?;
-        if size.saturating_add(body.len()) > limit {
+        if size.saturating_add(body.len()) > max_body {
             return Err(ReadError::BodyTooLarge);
         }
-        while buffer.len() < start + size + 2 {
+        let end = start + size + CHUNK_END;
+        while buffer.len() < end {
             fill(stream, buffer).await?;
         }
         body.extend_from_slice(&buffer[start..start + size]);
-        buffer.drain(..start + size + 2);
+        buffer.drain(..end);
         if size == 0 {
             return Ok(body);
         }
     }
 }
+
+/// The line before a chunk.
+struct ChunkLine {
+    /// Where the chunk's bytes start in the buffer.
+    start: usize,
+    /// How many there are.
+    size: u64,
+}
+
+async fn read_chunk_line<R: AsyncRead + Unpin>(
+    stream: &mut R,
+    buffer: &mut Vec<u8>,
+) -> Result<ChunkLine, ReadError> {
+    loop {
+        match httparse::parse_chunk_size(buffer) {
+            Ok(httparse::Status::Complete((start, size))) => return Ok(ChunkLine { start, size }),
+            Ok(httparse::Status::Partial) if buffer.len() < MAX_CHUNK_LINE => {
+                fill(stream, buffer).await?;
+            }
+            _ => return Err(ReadError::Malformed),
+        }
+    }
+}
--- a/crates/http/src/net.rs
+++ b/crates/http/src/net.rs
@@ -10,10 +10,11 @@
 /// A future that stays on its thread.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// A connection.
+/// What a connection has to be able to do.
 pub trait Io: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Io for T {}
-/// A connection.
+
+/// A connection, of whatever network.
 pub type Stream = Box<dyn Io>;
 
 /// Accepts connections at an address.
@@ -36,7 +37,7 @@
 
 impl Network for Tcp {
     fn connect(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Stream>> {
-        Box::pin(async move { TcpStream::connect(addr).await.map(prompt) })
+        Box::pin(async move { TcpStream::connect(addr).await.map(without_delay) })
     }
 
     fn listen(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Box<dyn Listener>>> {
@@ -49,13 +50,15 @@
 
 impl Listener for TcpListener {
     fn accept(&self) -> LocalFuture<'_, Result<Stream>> {
-        Box::pin(async move { TcpListener::accept(self).await.map(|(stream, _)| prompt(stream)) })
+        Box::pin(
+            async move { TcpListener::accept(self).await.map(|(stream, _)| without_delay(stream)) },
+        )
     }
 }
 
 /// Small messages go out at once. That is only a matter of speed: a platform that refuses the
 /// setting loses nothing else.
-fn prompt(stream: TcpStream) -> Stream {
+fn without_delay(stream: TcpStream) -> Stream {
     let _ = stream.set_nodelay(true);
     Box::new(stream)
 }
--- /dev/null
+++ b/crates/http/src/server/request.rs
@@ -0,0 +1,87 @@
+//! Requests, and reading them off a connection.
+
+use crate::message::{self, Framing, ReadError, MAX_HEAD, MAX_HEADERS};
+use crate::net::Stream;
+use tokio::io::AsyncWriteExt;
+
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// A whole request.
+#[derive(Debug, Clone)]
+pub struct Request {
+    /// Its method, in capitals.
+    pub method: String,
+    /// Path and query as they came.
+    pub target: String,
+    /// Its body.
+    pub body: Vec<u8>,
+}
+
+impl Request {
+    /// The target without its query.
+    pub fn path(&self) -> &str {
+        self.target.split('?').next().unwrap_or("")
+    }
+}
+
+/// A request as it came over a connection.
+pub(super) struct ReceivedRequest {
+    pub request: Request,
+    /// The client asks for the connection to be closed after the response.
+    pub close: bool,
+}
+
+struct RequestHead {
+    method: String,
+    target: String,
+    framing: Framing,
+}
+
+/// Takes a request off the front of `buffer`, reading what is missing. Its body may have up to
+/// `max_body` bytes.
+pub(super) async fn read_request(
+    stream: &mut Stream,
+    buffer: &mut Vec<u8>,
+    max_body: usize,
+) -> Result<ReceivedRequest, ReadError> {
+    let RequestHead { method, target, framing } = read_head(stream, buffer).await?;
+    if framing.expects_continue {
+        stream.write_all(CONTINUE).await?;
+    }
+    let body = if framing.chunked {
+        message::chunked_body(stream, buffer, max_body).await?
+    } else {
+        let length = framing.length.unwrap_or(0);
+        message::sized_body(stream, buffer, length, max_body).await?
+    };
+    let request = Request { method, target, body };
+    Ok(ReceivedRequest { request, close: framing.close })
+}
+
+async fn read_head(stream: &mut Stream, buffer: &mut Vec<u8>) -> Result<RequestHead, ReadError> {
+    loop {
+        if let Some((head, length)) = parse_head(buffer)? {
+            buffer.drain(..length);
+            return Ok(head);
+        }
+        message::fill(stream, buffer).await?;
+    }
+}
+
+/// The head at the front of `bytes` and its length; none while it is incomplete.
+fn parse_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ReadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
+    match parsed.parse(bytes) {
+        Ok(httparse::Status::Complete(length)) => {
+            let framing = message::framing(parsed.headers)?;
+            let method = parsed.method.unwrap_or("").to_owned();
+            let target = parsed.path.unwrap_or("").to_owned();
+            Ok(Some((RequestHead { method, target, framing }, length)))
+        }
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD => Err(ReadError::HeadTooLarge),
+        Ok(httparse::Status::Partial) => Ok(None),
+        Err(httparse::Error::TooManyHeaders) => Err(ReadError::HeadTooLarge),
+        Err(_) => Err(ReadError::Malformed),
+    }
+}
--- a/crates/http/src/server/tests.rs
+++ b/crates/http/src/server/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::{Network, Tcp};
-use tokio::io::AsyncReadExt;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
 async fn exchange(bytes: &[u8]) -> String {
