--- /dev/null
+++ b/crates/core/tests/scheduler/completion.rs
@@ -0,0 +1,99 @@
+//! Finished tasks are stored before they are forgotten, in small values, and each job in its turn.
+
+use crate::support::{
+    claim_job, first_job_id, heartbeat, heartbeat_from, job_record, scheduler,
+    scheduler_with_machines, scheduler_with_start_sent, task_status,
+};
+use corkfield_core::{Action, MachineTaskState};
+use corkfield_wire::records::JobRecord;
+use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
+use corkfield_wire::{JobId, Priority, TaskId, TaskSet};
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_finished_task_is_stored_before_it_is_forgotten() {
+    let now = Instant::now();
+    let (mut scheduler, attempt) = scheduler_with_start_sent(now);
+    let done = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Done));
+    scheduler.on_heartbeat(&heartbeat(3, 1, vec![done.clone()]), true, now);
+    assert!(scheduler.orders("host-1", 1, 3, true, now).is_empty(), "S9");
+    let due = scheduler.due_completion_commits(4, now);
+    assert!(due[0].finishes);
+    scheduler.completion_committed(&due[0], 6);
+    scheduler.on_heartbeat(&heartbeat(4, 1, vec![done]), true, now);
+    assert!(matches!(scheduler.orders("host-1", 1, 4, true, now)[..], [Order::Forget { .. }]));
+    let states: Vec<MachineTaskState> =
+        scheduler.machine("host-1").expect("known").tasks.values().map(|task| task.state).collect();
+    assert_eq!(states, [MachineTaskState::Done]);
+    assert!(scheduler.take_actions().iter().any(|action| matches!(action, Action::Record(..))));
+}
+
+#[test]
+fn completion_commits_of_a_huge_job_stay_within_value_and_operation_limits() {
+    let mut now = Instant::now();
+    let mut scheduler = scheduler(1);
+    scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
+    scheduler.claimed(job_record(100_000, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    let mut sequence = 1;
+    let mut version = 5;
+    let mut stored = 0;
+    // Every second task: ranges can't be joined.
+    for first in (0..100_000).step_by(4000) {
+        sequence += 1;
+        let done = (first..first + 4000).step_by(2).map(|index| TaskStatus {
+            task: TaskId { job: first_job_id(), index },
+            ..task_status(1 << 24, TaskPhase::Exited, Some(ExitCause::Done))
+        });
+        scheduler.on_heartbeat(&heartbeat(sequence, 1, done.collect()), true, now);
+        loop {
+            // Between two writes of progress there is a pause.
+            now += Duration::from_secs(1);
+            let due = scheduler.due_completion_commits(4, now);
+            let [completion_commit] = &due[..] else { break };
+            assert!(completion_commit.chunks.len() <= 3, "operations in one transaction");
+            for (_, set) in &completion_commit.chunks {
+                assert!(String::from(set.clone()).len() < 8 * 1024);
+            }
+            assert!(String::from(completion_commit.record.finished.clone()).len() < 1024);
+            stored += completion_commit.tasks.len();
+            version += 1;
+            scheduler.completion_committed(completion_commit, version);
+        }
+    }
+    assert_eq!(stored, 50_000);
+    assert_eq!(scheduler.job(&first_job_id()).expect("claimed").record.done, 50_000);
+}
+
+#[test]
+fn each_of_many_jobs_has_its_turn_to_be_stored_and_what_is_waited_for_comes_first() {
+    let start = Instant::now();
+    let mut scheduler = scheduler_with_machines(50, start);
+    for number in 1..=50 {
+        claim_job(&mut scheduler, number, Priority::Normal, 400, start);
+    }
+    let last = JobId::parse("j-000050").expect("an id");
+    let done = |number: usize| TaskStatus {
+        task: TaskId { job: JobId::parse(&format!("j-{number:06}")).expect("an id"), index: 0 },
+        ..task_status(1 << 24, TaskPhase::Exited, Some(ExitCause::Done))
+    };
+    let reported = (1..=50).map(done).collect();
+    scheduler.on_heartbeat(&heartbeat_from("host-0", 2, reported), true, start);
+    // The last of them by id has begun all that its record allows.
+    let mut announcing = JobRecord { start_watermark: 4, ..job_record(400, 1) };
+    announcing.spec.id = JobId::parse("j-000099").expect("an id");
+    announcing.spec.priority = Priority::High;
+    scheduler.claimed(announcing, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.run_placement_pass(start);
+    let first = scheduler.due_completion_commits(1, start);
+    assert_eq!(first[0].job.to_string(), "j-000099", "its other tasks wait for this");
+    // Writes that fail come again, but not before all others had their turn.
+    let mut stored: Vec<JobId> = Vec::new();
+    for round in 1..=13 {
+        let now = start + Duration::from_secs(round);
+        for completion_commit in scheduler.due_completion_commits(4, now) {
+            scheduler.completion_commit_failed(&completion_commit.job, None);
+            stored.push(completion_commit.job);
+        }
+    }
+    assert!(stored.contains(&last), "{stored:?}");
+}
--- /dev/null
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -0,0 +1,178 @@
+//! Preemption and overload: no job waits for ever, and none is stopped in turn.
+
+use crate::support::{
+    active_task_count, config, heartbeat, job_record, machine_type, scheduler, second_job_id,
+};
+use corkfield_core::Scheduler;
+use corkfield_wire::records::JobRecord;
+use corkfield_wire::settings::Team;
+use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
+use corkfield_wire::{JobId, Priority, TaskId, TaskSet};
+use std::time::{Duration, Instant};
+
+/// Carries out an order at once on a machine without limits; true if it started a task.
+fn execute_order(tasks: &mut Vec<TaskStatus>, order: Order) -> bool {
+    match order {
+        Order::Start { task, attempt } => {
+            tasks.push(running_status(task, attempt));
+            return true;
+        }
+        Order::Stop { task, attempt, .. } => {
+            let stopped =
+                tasks.iter_mut().filter(|status| status.task == task && status.attempt == attempt);
+            for status in stopped {
+                status.phase = TaskPhase::Exited;
+                status.cause = Some(ExitCause::Stopped);
+            }
+        }
+        Order::Forget { task, attempt } => {
+            tasks.retain(|status| !(status.task == task && status.attempt == attempt));
+        }
+    }
+    false
+}
+
+fn running_status(task: TaskId, attempt: u64) -> TaskStatus {
+    TaskStatus { task, attempt, phase: TaskPhase::Running, cause: None, saved: None }
+}
+
+/// A scheduler of one machine, with a low-priority job of a team that has a quota and a normal one
+/// of a team without.
+fn scheduler_with_quota_against_priority(start: Instant) -> Scheduler {
+    let mut config = config();
+    let with_quota = Team { name: "g".into(), cpus: 3.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
+    config.teams.push(with_quota);
+    let mut scheduler = Scheduler::new(config, 1, 1);
+    scheduler.set_types(vec![machine_type()]);
+    scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
+    scheduler.machine_recorded("host-1", true);
+    let mut low = job_record(30, 1);
+    (low.spec.team, low.spec.priority) = ("g".into(), Priority::Low);
+    low.spec.estimate_s = 300.0;
+    let mut normal = job_record(30, 1);
+    normal.spec.id = second_job_id();
+    normal.spec.estimate_s = 300.0;
+    scheduler.claimed(low, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.claimed(normal, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler
+}
+
+#[test]
+fn two_jobs_never_stop_each_other_in_turn() {
+    let start = Instant::now();
+    let mut scheduler = scheduler_with_quota_against_priority(start);
+    let mut tasks: Vec<TaskStatus> = Vec::new();
+    let mut starts = 0;
+    for second in 1..240 {
+        let now = start + Duration::from_secs(second);
+        scheduler.on_heartbeat(&heartbeat(second + 1, 1, tasks.clone()), true, now);
+        scheduler.run_placement_pass(now);
+        if second == 1 {
+            let ahead = active_task_count(&scheduler);
+            assert_eq!(ahead, 3, "ahead of others only as far as the guarantee goes");
+        }
+        for order in scheduler.orders("host-1", 1, second + 1, true, now) {
+            starts += u32::from(execute_order(&mut tasks, order));
+        }
+    }
+    assert!(starts <= 8, "{starts} starts for four places");
+}
+
+/// A task on a machine, and the second of the test in which it ends.
+struct TimedTask {
+    status: TaskStatus,
+    ends_in_second: u64,
+}
+
+impl TimedTask {
+    /// What the worker says of it in a second of the test.
+    fn status_in(&self, second: u64) -> TaskStatus {
+        if second < self.ends_in_second {
+            return self.status.clone();
+        }
+        let (phase, cause) = (TaskPhase::Exited, Some(ExitCause::Done));
+        TaskStatus { phase, cause, ..self.status.clone() }
+    }
+}
+
+fn numbered_job(number: u64, tasks: u32, priority: Priority) -> JobRecord {
+    let mut job = job_record(tasks, 1);
+    job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
+    job.spec.priority = priority;
+    job
+}
+
+#[test]
+fn under_lasting_overload_the_largest_and_the_low_priority_job_begin_within_minutes() {
+    let start = Instant::now();
+    let mut scheduler = scheduler(1);
+    scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
+    scheduler.machine_recorded("host-1", true);
+    let largest = numbered_job(1, 3000, Priority::Normal);
+    let low = numbered_job(2, 10, Priority::Low);
+    let watched = [largest.spec.id.clone(), low.spec.id.clone()];
+    scheduler.claimed(largest, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.claimed(low, TaskSet::default(), 6, Duration::ZERO, start);
+    let mut tasks: Vec<TimedTask> = Vec::new();
+    let mut first_starts = [None; 2];
+    for second in 1..240 {
+        let now = start + Duration::from_secs(second);
+        // More small jobs than there is room for, all day long.
+        let small = numbered_job(100 + second, 6, Priority::Normal);
+        scheduler.claimed(small, TaskSet::default(), 7, Duration::ZERO, now);
+        let statuses = tasks.iter().map(|task| task.status_in(second)).collect();
+        scheduler.on_heartbeat(&heartbeat(second + 1, 1, statuses), true, now);
+        for completion_commit in scheduler.due_completion_commits(100, now) {
+            scheduler.completion_committed(&completion_commit, 8);
+        }
+        scheduler.run_placement_pass(now);
+        for order in scheduler.orders("host-1", 1, second + 1, true, now) {
+            match order {
+                Order::Start { task, attempt } => {
+                    if let Some(index) = watched.iter().position(|id| *id == task.job) {
+                        first_starts[index].get_or_insert(second);
+                    }
+                    let status = running_status(task, attempt);
+                    tasks.push(TimedTask { status, ends_in_second: second + 5 });
+                }
+                Order::Stop { .. } => {}
+                Order::Forget { task, .. } => tasks.retain(|timed| timed.status.task != task),
+            }
+        }
+    }
+    for first_start in first_starts {
+        assert!(first_start.is_some_and(|second| second < 200), "{first_start:?}");
+    }
+}
+
+#[test]
+fn a_starved_job_begins_after_a_minute_in_capacity_reserved_for_urgent_jobs() {
+    let start = Instant::now();
+    let mut scheduler = scheduler(1);
+    let send_heartbeat = |scheduler: &mut Scheduler, sequence: u64, now: Instant| {
+        scheduler.on_heartbeat(&heartbeat(sequence, 1, Vec::new()), true, now);
+    };
+    send_heartbeat(&mut scheduler, 1, start);
+    scheduler.machine_recorded("host-1", true);
+    // Three of four CPUs are taken by work that is not urgent; an urgent task needs two.
+    for (number, priority, tasks, cpus) in
+        [(2, Priority::Normal, 3, 1.0), (3, Priority::High, 1, 2.0), (1, Priority::Normal, 5, 1.0)]
+    {
+        let mut job = job_record(tasks, 1);
+        job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
+        (job.spec.priority, job.spec.cpus) = (priority, cpus);
+        scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, start);
+        if number == 2 {
+            scheduler.run_placement_pass(start);
+        }
+    }
+    scheduler.run_placement_pass(start);
+    assert_eq!(active_task_count(&scheduler), 0, "the CPU that is left is kept for the urgent job");
+    let later = start + Duration::from_secs(61);
+    send_heartbeat(&mut scheduler, 2, later);
+    scheduler.orders("host-1", 1, 2, false, later);
+    scheduler.run_placement_pass(later);
+    scheduler.tick(later);
+    scheduler.run_placement_pass(later);
+    assert_eq!(active_task_count(&scheduler), 1, "it begins, and no more than that");
+}
--- /dev/null
+++ b/crates/core/tests/scheduler/main.rs
@@ -0,0 +1,9 @@
+//! The scheduler alone: heartbeats, records and answers go in, orders and actions come out.
+
+mod completion;
+mod failover;
+mod fairness;
+mod machines;
+mod placement;
+mod starts;
+mod support;
--- /dev/null
+++ b/crates/core/tests/scheduler/starts.rs
@@ -0,0 +1,151 @@
+//! When a start is ordered, what settles it, and when its task may be started elsewhere.
+
+use crate::support::{
+    active_task_count, active_tasks, first_job_id, heartbeat, heartbeat_from, job_record,
+    scheduler, scheduler_with_machines, scheduler_with_start_sent, task_status,
+};
+use corkfield_core::{Action, Verdict};
+use corkfield_wire::worker::{ExitCause, Order, TaskPhase, WorkerHeartbeat};
+use corkfield_wire::TaskSet;
+use std::time::{Duration, Instant};
+
+#[test]
+fn only_the_workers_own_next_heartbeat_settles_a_start() {
+    let now = Instant::now();
+    let (mut scheduler, attempt) = scheduler_with_start_sent(now);
+    // Made while the answer with the start was still under way.
+    scheduler.on_heartbeat(&heartbeat(3, 1, Vec::new()), false, now);
+    let placed = active_tasks(&scheduler).get(&0).cloned();
+    assert_eq!(
+        placed.map(|placed| placed.attempt),
+        Some(attempt),
+        "S3: it may still be carried out"
+    );
+    scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), true, now);
+    scheduler.run_placement_pass(now);
+    let again = active_tasks(&scheduler).get(&0).cloned();
+    assert!(again.is_some_and(|placed| placed.attempt > attempt), "attempts never repeat");
+}
+
+#[test]
+fn a_start_leaves_only_with_the_newest_heartbeat_and_a_valid_lease() {
+    let now = Instant::now();
+    let mut scheduler = scheduler(1);
+    scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
+    scheduler.machine_recorded("host-1", true);
+    scheduler.claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.run_placement_pass(now);
+    scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
+    assert!(scheduler.orders("host-1", 1, 2, false, now).is_empty(), "S4");
+    assert!(
+        scheduler.orders("host-1", 1, 1, true, now).is_empty(),
+        "that heartbeat's worker has left"
+    );
+    assert_eq!(scheduler.orders("host-1", 1, 2, true, now).len(), 1);
+}
+
+#[test]
+fn forgetting_an_earlier_attempt_does_not_free_a_later_one() {
+    let now = Instant::now();
+    let (mut scheduler, first) = scheduler_with_start_sent(now);
+    let stopped = task_status(first, TaskPhase::Exited, Some(ExitCause::Stopped));
+    scheduler.on_heartbeat(&heartbeat(3, 1, vec![stopped.clone()]), true, now);
+    scheduler.run_placement_pass(now);
+    let orders = scheduler.orders("host-1", 1, 3, true, now);
+    assert!(matches!(orders[..], [Order::Forget { .. }, Order::Start { .. }]), "{orders:?}");
+    let second = active_tasks(&scheduler)[&0].attempt;
+    let running = task_status(second, TaskPhase::Running, None);
+    scheduler.on_heartbeat(&heartbeat(4, 1, vec![running]), true, now);
+    let active = active_tasks(&scheduler);
+    assert_eq!(active.get(&0).map(|placed| placed.attempt), Some(second));
+}
+
+#[test]
+fn a_task_is_freed_only_after_the_workers_lease_has_surely_expired() {
+    let now = Instant::now();
+    let (mut scheduler, _) = scheduler_with_start_sent(now);
+    let before = now + Duration::from_secs(12);
+    scheduler.tick(before);
+    assert_eq!(active_task_count(&scheduler), 1, "S5");
+    scheduler.tick(now + Duration::from_secs(15));
+    assert!(active_tasks(&scheduler).is_empty());
+    // Later heartbeats of that agent epoch are rejected.
+    let late = heartbeat(5, 1, Vec::new());
+    assert_eq!(scheduler.on_heartbeat(&late, true, now + Duration::from_secs(16)), Verdict::Stale);
+}
+
+/// A heartbeat of another machine, at an address of its own.
+fn second_machine_heartbeat(name: &str, sequence: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat { addr: "10.0.0.10:9000".into(), ..heartbeat_from(name, sequence, Vec::new()) }
+}
+
+fn deletes_first(action: &Action) -> bool {
+    matches!(action, Action::Delete(names) if names.iter().any(|name| name == "host-1"))
+}
+
+#[test]
+fn a_task_assigned_to_a_machine_that_takes_no_more_work_is_assigned_elsewhere() {
+    let now = Instant::now();
+    let later = now + Duration::from_secs(1);
+    for notice in [true, false] {
+        let mut scheduler = scheduler(1);
+        scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
+        scheduler.machine_recorded("host-1", true);
+        scheduler.claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.run_placement_pass(now);
+        assert!(scheduler.has_starts_for("host-1"));
+        // While no start may leave, say in an outage of the store, its machine has to go.
+        if notice {
+            let noticed = WorkerHeartbeat { notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
+            scheduler.on_heartbeat(&noticed, true, later);
+        } else {
+            scheduler.drain("host-1");
+            scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, later);
+        }
+        scheduler.on_heartbeat(&second_machine_heartbeat("host-2", 1), true, later);
+        scheduler.machine_recorded("host-2", true);
+        scheduler.tick(later);
+        scheduler.run_placement_pass(later);
+        assert!(!scheduler.has_starts_for("host-1"), "notice: {notice}");
+        assert!(scheduler.has_starts_for("host-2"), "notice: {notice}");
+        if !notice {
+            scheduler.tick(later);
+            assert!(scheduler.take_actions().iter().any(deletes_first), "nothing holds it back");
+        }
+    }
+}
+
+#[test]
+fn first_starts_are_announced_in_the_record_before_they_are_made() {
+    let now = Instant::now();
+    let mut scheduler = scheduler_with_machines(120, now);
+    let mut job = job_record(450, 1);
+    (job.start_watermark, job.generation) = (0, 0);
+    job.claim("owner".into());
+    scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+    let mut announced = Vec::new();
+    for version in 6..10 {
+        scheduler.run_placement_pass(now);
+        let job = scheduler.job(&first_job_id()).expect("claimed");
+        announced.push((job.active().len(), job.record.start_watermark));
+        assert!(job.active().keys().all(|index| *index < job.record.start_watermark));
+        for completion_commit in scheduler.due_completion_commits(4, now) {
+            scheduler.completion_committed(&completion_commit, version);
+        }
+    }
+    assert_eq!(announced, [(128, 128), (384, 384), (450, 450), (450, 450)]);
+}
+
+#[test]
+fn tasks_of_finished_jobs_are_stopped_and_those_of_unclaimed_jobs_are_not() {
+    let now = Instant::now();
+    let mut scheduler = scheduler(1);
+    let running = task_status(9, TaskPhase::Running, None);
+    scheduler.set_unclaimed([first_job_id()].into());
+    scheduler.on_heartbeat(&heartbeat(1, 1, vec![running.clone()]), true, now);
+    assert!(scheduler.orders("host-1", 1, 1, true, now).is_empty());
+    scheduler.set_unclaimed([].into());
+    scheduler.on_heartbeat(&heartbeat(2, 1, vec![running]), true, now);
+    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    assert!(matches!(orders[..], [Order::Stop { .. }]), "S11: {orders:?}");
+}
