--- /dev/null
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -0,0 +1,161 @@
+//! A job from its submission to its end: input, limits, priorities, dead-lettering.
+
+use crate::cluster::{scenario, secs, spec, CANCEL_S};
+use corkfield_fakes::Plan;
+use corkfield_wire::records::final_key;
+use corkfield_wire::user::PATH_JOBS;
+use corkfield_wire::{JobStatus, Priority};
+
+#[test]
+fn jobs_are_run_and_done_and_stay_done() {
+    scenario(2, |cluster| async move {
+        let jobs = [spec(1, 20), spec(2, 3)];
+        for job in &jobs {
+            assert_eq!(cluster.submit(job, 3.0).await, 201);
+            assert_eq!(cluster.submit(job, 3.0).await, 200, "a repeat is known");
+        }
+        for job in &jobs {
+            cluster.until_done(&job.id, 60.0).await;
+            assert_eq!(cluster.submit(job, 3.0).await, 200);
+            assert!(cluster.record(&job.id).is_none(), "only a small final record is kept");
+            assert!(cluster.store.get(&final_key(&job.id)).is_some());
+        }
+        // Machines that nobody needs are returned in the end.
+        secs(120.0).await;
+        assert!(cluster.cloud.workers().is_empty());
+    });
+}
+
+#[test]
+fn bad_input_is_refused_and_known_ids_are_recognised_first() {
+    scenario(1, |cluster| async move {
+        let good = spec(1, 2);
+        cluster.submit(&good, 2.0).await;
+        let as_json = |f: &dyn Fn(&mut serde_json::Value)| {
+            let mut value = serde_json::to_value(spec(2, 2)).expect("serializable");
+            f(&mut value);
+            serde_json::to_vec(&value).expect("serializable")
+        };
+        let cases: Vec<(Vec<u8>, u16)> = vec![
+            (b"{".to_vec(), 400),
+            (b"[1]".to_vec(), 400),
+            (b"\xff\xfe".to_vec(), 400),
+            (as_json(&|v| v["name_id"] = "x-1".into()), 400),
+            (as_json(&|v| v["pieces"] = 0.into()), 400),
+            (as_json(&|v| v["pieces"] = 100_001.into()), 400),
+            (as_json(&|v| v["pieces"] = "3".into()), 400),
+            (as_json(&|v| v["vcpus"] = (-1.0).into()), 400),
+            (as_json(&|v| v["shape"] = "standing".into()), 400),
+            (as_json(&|v| v["rank"] = "highest".into()), 400),
+            (as_json(&|v| v["flavours"] = serde_json::json!([])), 400),
+            (as_json(&|v| drop(v.as_object_mut().map(|o| o.remove("guess_s")))), 400),
+            (as_json(&|v| v["owner"] = "nobody".into()), 422),
+            (as_json(&|v| v["vcpus"] = 9.0.into()), 422),
+            (as_json(&|v| v["site"] = "z9".into()), 422),
+            (as_json(&|v| v["flavours"] = serde_json::json!(["huge"])), 422),
+            (as_json(&|v| (v["owner"], v["vcpus"]) = ("capped".into(), 7.0.into())), 422),
+            (as_json(&|v| v["unknown_field"] = 1.into()), 201),
+        ];
+        for (body, expected) in cases {
+            let text = String::from_utf8_lossy(&body).into_owned();
+            let answer = cluster.ask(1, "POST", PATH_JOBS, &body).await.map(|r| r.0);
+            assert_eq!(answer, Some(expected), "{text}");
+        }
+        // S2: an accepted job's id is never refused, whatever comes with it.
+        let bad = format!("{{\"name_id\":\"{}\"}}", good.id);
+        assert_eq!(cluster.ask(2, "POST", PATH_JOBS, bad.as_bytes()).await.map(|r| r.0), Some(200));
+        for path in ["/submissions/j-777777", "/submissions/nonsense", "/nowhere"] {
+            assert_eq!(cluster.ask(0, "GET", path, b"").await.map(|r| r.0), Some(404), "{path}");
+        }
+        assert_eq!(cluster.ask(0, "DELETE", PATH_JOBS, b"").await.map(|r| r.0), Some(405));
+        assert_eq!(
+            cluster.ask(0, "POST", "/agent/beat", b"{\"host\":1}").await.map(|r| r.0),
+            Some(400)
+        );
+    });
+}
+
+#[test]
+fn a_job_of_a_hundred_thousand_tasks_stays_within_the_limits_and_survives_a_failover() {
+    scenario(4, |cluster| async move {
+        let mut job = spec(1, 100_000);
+        job.cpus = 0.1;
+        job.memory_gb = 0.1;
+        assert_eq!(cluster.submit(&job, 0.4).await, 201);
+        secs(40.0).await;
+        let before = cluster.record(&job.id).expect("unfinished").done;
+        let scheduler = cluster.planner_node();
+        cluster.restart(scheduler, 0.3).await;
+        secs(20.0).await;
+        let after = cluster.record(&job.id).expect("unfinished").done;
+        assert!(before > 500 && after > before, "{before} then {after}");
+        assert!(cluster.store.largest_value() < 16 * 1024);
+        assert!(cluster.store.most_ops() <= 12);
+        assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
+        secs(CANCEL_S).await;
+    });
+}
+
+#[test]
+fn a_job_at_the_claim_limit_is_dead_lettered_and_can_be_released_or_cancelled() {
+    scenario(2, |cluster| async move {
+        let broken = spec(1, 2);
+        cluster.submit_plan(Plan { spec: broken.clone(), run_s: 1.0, broken: true }).await;
+        let mut waited = 0;
+        while !cluster.record(&broken.id).is_some_and(|r| r.dead_lettered) {
+            secs(20.0).await;
+            waited += 1;
+            assert!(waited < 120, "never set aside: {:?}", cluster.record(&broken.id));
+        }
+        assert_eq!(cluster.record(&broken.id).expect("kept").claims, 13);
+        assert_eq!(
+            cluster.status(&broken.id).await,
+            Some(JobStatus::Queued),
+            "never a final state"
+        );
+        let release = format!("/operator/release/{}", broken.id);
+        assert_eq!(cluster.ask(0, "POST", &release, b"").await.map(|r| r.0), Some(200));
+        secs(5.0).await;
+        assert!(!cluster.record(&broken.id).expect("kept").dead_lettered);
+        assert_eq!(cluster.cancel(&broken.id).await, Some(JobStatus::Cancelled));
+    });
+}
+
+#[test]
+fn urgent_work_takes_room_from_idle_work() {
+    scenario(1, |cluster| async move {
+        cluster.cloud.capacity.set(1);
+        let mut low = spec(1, 8);
+        low.priority = Priority::Low;
+        cluster.submit(&low, 300.0).await;
+        secs(5.0).await;
+        assert_eq!(cluster.history.running(&low.id), 8);
+        let mut urgent = spec(2, 2);
+        urgent.priority = Priority::High;
+        urgent.cpus = 4.0;
+        cluster.submit(&urgent, 5.0).await;
+        cluster.until_done(&urgent.id, 40.0).await;
+    });
+}
+
+#[test]
+fn a_limit_is_held_through_a_failover() {
+    scenario(3, |cluster| async move {
+        let mut jobs = Vec::new();
+        for number in 1..4 {
+            let mut job = spec(number, 5);
+            job.team = "capped".to_owned();
+            cluster.submit(&job, 9.0).await;
+            jobs.push(job);
+        }
+        secs(4.0).await;
+        for _ in 0..2 {
+            let scheduler = cluster.planner_node();
+            cluster.restart(scheduler, 0.5).await;
+            secs(7.0).await;
+        }
+        for job in &jobs {
+            cluster.until_done(&job.id, 150.0).await;
+        }
+    });
+}
