--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -4,19 +4,27 @@
 use crate::config::Config;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::team::Usage;
+use crate::team::{within_guarantee, Usage};
 use corkfield_wire::cloud::MachineType;
+use corkfield_wire::settings::Team;
 use corkfield_wire::JobId;
 use std::collections::{BTreeMap, HashMap};
 
 /// Completed tasks of a class from which its estimates are corrected.
 const MIN_CORRECTION_SAMPLES: u32 = 3;
 
+/// The bounds of a correction: a few odd run times must not turn the order of jobs around.
+const MIN_RUN_TIME_CORRECTION: f64 = 0.1;
+const MAX_RUN_TIME_CORRECTION: f64 = 10.0;
+
 /// Jobs, machines and machine types, as known to one scheduler.
 pub(crate) struct Cluster {
     pub(crate) config: Config,
+    /// What the cloud rents; empty until it is known.
     pub(crate) machine_types: Vec<MachineType>,
+    /// Claimed jobs.
     pub(crate) jobs: BTreeMap<JobId, Job>,
+    /// Known machines, by name.
     pub(crate) machines: BTreeMap<String, Machine>,
     /// Run time seen against the owners' estimates, by class: count and sum of ratios.
     pub(crate) run_time_corrections: HashMap<String, (u32, f64)>,
@@ -45,11 +53,28 @@
         usage
     }
 
+    /// The team of a job.
+    pub(crate) fn team_of(&self, job: &Job) -> &Team {
+        &self.config.teams[job.team]
+    }
+
+    /// Whether one more task of the job is within its team's guarantee, beside this usage.
+    pub(crate) fn next_task_guaranteed(&self, job: &Job, usage: &[Usage]) -> bool {
+        let next = usage[job.team].plus(Usage::of_tasks(job.spec(), 1));
+        within_guarantee(self.team_of(job), next)
+    }
+
+    /// The expected run time in seconds of a task of the job.
+    pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
+        job.expected_run_s(self.run_time_correction(&job.spec().class))
+    }
+
     /// The factor by which estimates of a class were wrong on average; 1 while too few are known.
     pub(crate) fn run_time_correction(&self, class: &str) -> f64 {
         match self.run_time_corrections.get(class) {
             Some((count, sum)) if *count >= MIN_CORRECTION_SAMPLES => {
-                (sum / f64::from(*count)).clamp(0.1, 10.0)
+                let mean = sum / f64::from(*count);
+                mean.clamp(MIN_RUN_TIME_CORRECTION, MAX_RUN_TIME_CORRECTION)
             }
             _ => 1.0,
         }
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -382,7 +382,7 @@
     }
 
     pub(crate) fn demand(&self) -> Usage {
-        Usage::of(self.spec(), self.remaining())
+        Usage::of_tasks(self.spec(), self.remaining())
     }
 
     /// Expected run time of a task: what was seen, else the owner's guess corrected by what
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,6 +5,7 @@
 
 mod cluster;
 mod config;
+mod float_order;
 mod job;
 mod machine;
 mod placement;
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -1,91 +1,118 @@
 //! Machines that one job may use, in the order in which they are preferred.
 
-use super::capacity::{roomiest, MachineCapacity};
+use super::capacity::MachineCapacity;
 use super::PlacementScope;
+use crate::float_order::compare;
 use rand::rngs::SmallRng;
+use rand::seq::index;
 
 /// Which machines are preferred: one holding the image, however few of them there are; else the
 /// roomiest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Preference {
+    /// Holds the image of the job.
     HoldsImage,
-    Other,
+    /// Has to fetch the image.
+    LacksImage,
     /// Only for a job of which nothing runs, where there is no other.
     Slow,
 }
 
+/// The candidate that was chosen: an entry of the list of that preference.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct Choice {
+    pub(super) preference: Preference,
+    entry: usize,
+}
+
 /// Positions of machines in the capacity of the pass.
 pub(super) struct Candidates {
-    holding: Vec<usize>,
-    others: Vec<usize>,
+    holding_image: Vec<usize>,
+    lacking_image: Vec<usize>,
     slow: Vec<usize>,
 }
 
 impl Candidates {
-    /// Which of them hold the image is looked up once: a job may place thousands of tasks.
+    /// Sorts machines by preference. Which of them hold the image is looked up once: a job may
+    /// place thousands of tasks. `image_holders` is sorted.
     pub(super) fn new(
         candidates: Vec<usize>,
         machines: &[MachineCapacity],
-        with_image: &[usize],
+        image_holders: &[usize],
         scope: PlacementScope,
     ) -> Self {
-        let is_slow = |n: &usize| machines[*n].slow;
-        let (mut slow, mut others): (Vec<usize>, Vec<usize>) =
-            candidates.into_iter().partition(is_slow);
-        if scope != PlacementScope::One {
+        let (mut slow, others): (Vec<usize>, Vec<usize>) =
+            candidates.into_iter().partition(|position| machines[*position].slow);
+        if scope != PlacementScope::OneTask {
             slow.clear();
         }
-        let mut holding = Vec::new();
-        if !with_image.is_empty() {
-            let holds = |n: &usize| with_image.binary_search(n).is_ok();
-            (holding, others) = others.into_iter().partition(holds);
-        }
-        Self { holding, others, slow }
+        let (holding_image, lacking_image) =
+            others.into_iter().partition(|position| image_holders.binary_search(position).is_ok());
+        Self { holding_image, lacking_image, slow }
     }
 
+    /// All of them, preferred ones first.
     pub(super) fn all(&self) -> impl Iterator<Item = &usize> {
-        self.holding.iter().chain(&self.others).chain(&self.slow)
+        self.holding_image.iter().chain(&self.lacking_image).chain(&self.slow)
     }
 
+    /// Leaves out those that do not fit any more.
     pub(super) fn retain(&mut self, fits: impl Fn(&usize) -> bool) {
-        self.holding.retain(&fits);
-        self.others.retain(&fits);
+        self.holding_image.retain(&fits);
+        self.lacking_image.retain(&fits);
         self.slow.retain(&fits);
     }
 
-    /// Where the preferred machine stands: in which list, and at which place of it.
+    /// The preferred machine: the roomiest among a sample of those of the highest preference.
     pub(super) fn choose(
         &self,
         machines: &[MachineCapacity],
         sample: usize,
         rng: &mut SmallRng,
-    ) -> Option<(Preference, usize)> {
-        let (preference, list) = match (self.holding.is_empty(), self.others.is_empty()) {
-            (false, _) => (Preference::HoldsImage, &self.holding),
-            (true, false) => (Preference::Other, &self.others),
-            (true, true) => (Preference::Slow, &self.slow),
+    ) -> Option<Choice> {
+        let preference = if !self.holding_image.is_empty() {
+            Preference::HoldsImage
+        } else if !self.lacking_image.is_empty() {
+            Preference::LacksImage
+        } else {
+            Preference::Slow
         };
-        roomiest(machines, list, sample, rng).map(|at| (preference, at))
+        let entry = roomiest(machines, self.list(preference), sample, rng)?;
+        Some(Choice { preference, entry })
+    }
+
+    /// The machine that was chosen gets a task, and so the image. Its position in the capacity.
+    pub(super) fn take(&mut self, choice: Choice) -> usize {
+        if choice.preference != Preference::LacksImage {
+            return self.list(choice.preference)[choice.entry];
+        }
+        let position = self.lacking_image.swap_remove(choice.entry);
+        self.holding_image.push(position);
+        position
     }
 
-    /// The machine that was chosen gets a task, and so the image.
-    pub(super) fn take(
-        &mut self,
-        preference: Preference,
-        at: usize,
-        with_image: &mut Vec<usize>,
-    ) -> usize {
+    fn list(&self, preference: Preference) -> &[usize] {
         match preference {
-            Preference::HoldsImage => self.holding[at],
-            Preference::Slow => self.slow[at],
-            Preference::Other => {
-                let n = self.others.swap_remove(at);
-                self.holding.push(n);
-                if let Err(at) = with_image.binary_search(&n) {
-                    with_image.insert(at, n);
-                }
-                n
-            }
+            Preference::HoldsImage => &self.holding_image,
+            Preference::LacksImage => &self.lacking_image,
+            Preference::Slow => &self.slow,
         }
     }
 }
+
+/// Which entry of the list is the roomiest machine, among a sample if they are many.
+fn roomiest(
+    machines: &[MachineCapacity],
+    list: &[usize],
+    sample: usize,
+    rng: &mut SmallRng,
+) -> Option<usize> {
+    let free_cpus = |entry: &usize| machines[list[*entry]].free.cpus;
+    let by_free_cpus = |left: &usize, right: &usize| compare(free_cpus(left), free_cpus(right));
+    let sample = sample.max(1);
+    if list.len() > sample {
+        index::sample(rng, list.len(), sample).into_iter().max_by(by_free_cpus)
+    } else {
+        (0..list.len()).max_by(by_free_cpus)
+    }
+}
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -1,201 +1,232 @@
 //! Free capacity of machines during one placement pass.
 
+use super::queue::StartableJob;
 use super::PlacementScope;
-use crate::machine::Need;
-use crate::scheduler::Scheduler;
-use corkfield_wire::{JobId, Priority};
-use rand::rngs::SmallRng;
-use rand::seq::index;
-use std::cmp::Ordering;
+use crate::cluster::Cluster;
+use crate::job::Job;
+use crate::machine::{Machine, Need};
+use corkfield_wire::{JobSpec, Priority};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-impl Scheduler {
-    /// What there is room in for the jobs that wait.
-    pub(super) fn capacity(&mut self, queue: &[(JobId, u32)], now: Instant) -> ClusterCapacity {
-        let silence = self.cluster.config.silence();
-        let least = Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX };
-        let mut capacity = ClusterCapacity { least, ..ClusterCapacity::default() };
-        for (id, _) in queue {
-            let spec = self.cluster.jobs[id].spec();
-            capacity.least = capacity.least.least(&Need::of(spec));
-            capacity.top = Some(capacity.top.map_or(spec.priority, |top| top.min(spec.priority)));
-            if !capacity.holding.contains_key(&spec.image) {
-                capacity.holding.insert(spec.image.clone(), Vec::new());
-            }
-        }
-        for machine in self.cluster.machines.values() {
-            self.steps.set(self.steps.get() + 1);
-            if !machine.takes_work(now, silence) {
-                continue;
-            }
-            // Left out altogether, a machine that is slow no more, or was taken for slow by
-            // mistake, would never show it, and work would wait beside it for ever. So it is left
-            // to jobs of which nothing runs.
-            let slow = machine.is_slow();
-            let probing = machine.failures > 0 || slow;
-            let Some(free) = machine.free().filter(|_| !probing || machine.is_empty()) else {
-                continue;
-            };
-            let n = capacity.all.len();
-            let (name, zone) = (machine.name.clone(), machine.zone.clone());
-            let reserved = Need::default();
-            let by_priority = machine.tasks.totals().by_priority;
-            let spot = machine.spot;
-            capacity.all.push(MachineCapacity {
-                name,
-                free,
-                zone,
-                spot,
-                probing,
-                slow,
-                reserved,
-                by_priority,
-            });
-            capacity.open.push(n);
-            capacity.keepable.push(n);
-            for (image, _) in &machine.images {
-                if let Some(holding) = capacity.holding.get_mut(image) {
-                    holding.push(n);
-                }
-            }
-        }
-        capacity
-    }
-
-    /// Keeps room for the waiting tasks of an urgent job, on machines where it will come free
-    /// by itself: otherwise smaller tasks of less important jobs would fill each gap first.
-    pub(super) fn reserve(&self, id: &JobId, capacity: &mut ClusterCapacity) {
-        let Some(job) = self.cluster.jobs.get(id) else { return };
-        let spec = job.spec();
-        if spec.priority > Priority::High || spec.cpus <= 0.0 {
-            return;
-        }
-        let mut left = job.waiting();
-        if left == 0 {
-            return;
-        }
-        let need = Need::of(spec);
-        let ClusterCapacity { all: capacity, keepable, least, top, .. } = capacity;
-        let top = top.unwrap_or(spec.priority);
-        self.steps.set(self.steps.get() + keepable.len() as u64);
-        let mut slots: Vec<(u32, f64, usize)> = Vec::new();
-        keepable.retain(|n| {
-            let room = &capacity[*n];
-            if room.probing || !room.above(top).holds(least) {
-                return false;
-            }
-            let may = room.above(spec.priority);
-            let cpus = may.cpus / need.cpus;
-            let memory = match need.memory_gb > 0.0 {
-                true => may.memory_gb / need.memory_gb,
-                false => cpus,
-            };
-            let count = cpus.min(memory).floor();
-            if count >= 1.0
-                && (spec.spot || !room.spot)
-                && self.cluster.machines[&room.name].allows(spec)
-            {
-                slots.push((count as u32, room.free.cpus, *n));
-            }
-            true
-        });
-        slots.sort_by(|a, b| b.1.partial_cmp(&a.1).unwrap_or(Ordering::Equal));
-        for (count, _, n) in slots {
-            let count = count.min(left);
-            left -= count;
-            capacity[n].reserved.add(&need.times(count));
-            if left == 0 {
-                return;
-            }
-        }
-    }
-}
-
 /// A machine with room, during one pass.
 pub(super) struct MachineCapacity {
     pub(super) name: String,
-    pub(super) free: Need,
     pub(super) zone: String,
     pub(super) spot: bool,
+    /// What no task takes.
+    pub(super) free: Need,
     /// Failed its last task, or is slow: gets one at a time until one completes well.
     pub(super) probing: bool,
     /// Left to jobs of which nothing runs, where there is no other room for them.
     pub(super) slow: bool,
-    /// Kept for work of higher priority, whether it is free yet or not.
+    /// Kept for tasks of higher priority, whether it is free yet or not.
     pub(super) reserved: Need,
     /// What the tasks there take, by priority.
     pub(super) by_priority: [Need; 4],
 }
 
 impl MachineCapacity {
-    /// Whether a task that takes so much fits, as far as the job may reach.
+    /// The capacity of a machine that takes work; none while its free room is not known, or if it
+    /// is being probed and holds a task already.
+    fn of_machine(machine: &Machine) -> Option<Self> {
+        // Left out altogether, a machine that is slow no more, or was taken for slow by mistake,
+        // would never show it, and tasks would wait beside it for ever. So it is left to jobs of
+        // which nothing runs.
+        let slow = machine.is_slow();
+        let probing = machine.failures > 0 || slow;
+        let free = machine.free()?;
+        if probing && !machine.is_empty() {
+            return None;
+        }
+        Some(Self {
+            name: machine.name.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            free,
+            probing,
+            slow,
+            reserved: Need::default(),
+            by_priority: machine.tasks.totals().by_priority,
+        })
+    }
+
+    /// Whether a task of that need fits, in so much of the room as the scope allows.
     pub(super) fn has_room_for(&self, need: &Need, scope: PlacementScope) -> bool {
         match scope {
-            PlacementScope::One => self.free.holds(need),
+            PlacementScope::OneTask => self.free.holds(need),
             PlacementScope::Guaranteed | PlacementScope::All => self.fits(need),
         }
     }
 
+    /// Whether a task of that need fits beside what is reserved.
     pub(super) fn fits(&self, need: &Need) -> bool {
-        let mut left = self.free;
-        left.take(&self.reserved);
-        left.holds(need)
+        let mut unreserved = self.free;
+        unreserved.take(&self.reserved);
+        unreserved.holds(need)
     }
 
     /// The room there would be without what has a lower priority, beyond what is reserved.
-    pub(super) fn above(&self, priority: Priority) -> Need {
-        let mut may = self.free;
+    pub(super) fn room_above(&self, priority: Priority) -> Need {
+        let mut room = self.free;
         for lower in &self.by_priority[priority as usize + 1..] {
-            may.add(lower);
+            room.add(lower);
+        }
+        room.take(&self.reserved);
+        room
+    }
+
+    /// A task of that need and priority was placed there.
+    pub(super) fn place(&mut self, need: &Need, priority: Priority) {
+        self.free.take(need);
+        self.by_priority[priority as usize].add(need);
+        if self.probing {
+            self.free.cpus = -1.0;
         }
-        may.take(&self.reserved);
-        may
     }
 }
 
-/// The rooms of one pass. Looking at each of them for each waiting job is what a pass costs, so
-/// those that no waiting task fits into any more are left out.
-#[derive(Default)]
+/// How many tasks of an urgent job a machine will have room for.
+pub(super) struct TaskSlots {
+    /// The machine's position in the capacity.
+    pub(super) position: usize,
+    pub(super) tasks: u32,
+    pub(super) free_cpus: f64,
+}
+
+/// The free capacity of all machines during one pass. Looking at each of them for each waiting job
+/// is what a pass costs, so those that no waiting task fits into any more are left out.
 pub(super) struct ClusterCapacity {
-    pub(super) all: Vec<MachineCapacity>,
-    /// Those into which the least that waits may fit, now or once lower priorities are gone.
+    pub(super) machines: Vec<MachineCapacity>,
+    /// Positions of those into which the smallest need may still fit.
     pub(super) open: Vec<usize>,
-    pub(super) keepable: Vec<usize>,
-    /// The least that a waiting task takes, and the highest priority of one.
-    pub(super) least: Need,
-    pub(super) top: Option<Priority>,
-    /// Which of them hold an image that a waiting task needs.
-    pub(super) holding: HashMap<String, Vec<usize>>,
+    /// Positions of those into which it may fit now, or once lower priorities are gone.
+    pub(super) reservable: Vec<usize>,
+    /// The least that a waiting task takes, of each resource.
+    smallest_need: Need,
+    /// The highest priority of a waiting task.
+    highest_priority: Option<Priority>,
+    /// Positions of the machines that hold an image that a waiting task needs, in order.
+    image_holders: HashMap<String, Vec<usize>>,
 }
 
-/// Where in the list the roomiest machine is, among a sample if they are many.
-pub(super) fn roomiest(
-    capacity: &[MachineCapacity],
-    list: &[usize],
-    sample: usize,
-    rng: &mut SmallRng,
-) -> Option<usize> {
-    let roomier = |a: &usize, b: &usize| {
-        let free = |at: usize| capacity[list[at]].free.cpus;
-        free(*a).partial_cmp(&free(*b)).unwrap_or(Ordering::Equal)
-    };
-    match list.len() > sample.max(1) {
-        true => index::sample(rng, list.len(), sample.max(1)).into_iter().max_by(roomier),
-        false => (0..list.len()).max_by(roomier),
+impl ClusterCapacity {
+    /// What there is room in for the jobs that wait.
+    pub(super) fn new(cluster: &Cluster, queue: &[StartableJob], now: Instant) -> Self {
+        let mut capacity = Self {
+            machines: Vec::new(),
+            open: Vec::new(),
+            reservable: Vec::new(),
+            smallest_need: Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX },
+            highest_priority: None,
+            image_holders: HashMap::new(),
+        };
+        for startable in queue {
+            capacity.expect_job(cluster.jobs[&startable.id].spec());
+        }
+        let silence = cluster.config.silence();
+        for machine in cluster.machines.values().filter(|m| m.takes_work(now, silence)) {
+            capacity.add_machine(machine);
+        }
+        capacity
+    }
+
+    /// Takes a job into account that is to be placed in this pass.
+    fn expect_job(&mut self, spec: &JobSpec) {
+        self.smallest_need = self.smallest_need.least(&Need::of(spec));
+        let highest = self.highest_priority.map_or(spec.priority, |p| p.min(spec.priority));
+        self.highest_priority = Some(highest);
+        if !self.image_holders.contains_key(&spec.image) {
+            self.image_holders.insert(spec.image.clone(), Vec::new());
+        }
+    }
+
+    fn add_machine(&mut self, machine: &Machine) {
+        let Some(capacity) = MachineCapacity::of_machine(machine) else { return };
+        let position = self.machines.len();
+        self.machines.push(capacity);
+        self.open.push(position);
+        self.reservable.push(position);
+        for (image, _) in &machine.images {
+            if let Some(holders) = self.image_holders.get_mut(image) {
+                holders.push(position);
+            }
+        }
+    }
+
+    /// Positions of the machines that hold an image, in order.
+    pub(super) fn image_holders(&self, image: &str) -> &[usize] {
+        self.image_holders.get(image).map_or(&[], Vec::as_slice)
+    }
+
+    /// Notes that a machine is going to hold an image.
+    pub(super) fn add_image_holder(&mut self, image: &str, position: usize) {
+        let holders = self.image_holders.entry(image.to_owned()).or_default();
+        if let Err(entry) = holders.binary_search(&position) {
+            holders.insert(entry, position);
+        }
+    }
+
+    /// Positions of the machines that the job may use, and that have room for one of its tasks.
+    /// Those that no waiting task fits into any more are left out of the pass for good.
+    pub(super) fn eligible(
+        &mut self,
+        job: &Job,
+        scope: PlacementScope,
+        machines: &BTreeMap<String, Machine>,
+    ) -> Vec<usize> {
+        let Self { machines: capacity, open, smallest_need, .. } = self;
+        let need = Need::of(job.spec());
+        let eligible = |position: &usize| {
+            let machine = &capacity[*position];
+            machine.has_room_for(&need, scope) && allows(job, machine, machines)
+        };
+        if scope == PlacementScope::OneTask {
+            return (0..capacity.len()).filter(eligible).collect();
+        }
+        open.retain(|position| capacity[*position].fits(smallest_need));
+        open.iter().copied().filter(eligible).collect()
     }
-}
 
-pub(super) fn roomiest_zone<'a>(
-    capacity: &[MachineCapacity],
-    candidates: impl Iterator<Item = &'a usize>,
-    need: &Need,
-) -> String {
-    let mut by_zone: BTreeMap<&str, f64> = BTreeMap::new();
-    for &n in candidates {
-        let slots = (capacity[n].free.cpus / need.cpus.max(0.01)).floor();
-        *by_zone.entry(&capacity[n].zone).or_default() += slots;
+    /// Machines on which room for tasks of the job is free or will come free by itself. Those that
+    /// nothing can be reserved on are left out of the pass for good.
+    pub(super) fn task_slots(
+        &mut self,
+        spec: &JobSpec,
+        machines: &BTreeMap<String, Machine>,
+    ) -> Vec<TaskSlots> {
+        let Self { machines: capacity, reservable, smallest_need, highest_priority, .. } = self;
+        let highest_priority = highest_priority.unwrap_or(spec.priority);
+        reservable.retain(|position| {
+            let machine = &capacity[*position];
+            !machine.probing && machine.room_above(highest_priority).holds(smallest_need)
+        });
+        let need = Need::of(spec);
+        let slots = reservable.iter().filter_map(|&position| {
+            let machine = &capacity[position];
+            let count = tasks_that_fit(&machine.room_above(spec.priority), &need);
+            let suits = count >= 1.0
+                && (spec.spot || !machine.spot)
+                && machines[&machine.name].allows(spec);
+            let free_cpus = machine.free.cpus;
+            suits.then_some(TaskSlots { position, tasks: count as u32, free_cpus })
+        });
+        slots.collect()
     }
-    let best = by_zone.into_iter().max_by(|a, b| a.1.partial_cmp(&b.1).unwrap_or(Ordering::Equal));
-    best.map(|(zone, _)| zone.to_owned()).unwrap_or_default()
+}
+
+/// Whether the job may use the machine, and has not failed there.
+fn allows(job: &Job, machine: &MachineCapacity, machines: &BTreeMap<String, Machine>) -> bool {
+    let spec = job.spec();
+    (spec.spot || !machine.spot)
+        && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+        && (spec.types.is_none() || machines[&machine.name].allows(spec))
+        && !job.failed_on.contains(&machine.name)
+}
+
+/// How many tasks of that need, which takes CPUs, have room, as a whole number.
+fn tasks_that_fit(room: &Need, need: &Need) -> f64 {
+    let by_cpus = room.cpus / need.cpus;
+    let by_memory = if need.memory_gb > 0.0 { room.memory_gb / need.memory_gb } else { by_cpus };
+    by_cpus.min(by_memory).floor()
 }
--- /dev/null
+++ b/crates/core/src/placement/reservation.rs
@@ -0,0 +1,30 @@
+//! Room that is kept for urgent jobs.
+
+use super::pass::PlacementPass;
+use crate::float_order::compare;
+use crate::machine::Need;
+use corkfield_wire::JobId;
+
+impl PlacementPass<'_> {
+    /// Keeps room for the waiting tasks of an urgent job, on machines where it will come free
+    /// by itself: otherwise smaller tasks of less important jobs would fill each gap first.
+    pub(super) fn reserve_for_urgent(&mut self, id: &JobId) {
+        let Some(job) = self.cluster.jobs.get(id) else { return };
+        let mut unreserved_tasks = job.waiting();
+        if !job.is_urgent() || job.spec().cpus <= 0.0 || unreserved_tasks == 0 {
+            return;
+        }
+        let need = Need::of(job.spec());
+        self.steps += self.capacity.reservable.len() as u64;
+        let mut slots = self.capacity.task_slots(job.spec(), &self.cluster.machines);
+        slots.sort_by(|left, right| compare(right.free_cpus, left.free_cpus));
+        for slot in slots {
+            let tasks = slot.tasks.min(unreserved_tasks);
+            self.capacity.machines[slot.position].reserved.add(&need.times(tasks));
+            unreserved_tasks -= tasks;
+            if unreserved_tasks == 0 {
+                return;
+            }
+        }
+    }
+}
