--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -20,6 +20,9 @@
 use pass::PlacementPass;
 use std::time::Instant;
 
+/// Tasks without need of CPUs count as needing this many, where CPUs are shared out among tasks.
+const MIN_TASK_CPUS: f64 = 0.01;
+
 /// How much of a job is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlacementScope {
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -71,7 +71,7 @@
             return;
         }
         let eligible = self.eligible_machines(id, scope);
-        if eligible.is_empty() || self.awaits_first_starts(id) {
+        if eligible.is_empty() || self.request_first_starts(id) {
             return;
         }
         self.place_tasks(id, scope, eligible);
@@ -107,10 +107,11 @@
         self.capacity.eligible(&self.cluster.jobs[id], scope, &self.cluster.machines)
     }
 
-    /// Whether the job's record allows no start yet. There is room, so it is to allow first starts.
-    /// Not before: what a record allows counts as begun after a failover, and then has to wait
-    /// until all machines have shown what they hold, which takes long if a part of them is silent.
-    fn awaits_first_starts(&mut self, id: &JobId) -> bool {
+    /// Asks for the job's record to allow first starts, if it allows none yet; true if it does not.
+    /// There is room now. Not before: what a record allows counts as begun after a failover, and
+    /// then has to wait until all machines have shown what they hold, which takes long if a part of
+    /// them is silent.
+    fn request_first_starts(&mut self, id: &JobId) -> bool {
         let Some(job) = self.cluster.jobs.get_mut(id) else { return true };
         let waits = job.waits_unannounced();
         if waits {
@@ -157,6 +158,7 @@
         Some(position)
     }
 
+    /// Takes the chosen machine, which is going to fetch the image if it lacks it; its position.
     fn take_candidate(&mut self, id: &JobId, candidates: &mut Candidates, choice: Choice) -> usize {
         let position = candidates.take(choice);
         if choice.preference == Preference::LacksImage {
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -6,6 +6,7 @@
 
 use super::pass::PlacementPass;
 use super::queue::StartableJob;
+use super::MIN_TASK_CPUS;
 use crate::cluster::Cluster;
 use crate::float_order::compare;
 use crate::job::Job;
@@ -22,9 +23,6 @@
 /// Machines looked at for each task that waits for room, at the least.
 const MACHINES_PER_TASK: usize = 2;
 
-/// Tasks without need of CPUs count as needing this many, where the freed capacity is shared out.
-const MIN_TASK_CPUS: f64 = 0.01;
-
 /// A task on a machine: which one, and under which attempt.
 type TaskKey = (TaskId, u64);
 
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -1,15 +1,13 @@
 //! Where the tasks of one job may be, relative to each other (S8).
 
 use super::capacity::MachineCapacity;
+use super::MIN_TASK_CPUS;
 use crate::float_order::compare;
 use crate::job::Job;
 use crate::machine::{Machine, Need};
 use corkfield_wire::JobSpec;
 use std::collections::BTreeMap;
 
-/// Tasks without need of CPUs count as needing this many, where machines are compared.
-const MIN_TASK_CPUS: f64 = 0.01;
-
 /// Whether the job's tasks are bound to one zone, or to several.
 pub(super) fn binds_zones(spec: &JobSpec) -> bool {
     spec.one_zone || spec.spread
