--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::job::Job;
-use crate::machine::Machine;
+use crate::machine::{Machine, MachineState};
 use crate::team::{within_guarantee, Usage};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Team;
@@ -79,4 +79,11 @@
             _ => 1.0,
         }
     }
+
+    /// Takes a machine out of use: it gets no new work, and is returned once it is empty.
+    pub(crate) fn drain(&mut self, name: &str) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.enter(MachineState::Draining);
+        }
+    }
 }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -13,7 +13,7 @@
 use crate::config::Config;
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability};
-use crate::scaling::ScalingState;
+use crate::scaling::Scaling;
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::worker::Order;
@@ -127,7 +127,7 @@
     accounted_at: Option<Instant>,
     pub(crate) actions: Vec<Action>,
     pub(crate) rng: SmallRng,
-    pub(crate) scaling: ScalingState,
+    pub(crate) scaling: Scaling,
     last_delete: Option<Instant>,
     pub(crate) passes: u64,
     /// What happened to machines since the last log line of its kind: how often, and to which.
@@ -152,7 +152,7 @@
             accounted_at: None,
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            scaling: ScalingState::new(term),
+            scaling: Scaling::new(term),
             last_delete: None,
             passes: 0,
             noted: BTreeMap::new(),
