--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -78,7 +78,7 @@
     }
 
     /// A machine without a heartbeat for this long should have sent one.
-    pub(crate) fn silence(&self) -> Duration {
+    pub(crate) fn heartbeat_overdue_after(&self) -> Duration {
         self.heartbeat_interval.mul_f64(OVERDUE_HEARTBEAT_INTERVALS) + OVERDUE_HEARTBEAT_MARGIN
     }
 
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -29,7 +29,7 @@
 impl MachineCapacity {
     /// The capacity of a machine that takes work; none while its free room is not known, or if it
     /// is being probed and holds a task already.
-    fn of_machine(machine: &Machine) -> Option<Self> {
+    fn new(machine: &Machine) -> Option<Self> {
         // Left out altogether, a machine that is slow no more, or was taken for slow by mistake,
         // would never show it, and tasks would wait beside it for ever. So it is left to jobs of
         // which nothing runs.
@@ -124,8 +124,8 @@
         for startable in queue {
             capacity.expect_job(cluster.jobs[&startable.id].spec());
         }
-        let silence = cluster.config.silence();
-        for machine in cluster.machines.values().filter(|m| m.takes_work(now, silence)) {
+        let overdue_after = cluster.config.heartbeat_overdue_after();
+        for machine in cluster.machines.values().filter(|m| m.takes_work(now, overdue_after)) {
             capacity.add_machine(machine);
         }
         capacity
@@ -142,7 +142,7 @@
     }
 
     fn add_machine(&mut self, machine: &Machine) {
-        let Some(capacity) = MachineCapacity::of_machine(machine) else { return };
+        let Some(capacity) = MachineCapacity::new(machine) else { return };
         let position = self.machines.len();
         self.machines.push(capacity);
         self.open.push(position);
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -58,11 +58,11 @@
 
 /// CPUs that no task takes, on machines that take work.
 fn free_cpus(cluster: &Cluster, now: Instant) -> f64 {
-    let silence = cluster.config.silence();
+    let overdue_after = cluster.config.heartbeat_overdue_after();
     cluster
         .machines
         .values()
-        .filter(|machine| machine.takes_work(now, silence))
+        .filter(|machine| machine.takes_work(now, overdue_after))
         .filter_map(|machine| machine.free())
         .map(|free| free.cpus.max(0.0))
         .sum()
--- a/crates/core/src/placement/preemption/grace.rs
+++ b/crates/core/src/placement/preemption/grace.rs
@@ -5,8 +5,8 @@
 use crate::job::Job;
 use std::time::Duration;
 
-/// The part of an objective's time that passes before tasks are stopped for a job that waits.
-const GRACE_PART: f64 = 0.55;
+/// The fraction of an objective's time that passes before tasks are stopped for a job that waits.
+const GRACE_FRACTION: f64 = 0.55;
 
 /// Jobs without a due time are treated as due this long after their acceptance.
 const DEFAULT_DUE_S: f64 = 25.0;
@@ -23,6 +23,6 @@
             due.saturating_duration_since(job.accepted_at).as_secs_f64()
         });
         let within_s = [start_s, guarantee_s].into_iter().flatten().fold(due_s, f64::min);
-        Duration::try_from_secs_f64(within_s * GRACE_PART).unwrap_or_default()
+        Duration::try_from_secs_f64(within_s * GRACE_FRACTION).unwrap_or_default()
     }
 }
--- a/crates/core/src/placement/preemption/loss.rs
+++ b/crates/core/src/placement/preemption/loss.rs
@@ -6,13 +6,13 @@
 use std::time::Instant;
 
 /// Jobs that are not urgent stop nothing that was placed more recently than this.
-const SETTLING_IN_S: f64 = 10.0;
+const MIN_TIME_ON_MACHINE_S: f64 = 10.0;
 
 /// A task expected to end sooner than this is not stopped for another.
 const NEARLY_DONE_S: f64 = 6.0;
 
-/// A task that ran this many times as long as expected is overdue: that tells nothing about its end.
-const OVERDUE_RUN_TIMES: f64 = 1.3;
+/// A task that ran this many times as long as expected is overdue: that says nothing about its end.
+const OVERDUE_RUN_TIME_RATIO: f64 = 1.3;
 
 impl Cluster {
     /// CPU seconds lost if a task of the job `owner` is stopped for the job `waiting`; `None` if it
@@ -31,7 +31,7 @@
         }
         let ran_s = now.saturating_duration_since(machine_task.since).as_secs_f64();
         // Starts that are soon undone help nobody.
-        if !waiting.is_urgent() && ran_s < SETTLING_IN_S {
+        if !waiting.is_urgent() && ran_s < MIN_TIME_ON_MACHINE_S {
             return None;
         }
         if running && self.is_nearly_done(owner, ran_s) {
@@ -42,7 +42,7 @@
 
     fn is_nearly_done(&self, owner: &Job, ran_s: f64) -> bool {
         let run_s = self.expected_run_s(owner);
-        let overdue = ran_s > run_s * OVERDUE_RUN_TIMES;
+        let overdue = ran_s > run_s * OVERDUE_RUN_TIME_RATIO;
         run_s - ran_s < NEARLY_DONE_S && !overdue
     }
 }
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -17,16 +17,16 @@
 use std::time::{Duration, Instant};
 use victims::VictimSelection;
 
-/// Machines looked at for tasks to stop in one pass, in samples.
+/// Machines searched for tasks to stop in one pass, in samples.
 const SAMPLES_PER_PASS: usize = 8;
 
-/// Machines looked at for each task that waits for room, at the least.
+/// Machines searched for each task that waits for room, at the least.
 const MACHINES_PER_TASK: usize = 2;
 
 /// A task on a machine: which one, and under which attempt.
 type TaskKey = (TaskId, u64);
 
-/// A machine that takes work, as it was when the search began.
+/// A machine that takes tasks, as it was when the search began.
 struct SearchedMachine {
     name: String,
     free_cpus: f64,
@@ -34,23 +34,23 @@
     cpus_by_priority: [f64; 4],
 }
 
-/// What one pass may still look at, and what is being freed already.
+/// The machines to search in one pass, and what is being freed already.
 struct PreemptionSearch {
     /// Where most is free, and least has to be stopped, first.
     machines: Vec<SearchedMachine>,
-    /// Machines that may still be looked at.
-    remaining_looks: usize,
+    /// Machines that may still be searched for tasks to stop.
+    searches_left: usize,
     /// CPUs of tasks that are being stopped, and not yet meant for a job.
     freeing_cpus: f64,
 }
 
 impl PreemptionSearch {
     fn new(cluster: &Cluster, now: Instant) -> Self {
-        let silence = cluster.config.silence();
+        let overdue_after = cluster.config.heartbeat_overdue_after();
         let mut machines: Vec<SearchedMachine> = cluster
             .machines
             .values()
-            .filter(|machine| machine.takes_work(now, silence))
+            .filter(|machine| machine.takes_work(now, overdue_after))
             .map(|machine| SearchedMachine {
                 name: machine.name.clone(),
                 free_cpus: machine.free().map_or(0.0, |free| free.cpus),
@@ -61,7 +61,7 @@
         let totals = cluster.machines.values().map(|machine| machine.tasks.totals());
         Self {
             machines,
-            remaining_looks: cluster.config.placement_sample.max(1) * SAMPLES_PER_PASS,
+            searches_left: cluster.config.placement_sample.max(1) * SAMPLES_PER_PASS,
             freeing_cpus: totals.map(|totals| totals.stopping_cpus).sum(),
         }
     }
@@ -85,7 +85,7 @@
         }
         let mut search = PreemptionSearch::new(self.cluster, self.now);
         for startable in &queue {
-            if search.remaining_looks == 0 {
+            if search.searches_left == 0 {
                 return;
             }
             self.preempt_for(startable, &mut search);
@@ -105,12 +105,12 @@
             return;
         }
         let candidates = self.machines_with_victims(job, guaranteed, &search.machines);
-        let machines = self.sample_machines(candidates, wanted, search.remaining_looks);
+        let machines = self.sample_machines(candidates, wanted, search.searches_left);
         for position in machines {
             if wanted == 0 {
                 return;
             }
-            search.remaining_looks -= 1;
+            search.searches_left -= 1;
             wanted -= self.preempt_on(&startable.id, &search.machines[position].name, wanted);
         }
     }
@@ -132,19 +132,21 @@
         let runs_lower = |machine: &SearchedMachine| {
             machine.cpus_by_priority[lower..].iter().any(|cpus| *cpus > 0.0)
         };
-        (0..machines.len()).filter(|at| any_machine || runs_lower(&machines[*at])).collect()
+        (0..machines.len())
+            .filter(|position| any_machine || runs_lower(&machines[*position]))
+            .collect()
     }
 
-    /// A look at all that run there costs too much to be taken at hundreds of machines for hundreds
-    /// of jobs: a sample each, another one in the next pass.
+    /// A sample of the machines, another one in the next pass: searching hundreds of them for
+    /// hundreds of jobs costs too much.
     fn sample_machines(
         &mut self,
         candidates: Vec<usize>,
         wanted: u32,
-        remaining_looks: usize,
+        searches_left: usize,
     ) -> Vec<usize> {
         let sample = self.cluster.config.placement_sample;
-        let most = sample.max(wanted as usize * MACHINES_PER_TASK).min(remaining_looks);
+        let most = sample.max(wanted as usize * MACHINES_PER_TASK).min(searches_left);
         if candidates.len() <= most {
             return candidates;
         }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -12,11 +12,11 @@
 
 /// A job of which nothing has begun for this long gets what comes free next: under lasting
 /// overload the largest, the latest and idle ones would otherwise wait for its end. Once
-/// something of it has begun it stands in line as before.
+/// something of it has begun it is queued as before.
 const STARVED_AFTER: Duration = Duration::from_secs(120);
 
-/// A job is late once less than this part of its expected run time is left until it is due.
-const LATE_BELOW_RUN_TIMES: f64 = 0.5;
+/// A job is late once less than this fraction of its expected run time is left until it is due.
+const LATE_BELOW_RUN_TIME_FRACTION: f64 = 0.5;
 
 /// A job with tasks that may be started now.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -124,7 +124,8 @@
 
     /// Whether the job is unlikely to be complete when it is due.
     fn is_late(&self, job: &Job, run_s: f64, now: Instant) -> bool {
-        let needed = Duration::try_from_secs_f64(run_s * LATE_BELOW_RUN_TIMES).unwrap_or_default();
+        let needed =
+            Duration::try_from_secs_f64(run_s * LATE_BELOW_RUN_TIME_FRACTION).unwrap_or_default();
         self.due(job).is_some_and(|due| now + needed > due)
     }
 
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -81,7 +81,7 @@
         now: Instant,
     ) {
         self.rentals_in_flight.remove(&request.request);
-        let offer = Offer::of_request(request);
+        let offer = Offer::from(request);
         match outcome {
             Ok(names) => {
                 if names.len() < request.count as usize {
--- a/crates/core/src/scaling/offers.rs
+++ b/crates/core/src/scaling/offers.rs
@@ -37,13 +37,15 @@
     spot: bool,
 }
 
-impl Offer {
+impl From<&RentRequest> for Offer {
     /// The offer that a rental asks for.
-    pub(super) fn of_request(request: &RentRequest) -> Self {
+    fn from(request: &RentRequest) -> Self {
         let RentRequest { machine_type, zone, spot, .. } = request.clone();
         Self { machine_type, zone, spot }
     }
+}
 
+impl Offer {
     fn is_asked_for_by(&self, request: &RentRequest) -> bool {
         self.machine_type == request.machine_type
             && self.zone == request.zone
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -8,12 +8,12 @@
 use crate::machine::{Machine, MachineState};
 use std::time::{Duration, Instant};
 
-/// The part of the keeping time after which machines beyond the likely need are returned.
-const SHORT_IDLE_KEEP_PART: f64 = 0.17;
+/// The fraction of the keeping time after which machines beyond the likely need are returned.
+const SHORT_IDLE_KEEP_FRACTION: f64 = 0.17;
 
 /// Machines that take longer than this many times their boot time, and the margin on top, may never
 /// come up.
-const LATE_BOOT_TIMES: f64 = 2.5;
+const LATE_BOOT_RATIO: f64 = 2.5;
 const LATE_BOOT_MARGIN_S: f64 = 10.0;
 /// The boot time of machines whose type is not known.
 const DEFAULT_BOOT_S: f64 = 60.0;
@@ -74,7 +74,7 @@
 
 fn is_late_boot(machine: &Machine, now: Instant) -> bool {
     let boot_s = machine.size.as_ref().map_or(DEFAULT_BOOT_S, |size| size.boot_s);
-    let limit = Duration::from_secs_f64(boot_s * LATE_BOOT_TIMES + LATE_BOOT_MARGIN_S);
+    let limit = Duration::from_secs_f64(boot_s * LATE_BOOT_RATIO + LATE_BOOT_MARGIN_S);
     machine.state() == MachineState::Booting
         && now.saturating_duration_since(machine.rented_at) > limit
 }
@@ -140,7 +140,7 @@
 /// Machines that have been idle for some time, or are slow. Notes since when machines are idle.
 fn idle_machines(cluster: &mut Cluster, now: Instant) -> Vec<IdleMachine> {
     let long_keep = cluster.config.idle_keep;
-    let short_keep = long_keep.mul_f64(SHORT_IDLE_KEEP_PART);
+    let short_keep = long_keep.mul_f64(SHORT_IDLE_KEEP_FRACTION);
     let mut idle = Vec::new();
     for machine in cluster.machines.values_mut() {
         let Some(size) = &machine.size else { continue };
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -24,7 +24,7 @@
         if missing_cpus <= 0.0 {
             return;
         }
-        let balance = SpotBalance::of_cluster(cluster);
+        let balance = SpotBalance::from_cluster(cluster);
         let spot_unanswered = self.rentals_in_flight.values().any(|request| request.spot);
         let mut offers = open_offers(cluster, &self.backoff, &self.rentals_in_flight, now);
         offers.retain(|offer| {
--- a/crates/core/src/scaling/spot_balance.rs
+++ b/crates/core/src/scaling/spot_balance.rs
@@ -18,7 +18,7 @@
 
 impl SpotBalance {
     /// The balance of all machines in use or on their way.
-    pub(super) fn of_cluster(cluster: &Cluster) -> Self {
+    pub(super) fn from_cluster(cluster: &Cluster) -> Self {
         let mut balance = Self::default();
         for machine in cluster.machines.values().filter(|machine| is_up_or_booting(machine)) {
             let Some(size) = &machine.size else { continue };
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -35,11 +35,11 @@
     matches: impl Fn(&Machine) -> bool,
     rental_matches: impl Fn(&RentRequest) -> bool,
 ) -> f64 {
-    let silence = cluster.config.silence();
+    let overdue_after = cluster.config.heartbeat_overdue_after();
     let present: f64 = cluster
         .machines
         .values()
-        .filter(|machine| is_supply(machine, silence, now) && matches(machine))
+        .filter(|machine| is_supply(machine, overdue_after, now) && matches(machine))
         .filter_map(|machine| machine.size.as_ref().map(|size| size.cpus))
         .sum();
     let coming: f64 = rentals_in_flight
@@ -51,11 +51,11 @@
 }
 
 /// Whether the machine takes tasks, or will once it is up.
-fn is_supply(machine: &Machine, silence: Duration, now: Instant) -> bool {
+fn is_supply(machine: &Machine, overdue_after: Duration, now: Instant) -> bool {
     is_up_or_booting(machine)
         && !machine.notice
         && machine.reachability() != Reachability::Unreachable
-        && !is_silent(machine, silence, now)
+        && !is_heartbeat_overdue(machine, overdue_after, now)
 }
 
 /// Whether the machine is in use or on its way, and its worker's lease has not expired.
@@ -65,8 +65,8 @@
 
 /// A machine whose heartbeat is overdue is probably gone. What that means for its tasks is decided
 /// by S5; another machine may be rented meanwhile.
-fn is_silent(machine: &Machine, silence: Duration, now: Instant) -> bool {
-    machine.heard_at.is_some_and(|at| now.saturating_duration_since(at) > silence)
+fn is_heartbeat_overdue(machine: &Machine, overdue_after: Duration, now: Instant) -> bool {
+    machine.heard_at.is_some_and(|at| now.saturating_duration_since(at) > overdue_after)
 }
 
 /// CPUs of the machines that a rental asks for; `None` if their type is not known.
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -66,13 +66,13 @@
 pub enum Unschedulable {
     /// There is no such team.
     #[error("unknown team")]
-    Team,
+    UnknownTeam,
     /// The job needs more than its team's limit.
     #[error("a task needs more than the team's limit")]
-    Limit,
+    ExceedsTeamLimit,
     /// A task fits no allowed machine type.
     #[error("a task fits no allowed machine type")]
-    Machine,
+    FitsNoMachineType,
 }
 
 /// Whether a task of the job fits some allowed machine type and its team's limit.
@@ -85,14 +85,15 @@
     teams: &[Team],
     types: &[MachineType],
 ) -> Result<(), Unschedulable> {
-    let team = teams.iter().find(|team| team.name == spec.team).ok_or(Unschedulable::Team)?;
+    let team =
+        teams.iter().find(|team| team.name == spec.team).ok_or(Unschedulable::UnknownTeam)?;
     if !within_limit(team, Usage::of_tasks(spec, 1)) {
-        return Err(Unschedulable::Limit);
+        return Err(Unschedulable::ExceedsTeamLimit);
     }
     if types.iter().any(|machine_type| fits_type(spec, machine_type)) {
         Ok(())
     } else {
-        Err(Unschedulable::Machine)
+        Err(Unschedulable::FitsNoMachineType)
     }
 }
 
