--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -28,7 +28,7 @@
 use crate::config::Config;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::scaling::ScalingState;
+use crate::scaling::Scaling;
 use corkfield_wire::JobId;
 use gone_machines::GoneMachines;
 use machine_events::MachineEventLog;
@@ -50,7 +50,7 @@
     /// What is to be done outside.
     pub(crate) actions: Vec<Action>,
     pub(crate) rng: SmallRng,
-    pub(crate) scaling: ScalingState,
+    pub(crate) scaling: Scaling,
     /// When deletions were requested again last.
     last_delete: Option<Instant>,
     /// Placement passes so far.
@@ -71,7 +71,7 @@
             reconciliation: Reconciliation::default(),
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            scaling: ScalingState::new(term),
+            scaling: Scaling::new(term),
             last_delete: None,
             passes: 0,
             machine_events: MachineEventLog::default(),
