--- a/crates/core/src/job/completion.rs
+++ b/crates/core/src/job/completion.rs
@@ -36,10 +36,12 @@
         Self { finished, unstored: BTreeSet::new(), committing: false, last_commit_at: None }
     }
 
+    /// Tasks reported as done, stored or not.
     pub(super) fn finished(&self) -> &TaskSet {
         &self.finished
     }
 
+    /// Tasks reported as done but not yet stored.
     pub(super) fn unstored(&self) -> &BTreeSet<u32> {
         &self.unstored
     }
@@ -76,7 +78,7 @@
         self.finished.extend(stored);
     }
 
-    /// A write is under way.
+    /// Whether a write is under way.
     pub(super) fn is_committing(&self) -> bool {
         self.committing
     }
@@ -92,11 +94,13 @@
         self.last_commit_at.is_some_and(recently)
     }
 
+    /// A write is under way from now on.
     pub(super) fn begin_commit(&mut self, now: Instant) {
         self.committing = true;
         self.last_commit_at = Some(now);
     }
 
+    /// The write was answered, or failed.
     pub(super) fn end_commit(&mut self) {
         self.committing = false;
     }
--- a/crates/core/src/job/failures.rs
+++ b/crates/core/src/job/failures.rs
@@ -10,6 +10,7 @@
 pub(crate) struct JobFailures {
     /// Machines on which its tasks failed, in order.
     machines: Vec<String>,
+    /// Tasks that failed.
     count: u32,
 }
 
@@ -34,12 +35,12 @@
     }
 
     /// Whether its tasks failed on that machine.
-    pub(crate) fn include(&self, machine: &str) -> bool {
+    pub(super) fn include(&self, machine: &str) -> bool {
         self.machines.iter().any(|failed_on| failed_on == machine)
     }
 
     /// Whether its tasks failed on any machine since it was claimed last.
-    pub(crate) fn include_any(&self) -> bool {
+    pub(super) fn include_any(&self) -> bool {
         !self.machines.is_empty()
     }
 
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -47,6 +47,7 @@
     pub record: JobRecord,
     /// Version of the record in the key-value store that this claim rests on.
     pub version: u64,
+    /// What it is doing.
     state: JobState,
     /// Position of its team in the settings.
     pub(crate) team: usize,
@@ -54,9 +55,11 @@
     pub(crate) accepted_at: Instant,
     /// When it should be complete, if its user said so.
     pub(crate) due_at: Option<Instant>,
+    /// Its finished tasks, and the writes that store them.
     completion: Completion,
     /// Placed tasks and their machines.
     active: BTreeMap<u32, Placed>,
+    /// Which of its tasks is started next.
     start_queue: StartQueue,
     /// Attempts made under this generation.
     attempts: u64,
@@ -64,6 +67,7 @@
     pub(crate) running: u32,
     /// Since when tasks of it wait and none is placed.
     pub(crate) unplaced_since: Option<Instant>,
+    /// When it was claimed last.
     claimed_at: Instant,
     /// This claim was refunded.
     refunded: bool,
@@ -186,6 +190,17 @@
         self.active.is_empty() && self.finished().is_empty()
     }
 
+    /// Whether its tasks failed on that machine since it was claimed last, or something of it last
+    /// completed.
+    pub(crate) fn has_failed_on(&self, machine: &str) -> bool {
+        self.failures.include(machine)
+    }
+
+    /// Whether its tasks failed on any machine since then.
+    pub(crate) fn has_failed(&self) -> bool {
+        self.failures.include_any()
+    }
+
     /// The next task to place; the caller places it. With `only_never_started`, only one that no
     /// earlier owner can have started (S7).
     pub(crate) fn take_waiting(&mut self, only_never_started: bool) -> Option<u32> {
--- a/crates/core/src/job/run_times.rs
+++ b/crates/core/src/job/run_times.rs
@@ -10,7 +10,9 @@
 /// Count and sum of the run times of a job's completed tasks.
 #[derive(Debug, Default)]
 pub(crate) struct RunTimes {
+    /// How many run times are known.
     count: u32,
+    /// Their sum in seconds.
     sum_s: f64,
 }
 
--- a/crates/core/src/job/start_queue.rs
+++ b/crates/core/src/job/start_queue.rs
@@ -7,8 +7,11 @@
 
 /// What of a job decides which of its tasks may be started.
 pub(super) struct StartView<'a> {
+    /// The job's record: how many tasks it has, and how many of them may be started.
     pub(super) record: &'a JobRecord,
+    /// Tasks that are done.
     pub(super) finished: &'a TaskSet,
+    /// Tasks that are placed.
     pub(super) active: &'a BTreeMap<u32, Placed>,
 }
 
--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -23,7 +23,7 @@
     Active,
     /// It failed on several machines: nothing is started before the time given.
     BackingOff(Instant),
-    /// It waited long enough and has to be claimed anew, which counts (S12).
+    /// It waited long enough and has to be claimed once more, which counts as a claim (S12).
     NeedsReclaim,
     /// It reached the claim limit; its tasks are stopped.
     DeadLettered,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,8 @@
-//! Scheduling, without I/O: jobs, tasks, machines, teams, placement and renting as state
+//! Scheduling, without I/O: jobs, tasks, machines, teams, placement and scaling as state
 //! machines. Time is passed in; what should happen outside comes out as [`Action`]s.
+//!
+//! Architecture invariant: this crate opens no connection, reads no clock and starts no thread.
+//! The same calls with the same times and seed give the same answers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/core/src/machine/health.rs
+++ b/crates/core/src/machine/health.rs
@@ -27,6 +27,7 @@
     refused_until: Option<Instant>,
     /// Run times here against the same jobs' run times elsewhere, smoothed.
     slowness: f64,
+    /// Run times that made it up.
     slowness_samples: u32,
 }
 
--- a/crates/core/src/machine/image_cache.rs
+++ b/crates/core/src/machine/image_cache.rs
@@ -6,13 +6,16 @@
 /// An image in a machine's cache.
 #[derive(Debug)]
 struct CachedImage {
+    /// Its name.
     name: String,
+    /// Its size in GB.
     size_gb: f64,
 }
 
 /// Images that a machine probably has, the most recently used last.
 #[derive(Debug, Default)]
 pub(crate) struct ImageCache {
+    /// In the order of their last use.
     images: Vec<CachedImage>,
 }
 
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -13,6 +13,7 @@
     answered_before: Instant,
     /// The term of the newest answer.
     answered_term: u64,
+    /// It has expired, and the worker has sent no fresh heartbeat since.
     expired: bool,
 }
 
--- a/crates/core/src/machine/messages.rs
+++ b/crates/core/src/machine/messages.rs
@@ -3,7 +3,7 @@
 use corkfield_wire::worker::WorkerHeartbeat;
 
 /// So many heartbeats with low numbers, each above the one before, and no others, are a reason
-/// to ask the worker whether it counts anew.
+/// to ask the worker whether it has restarted its numbering.
 const OUTDATED_HEARTBEATS: u32 = 2;
 
 /// The number of a worker's message: later messages of a worker compare greater.
@@ -48,8 +48,8 @@
         number.agent_epoch <= self.ended_agent_epochs || number <= self.newest
     }
 
-    /// An outdated heartbeat came. If they go on coming, and only they, the worker may have begun
-    /// to count anew.
+    /// An outdated heartbeat came. If they go on coming, and only they, the worker may have
+    /// restarted its numbering.
     pub(crate) fn note_outdated_heartbeat(&mut self, number: MessageNumber) {
         if number > self.newest_outdated {
             self.newest_outdated = number;
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Whether the worker has to be asked if it counts anew.
-    pub(crate) fn may_count_anew(&self) -> bool {
+    /// Whether the worker has to be asked if it has restarted its numbering.
+    pub(crate) fn numbering_may_have_restarted(&self) -> bool {
         self.outdated_count >= OUTDATED_HEARTBEATS
     }
 
     /// Whether a message shows a lower term than an earlier one. The highest term that a worker
-    /// has seen never falls, unless the worker has begun anew.
+    /// has seen never falls, unless the worker has lost its state.
     pub(crate) fn has_shown_higher_term(&self, term: u64) -> bool {
         term < self.highest_term
     }
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) use messages::MessageNumber;
 
 use crate::job::Job;
-use corkfield_wire::cloud::MachineType;
+use corkfield_wire::cloud::{ListedMachine, MachineType};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
 use corkfield_wire::{JobSpec, TaskId};
@@ -50,6 +50,7 @@
     pub spot: bool,
     /// Its type, if the cloud's types are known and it is among them.
     pub(crate) size: Option<MachineType>,
+    /// What it is used for.
     state: MachineState,
     /// Whether the key-value store knows that it may hold tasks.
     pub recorded: Recorded,
@@ -65,6 +66,7 @@
     pub(crate) rented_at: Instant,
     /// When its worker's newest message came.
     pub(crate) heard_at: Option<Instant>,
+    /// Whether orders reach its worker.
     reachability: Reachability,
     /// Direct orders in a row that were not answered.
     pub(crate) unanswered: u32,
@@ -116,6 +118,44 @@
         }
     }
 
+    /// A machine that an earlier leader recorded, `age` ago at the least (S7).
+    pub(crate) fn from_record(
+        name: &str,
+        record: &MachineRecord,
+        types: &[MachineType],
+        age: Duration,
+        now: Instant,
+    ) -> Self {
+        let MachineRecord { addr, machine_type, zone, spot, .. } = record.clone();
+        let mut machine = Self::new(name.to_owned(), machine_type, zone, spot, types, now);
+        machine.addr = addr;
+        machine.recorded = Recorded::Yes;
+        // It existed then, so the first lists may tell already that it is gone.
+        machine.known_since = now.checked_sub(age).unwrap_or(now);
+        machine.enter(MachineState::Up);
+        machine
+    }
+
+    /// A machine that was not known before its worker sent a heartbeat.
+    pub(crate) fn from_heartbeat(
+        heartbeat: &WorkerHeartbeat,
+        types: &[MachineType],
+        now: Instant,
+    ) -> Self {
+        let WorkerHeartbeat { machine, machine_type, zone, spot, .. } = heartbeat;
+        tracing::debug!(machine, machine_type, "new machine");
+        Self::new(machine.clone(), machine_type.clone(), zone.clone(), *spot, types, now)
+    }
+
+    /// A machine that was not known before the cloud listed it.
+    pub(crate) fn from_listed(entry: &ListedMachine, types: &[MachineType], now: Instant) -> Self {
+        let ListedMachine { name, machine_type, zone, spot, .. } = entry.clone();
+        let mut machine = Self::new(name, machine_type, zone, spot, types, now);
+        let age = Duration::try_from_secs_f64(entry.age_s).unwrap_or_default();
+        machine.rented_at = now.checked_sub(age).unwrap_or(now);
+        machine
+    }
+
     /// What it is used for.
     pub fn state(&self) -> MachineState {
         self.state
@@ -220,6 +260,11 @@
         })
     }
 
+    /// The write of its record was answered: it is `stored`, or the write failed.
+    pub(crate) fn finish_recording(&mut self, stored: bool) {
+        self.recorded = if stored { Recorded::Yes } else { Recorded::No };
+    }
+
     /// Capacity that no task takes; none while something of unknown size is there.
     pub(crate) fn free(&self) -> Option<Need> {
         let size = self.size.as_ref()?;
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -8,7 +8,7 @@
 /// | `Booting`             | first heartbeat, or recorded by an earlier leader       | `Up`       |
 /// | `Booting`, `Up`       | not needed, faulty, or late to boot                     | `Draining` |
 /// | `Draining`            | nothing is on it any more                               | `Deleting` |
-/// | any                   | its worker counts anew, or it is given up at a failover | `Deleting` |
+/// | any                   | its worker lost its state, or is silent at a failover   | `Deleting` |
 ///
 /// `Deleting` is final: the machine is forgotten once its deletion was answered or a list of the
 /// cloud shows that it is gone. Every change goes through [`super::Machine::enter`].
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -114,6 +114,11 @@
         }
     }
 
+    /// It has to go at once, with no time to save.
+    pub(crate) fn stop_at_once(&mut self) {
+        self.stop = Some(Duration::ZERO);
+    }
+
     /// The job that it is of has become known.
     pub(crate) fn belongs_to(&mut self, spec: &JobSpec, team: usize) {
         self.demand = Some(TaskDemand::of(spec, team));
@@ -178,6 +183,7 @@
 }
 
 impl Totals {
+    /// Counts a running task of a job.
     fn add_running(&mut self, job: &JobId) {
         match self.running.iter_mut().find(|running| running.job == *job) {
             Some(running) => running.count += 1,
@@ -185,6 +191,7 @@
         }
     }
 
+    /// Counts a task that takes room.
     fn add(&mut self, machine_task: &MachineTask) {
         self.tasks += 1;
         let Some(demand) = &machine_task.demand else {
@@ -210,7 +217,9 @@
 /// the tasks may have changed: any mutable access drops them.
 #[derive(Debug, Default)]
 pub struct MachineTasks {
+    /// The tasks, by attempt.
     tasks: BTreeMap<TaskAttempt, MachineTask>,
+    /// What they come to, once that was asked for.
     totals: OnceCell<Totals>,
 }
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -217,7 +217,7 @@
             && (spec.spot || !machine.spot)
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && (spec.types.is_none() || machines[&machine.name].allows(spec))
-            && !job.failures.include(&machine.name)
+            && !job.has_failed_on(&machine.name)
     };
     if scope == PlacementScope::One {
         steps.set(steps.get() + all.len() as u64);
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -119,7 +119,7 @@
         let team = &self.cluster.config.teams[job.team];
         let (need, one) = (Need::of(job.spec()), Usage::of(job.spec(), 1));
         let mut chosen = Vec::new();
-        if !machine.allows(job.spec()) || machine.has_failures() || job.failures.include(name) {
+        if !machine.allows(job.spec()) || machine.has_failures() || job.has_failed_on(name) {
             return chosen;
         }
         let Some(mut free) = machine.free() else { return chosen };
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -69,6 +69,7 @@
     }
 }
 
+/// Logs a claim, with what of the job decides where and when it runs.
 fn log_claim(job: &Job, age: Duration) {
     let spec = job.spec();
     tracing::debug!(
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -6,7 +6,6 @@
 use crate::machine::{Machine, MachineTaskState, TaskAttempt};
 use corkfield_wire::worker::Order;
 use corkfield_wire::{JobId, TaskId};
-use std::time::Duration;
 
 impl Scheduler {
     /// Closes all jobs that are no longer unfinished.
@@ -79,7 +78,7 @@
     let mut stops = Vec::new();
     for (key, machine_task) in machine.tasks.iter_mut() {
         if key.task.job == *id && machine_task.takes_room() {
-            machine_task.stop = Some(Duration::ZERO);
+            machine_task.stop_at_once();
             let TaskAttempt { task, attempt } = key.clone();
             stops.push(Order::Stop { task, attempt, grace_s: 0.0 });
         }
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -34,6 +34,7 @@
 struct StorableTasks {
     /// Finished numbers of the chunks that these tasks are in.
     chunks: BTreeMap<u32, TaskSet>,
+    /// Numbers of the tasks.
     tasks: Vec<u32>,
 }
 
@@ -76,6 +77,7 @@
         due.into_iter().map(|(_, _, job)| Self::completion_commit(job, now)).collect()
     }
 
+    /// The write of what of a job is to be stored now.
     fn completion_commit(job: &mut Job, now: Instant) -> CompletionCommit {
         let mut record = job.record.clone();
         let storable = if record.is_chunked() {
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -1,7 +1,7 @@
 //! Failover: which machines earlier leaders may have used, and when each is accounted for (S7).
 
 use super::{Scheduler, Verdict};
-use crate::machine::{Machine, MachineState, MessageNumber, Reachability, Recorded};
+use crate::machine::{Machine, MachineState, MessageNumber, Reachability};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
 use std::time::{Duration, Instant};
@@ -10,6 +10,7 @@
 const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
 /// So many machines that don't, or that part of all, are given up; never most of a small fleet.
 const FEW_UNRECONCILED: usize = 2;
+/// See [`FEW_UNRECONCILED`].
 const UNRECONCILED_PART: usize = 8;
 /// And only those that were asked this often in vain: a leader that is busy with the heartbeats of
 /// a whole fleet may not have come round to the others yet.
@@ -26,22 +27,10 @@
         age: Duration,
         now: Instant,
     ) {
-        let MachineRecord { addr, machine_type, zone, spot, .. } = record.clone();
-        let mut machine = Machine::new(
-            name.to_owned(),
-            machine_type,
-            zone,
-            spot,
-            &self.cluster.machine_types,
-            now,
-        );
-        machine.addr = addr;
-        machine.recorded = Recorded::Yes;
-        // It existed then, so the first lists may tell already that it is gone.
-        machine.known_since = now.checked_sub(age).unwrap_or(now);
+        let types = &self.cluster.machine_types;
+        let mut machine = Machine::from_record(name, record, types, age, now);
         // S6: the leader before us may have answered it until its fresh state ran out.
         machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
-        machine.enter(MachineState::Up);
         self.reconciliation.expect(name, now);
         self.cluster.machines.insert(name.to_owned(), machine);
     }
@@ -53,7 +42,7 @@
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
-                    || machine.messages.may_count_anew()
+                    || machine.messages.numbering_may_have_restarted()
                     || self.is_unreconciled(&machine.name))
         });
         asked
@@ -87,13 +76,14 @@
         verdict
     }
 
-    /// A worker that counts anew has lost all its tasks, and its numbers no longer tell old
-    /// heartbeats from new ones. So it is not trusted again: the machine is returned.
+    /// A worker that restarts its numbering has lost all its tasks, and its numbers no longer tell
+    /// old heartbeats from new ones. So it is not trusted again: the machine is returned.
     pub(super) fn return_restarted(&mut self, name: &str) {
-        self.return_at_once(name, "worker began anew; machine returned");
+        self.return_at_once(name, "worker restarted its numbering; machine returned");
     }
 
-    /// Returns a machine at once, with all that it may hold; the answered deletion settles that.
+    /// Returns a machine at once, with all that it may hold; the answered deletion shows that
+    /// nothing of it runs any more (S5b).
     fn return_at_once(&mut self, name: &str, reason: &'static str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
--- a/crates/core/src/scheduler/gone_machines.rs
+++ b/crates/core/src/scheduler/gone_machines.rs
@@ -4,11 +4,13 @@
 
 /// So many names are kept at the least, and several times as many as there are machines.
 const MIN_KEPT: usize = 20_000;
+/// See [`MIN_KEPT`].
 const KEPT_PER_MACHINE: usize = 8;
 
 /// Names of machines that are gone, kept so that late messages don't bring them back.
 #[derive(Debug, Default)]
 pub(super) struct GoneMachines {
+    /// For look-ups.
     names: HashSet<String>,
     /// The same names, the first to go at the front.
     by_age: VecDeque<String>,
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -41,6 +41,7 @@
         }
     }
 
+    /// A task failed: blames its job, and the machine unless the job fails everywhere.
     fn on_task_failure(&mut self, name: &str, id: &JobId, now: Instant) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let (Some(job), Some(machine)) = (jobs.get_mut(id), machines.get_mut(name)) else {
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -30,9 +30,11 @@
 struct Receipt {
     /// False for an answer to direct orders.
     own_heartbeat: bool,
+    /// The number of the message.
     number: MessageNumber,
     /// The time since the machine's message before, if that is no longer than usual.
     prompt_gap: Option<Duration>,
+    /// When it came.
     now: Instant,
 }
 
@@ -76,21 +78,9 @@
     /// The machine that a heartbeat is of; one that was not known is known from now on.
     fn machine_of(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> &mut Machine {
         let Cluster { machines, machine_types, .. } = &mut self.cluster;
-        machines.entry(heartbeat.machine.clone()).or_insert_with(|| {
-            tracing::debug!(
-                machine = %heartbeat.machine,
-                machine_type = %heartbeat.machine_type,
-                "new machine"
-            );
-            Machine::new(
-                heartbeat.machine.clone(),
-                heartbeat.machine_type.clone(),
-                heartbeat.zone.clone(),
-                heartbeat.spot,
-                machine_types,
-                now,
-            )
-        })
+        machines
+            .entry(heartbeat.machine.clone())
+            .or_insert_with(|| Machine::from_heartbeat(heartbeat, machine_types, now))
     }
 
     /// Takes a heartbeat of a fenced machine: it shows what the machine holds (S7).
@@ -122,7 +112,7 @@
             return;
         };
         let missing = machine.tasks.iter().filter(|(key, machine_task)| {
-            receipt.settles_absence_of(machine_task) && !reported.contains(key)
+            receipt.proves_absence_of(machine_task) && !reported.contains(key)
         });
         let (mut lost, mut start_lost) = (Vec::new(), false);
         for (key, machine_task) in missing {
@@ -162,7 +152,7 @@
 
 impl Receipt {
     /// Whether a task that this heartbeat lacks is surely not on the machine (S5a).
-    fn settles_absence_of(&self, machine_task: &MachineTask) -> bool {
+    fn proves_absence_of(&self, machine_task: &MachineTask) -> bool {
         match machine_task.state {
             MachineTaskState::Assigned => false,
             // A start travels only in the answer to a heartbeat, and the worker drops it after
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -58,6 +58,7 @@
     }
 }
 
+/// The ratio, or the bound that it is beyond.
 fn clamp(ratio: f64, bounds: &RangeInclusive<f64>) -> f64 {
     ratio.clamp(*bounds.start(), *bounds.end())
 }
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -5,12 +5,14 @@
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineTask, MachineTaskState, TaskAttempt};
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 /// What was known of a task before a heartbeat.
 #[derive(Clone, Copy)]
 pub(super) struct KnownTask {
+    /// What it was doing.
     pub(super) state: MachineTaskState,
+    /// Since when.
     pub(super) since: Instant,
 }
 
@@ -25,6 +27,7 @@
 }
 
 impl LiveTask {
+    /// What the attempt on that machine is to its job.
     fn of(job: &Job, machine: &str, key: &TaskAttempt) -> Self {
         let index = key.task.index;
         if !job.is_live() || job.state() == JobState::DeadLettered || job.finished().contains(index)
@@ -114,7 +117,7 @@
                     job.place(key.task.index, name, key.attempt);
                     machine.touch_image(&job.record.spec.image, job.record.spec.image_gb);
                 }
-                LiveTask::Unwanted => machine_task.stop = Some(Duration::ZERO),
+                LiveTask::Unwanted => machine_task.stop_at_once(),
             },
         }
         self.remove_if_closed(&key.task.job);
--- a/crates/core/src/scheduler/machine_events.rs
+++ b/crates/core/src/scheduler/machine_events.rs
@@ -9,6 +9,7 @@
 /// Events of one kind since the last log line of that kind.
 #[derive(Debug)]
 struct EventCount {
+    /// How many machines it happened to.
     machines: u32,
     /// The first machine that it happened to.
     first: String,
@@ -17,7 +18,9 @@
 /// What happened to machines and was not logged yet.
 #[derive(Debug, Default)]
 pub(super) struct MachineEventLog {
+    /// By kind of event.
     events: BTreeMap<&'static str, EventCount>,
+    /// When a line was written last.
     logged_at: Option<Instant>,
     /// Machines that take no orders, as logged last.
     unreachable: usize,
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -28,7 +28,7 @@
     /// The write of the machine's record was answered: it is `stored`, or the write failed.
     pub fn machine_recorded(&mut self, name: &str, stored: bool) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.recorded = if stored { Recorded::Yes } else { Recorded::No };
+            machine.finish_recording(stored);
         }
     }
 
@@ -105,6 +105,7 @@
         }
     }
 
+    /// Takes one entry of the cloud's list.
     fn take_listed_machine(&mut self, entry: &ListedMachine, now: Instant) {
         if self.gone.contains(&entry.name) {
             return;
@@ -117,19 +118,8 @@
             return;
         }
         let types = &self.cluster.machine_types;
-        let machine = self.cluster.machines.entry(entry.name.clone()).or_insert_with(|| {
-            let mut machine = Machine::new(
-                entry.name.clone(),
-                entry.machine_type.clone(),
-                entry.zone.clone(),
-                entry.spot,
-                types,
-                now,
-            );
-            let age = Duration::try_from_secs_f64(entry.age_s).unwrap_or_default();
-            machine.rented_at = now.checked_sub(age).unwrap_or(now);
-            machine
-        });
+        let listed = || Machine::from_listed(entry, types, now);
+        let machine = self.cluster.machines.entry(entry.name.clone()).or_insert_with(listed);
         if machine.addr.is_empty() {
             machine.addr.clone_from(&entry.addr);
         }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -41,20 +41,27 @@
 
 /// The scheduler of one leader: all claimed jobs, all machines, and the decisions.
 pub struct Scheduler {
+    /// The view of jobs and machines that all parts share.
     pub(crate) cluster: Cluster,
+    /// The term under which its orders travel.
     term: u64,
+    /// Machines that are gone.
     gone: GoneMachines,
-    /// Unfinished jobs that are not claimed yet: their tasks are let be.
+    /// Unfinished jobs that are not claimed yet: their tasks are neither stopped nor forgotten.
     unclaimed: BTreeSet<JobId>,
+    /// Machines that have not shown what they hold since the failover (S7).
     reconciliation: Reconciliation,
     /// What is to be done outside.
     pub(crate) actions: Vec<Action>,
+    /// Draws samples of machines.
     pub(crate) rng: SmallRng,
+    /// Rentals under way, and what was learned of earlier ones.
     pub(crate) scaling: ScalingState,
     /// When deletions were requested again last.
     last_delete: Option<Instant>,
     /// Placement passes so far.
     pub(crate) passes: u64,
+    /// What happened to machines and was not logged yet.
     machine_events: MachineEventLog,
     /// Machines and tasks looked at in placement passes.
     pub(crate) steps: Cell<u64>,
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -82,7 +82,7 @@
             orders.push(Order::Forget { task: key.task.clone(), attempt: key.attempt });
         } else if job.is_none() && machine_task.takes_room() {
             // S11: nobody's task, so cancelled, done or lost.
-            machine_task.stop = Some(Duration::ZERO);
+            machine_task.stop_at_once();
         }
     }
     orders
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -54,6 +54,7 @@
         overview
     }
 
+    /// Counts jobs and their tasks.
     fn count_jobs(&self, overview: &mut Overview, now: Instant) {
         for (id, job) in &self.cluster.jobs {
             overview.waiting_tasks += u64::from(job.waiting());
--- a/crates/core/src/scheduler/reconciliation.rs
+++ b/crates/core/src/scheduler/reconciliation.rs
@@ -10,6 +10,7 @@
 /// Machines recorded by earlier leaders whose tasks are not known yet (S7).
 #[derive(Debug, Default)]
 pub(super) struct Reconciliation {
+    /// Their names.
     machines: BTreeSet<String>,
     /// Since when there are any.
     since: Option<Instant>,
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Ends back-offs that are over, and begins those of jobs that failed wherever they may run.
     fn tick_jobs(&mut self, now: Instant) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         for job in jobs.values_mut() {
@@ -61,12 +62,13 @@
             }
             job.update_unplaced_since(now);
             // A job that failed on every machine there is would otherwise wait for ever.
-            if job.failures.include_any() && !machines.values().any(|m| is_untried(m, job)) {
+            if job.has_failed() && !machines.values().any(|m| is_untried(m, job)) {
                 job.back_off(now);
             }
         }
     }
 
+    /// Counts each job's running tasks.
     fn count_running_tasks(&mut self) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
@@ -80,6 +82,7 @@
         }
     }
 
+    /// Writes log lines of what happened to machines, from time to time.
     fn write_machine_events(&mut self, now: Instant) {
         if !self.machine_events.is_due(now) {
             return;
@@ -94,5 +97,5 @@
 fn is_untried(machine: &Machine, job: &Job) -> bool {
     machine.state() == MachineState::Up
         && machine.allows(job.spec())
-        && !job.failures.include(&machine.name)
+        && !job.has_failed_on(&machine.name)
 }
