--- a/crates/core/src/job/attempt.rs
+++ b/crates/core/src/job/attempt.rs
@@ -17,7 +17,7 @@
     }
 
     /// The generation of the claim that the attempt was made under.
-    pub(crate) fn generation(self) -> u64 {
+    pub fn generation(self) -> u64 {
         self.0 >> COUNT_BITS
     }
 
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -6,10 +6,12 @@
 mod run_times;
 mod start_queue;
 mod state;
+#[cfg(test)]
+mod tests;
 
+pub use attempt::AttemptNumber;
 pub use state::JobState;
 
-pub(crate) use attempt::AttemptNumber;
 pub(crate) use completion::CommitUrgency;
 pub(crate) use failures::JobFailures;
 pub(crate) use run_times::RunTimes;
--- /dev/null
+++ b/crates/core/src/job/tests.rs
@@ -0,0 +1,105 @@
+//! Attempt numbers, the order of starts, back-off and refunds of a job.
+
+use super::{AttemptNumber, CommitUrgency, Job, JobState};
+use corkfield_wire::records::JobRecord;
+use corkfield_wire::{JobSpec, TaskSet};
+use std::time::{Duration, Instant};
+
+fn record(tasks: u32) -> JobRecord {
+    let text = format!(
+        "{{\"name_id\":\"j-000001\",\"pool\":\"c\",\"owner\":\"t\",\"shape\":\"sweep\",\"rank\":\"normal\",\"pieces\":{tasks},\
+         \"vcpus\":1.0,\"accelerators\":0.0,\"mem_gb\":1.0,\"bundle\":\"i\",\"image_gb\":0.5,\"same_place\":false,\
+         \"apart\":false,\"loaners\":true,\"guess_s\":5.0,\"snapshot_s\":0.0,\"flush_s\":0.0}}"
+    );
+    let spec = JobSpec::parse(text.as_bytes()).expect("a valid submission");
+    let mut record = JobRecord::new(spec, 0);
+    record.claim("owner".into());
+    record
+}
+
+fn claimed(record: JobRecord, now: Instant) -> Job {
+    Job::new(record, TaskSet::default(), 1, 0, Duration::ZERO, now)
+}
+
+#[test]
+fn an_attempt_number_carries_its_generation() {
+    let attempt = AttemptNumber::new(7, 3);
+    assert_eq!(attempt.get(), (7 << 24) | 3);
+    assert_eq!(AttemptNumber::from(attempt.get()).generation(), 7);
+}
+
+#[test]
+fn attempts_of_a_later_claim_are_higher() {
+    let now = Instant::now();
+    let mut job = claimed(record(4), now);
+    let first = job.next_attempt();
+    let second = job.next_attempt();
+    let mut again = job.record.clone();
+    again.claim("owner".into());
+    job.reclaimed(again, 2, now);
+    assert!(first < second && second < job.next_attempt());
+}
+
+#[test]
+fn a_task_that_came_off_its_machine_is_started_before_new_ones() {
+    let mut job = claimed(record(4), Instant::now());
+    let first = job.take_waiting(false).expect("a waiting task");
+    job.place(first, "host-1", 1);
+    assert_eq!(job.startable(false), 3);
+    job.release(first, "host-1", 2);
+    assert_eq!(job.startable(false), 3, "another attempt says nothing about this one");
+    job.release(first, "host-1", 1);
+    assert_eq!(job.startable(false), 4);
+    assert_eq!(job.take_waiting(false), Some(first));
+}
+
+#[test]
+fn only_tasks_from_the_start_watermark_on_were_never_started() {
+    let mut record = record(6);
+    record.previous_start_watermark = 4;
+    let mut job = claimed(record, Instant::now());
+    assert_eq!(job.startable(true), 2);
+    assert_eq!(job.take_waiting(true), Some(4));
+    assert_eq!(job.take_waiting(false), Some(0));
+}
+
+#[test]
+fn the_start_watermark_is_raised_before_first_starts_run_out() {
+    let now = Instant::now();
+    let mut job = claimed(record(1000), now);
+    let watermark = job.record.start_watermark;
+    for index in 0..watermark - watermark / 4 {
+        assert_eq!(job.commit_due(now), None, "at {index}");
+        assert_eq!(job.take_waiting(false), Some(index));
+    }
+    assert_eq!(job.commit_due(now), Some(CommitUrgency::Awaited));
+    assert!(job.take_watermark_raise());
+    assert!(!job.take_watermark_raise());
+}
+
+#[test]
+fn a_closing_job_never_leaves_that_state() {
+    let now = Instant::now();
+    let mut job = claimed(record(1), now);
+    job.back_off(now);
+    assert!(matches!(job.state(), JobState::BackingOff(until) if until > now));
+    job.enter(JobState::NeedsReclaim);
+    job.reclaimed(record(1), 2, now);
+    assert_eq!(job.state(), JobState::Active);
+    job.enter(JobState::Closing);
+    job.enter(JobState::Active);
+    assert_eq!(job.state(), JobState::Closing);
+}
+
+#[test]
+fn a_claim_is_refunded_once_and_only_without_failures() {
+    let now = Instant::now();
+    let later = now + Duration::from_secs(11);
+    let mut job = claimed(record(1), now);
+    assert!(!job.take_refund(now));
+    job.failures.add("host-1");
+    assert!(!job.take_refund(later));
+    let mut job = claimed(record(1), now);
+    assert!(job.take_refund(later));
+    assert!(!job.take_refund(later));
+}
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -8,6 +8,8 @@
 mod resources;
 mod state;
 mod tasks;
+#[cfg(test)]
+mod tests;
 
 pub use reachability::Reachability;
 pub use resources::Need;
