--- a/crates/core/src/job/completion.rs
+++ b/crates/core/src/job/completion.rs
@@ -1,4 +1,4 @@
-//! Which tasks of a job are finished, which of them are stored, and when a write is due.
+//! Which tasks of a job are finished, and which of them are stored.
 
 use corkfield_wire::records::CHUNK_TASKS;
 use corkfield_wire::TaskSet;
@@ -8,15 +8,6 @@
 /// Between two writes of a job for which nobody waits.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How soon a write of a job is wanted; the more urgent compares less.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum CommitUrgency {
-    /// Somebody waits for it: its user, or tasks that may start only once the record says so.
-    Awaited,
-    /// Mere progress.
-    Progress,
-}
-
 /// Finished tasks of a job, and the writes that store them (S9).
 #[derive(Debug)]
 pub(super) struct Completion {
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -1,6 +1,7 @@
 //! A claimed job: which of its tasks wait, are placed, are finished, are stored.
 
 mod attempt;
+mod commit;
 mod completion;
 mod failures;
 mod run_times;
@@ -12,7 +13,7 @@
 pub use attempt::AttemptNumber;
 pub use state::JobState;
 
-pub(crate) use completion::CommitUrgency;
+pub(crate) use commit::CommitUrgency;
 pub(crate) use failures::JobFailures;
 pub(crate) use run_times::RunTimes;
 
@@ -21,11 +22,9 @@
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::{JobSpec, Priority, TaskSet};
 use start_queue::{StartQueue, StartView};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A claim held this long without a failure is refunded (S12).
-const HEALTHY_CLAIM: Duration = Duration::from_secs(10);
 /// The highest count of claims that still doubles the time of a back-off.
 const MAX_BACK_OFF_CLAIMS: u32 = 6;
 /// The shortest run time that is expected, in seconds, where only estimates are known.
@@ -282,74 +281,6 @@
         is_new
     }
 
-    /// Whether something of it is to be stored, and how soon. Mere progress is stored less often
-    /// than what somebody waits for.
-    pub(crate) fn commit_due(&self, now: Instant) -> Option<CommitUrgency> {
-        if self.completion.is_committing() || !self.is_live() {
-            return None;
-        }
-        let unstored = !self.unstored().is_empty();
-        let shown_status_changes = (self.running > 0) != (self.record.running > 0);
-        let completes = unstored && self.finished().len() >= self.spec().tasks;
-        if self.start_queue.is_watermark_raise_due() || shown_status_changes || completes {
-            return Some(CommitUrgency::Awaited);
-        }
-        let progress = unstored || self.is_refund_due(now);
-        (progress && !self.completion.was_committed_recently(now))
-            .then_some(CommitUrgency::Progress)
-    }
-
-    /// When the newest write of it was begun.
-    pub(crate) fn last_commit_at(&self) -> Option<Instant> {
-        self.completion.last_commit_at()
-    }
-
-    /// A write of it is under way.
-    pub(crate) fn begin_commit(&mut self, now: Instant) {
-        self.completion.begin_commit(now);
-    }
-
-    /// The write of it was answered, or failed.
-    pub(crate) fn end_commit(&mut self) {
-        self.completion.end_commit();
-    }
-
-    /// A claim that harmed nobody for a while didn't end because of the job (S12).
-    fn is_refund_due(&self, now: Instant) -> bool {
-        self.record.claims > 0
-            && !self.refunded
-            && self.failures.is_empty()
-            && now.saturating_duration_since(self.claimed_at) > HEALTHY_CLAIM
-    }
-
-    /// Whether the record that is about to be written has to count a claim less (S12); true once
-    /// for each claim.
-    pub(crate) fn take_refund(&mut self, now: Instant) -> bool {
-        let due = self.is_refund_due(now);
-        self.refunded |= due;
-        due
-    }
-
-    /// Tasks reported as done but not yet stored.
-    pub(crate) fn unstored(&self) -> &BTreeSet<u32> {
-        self.completion.unstored()
-    }
-
-    /// These finished tasks were stored.
-    pub(crate) fn note_stored(&mut self, tasks: &[u32]) {
-        self.completion.note_stored(tasks);
-    }
-
-    /// Finished tasks found in the store (after a write whose answer was lost, say).
-    pub(crate) fn found_stored(&mut self, stored: &TaskSet) {
-        self.completion.found_stored(stored);
-    }
-
-    /// Finished numbers of a chunk.
-    pub(crate) fn chunk(&self, chunk: u32) -> TaskSet {
-        self.completion.chunk(chunk)
-    }
-
     /// The job failed wherever it was tried: it waits, the longer the more often it was claimed.
     pub(crate) fn back_off(&mut self, now: Instant) {
         if self.may_start() {
--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -16,7 +16,7 @@
 /// | any             | cancelled, done, or claimed by another                  | `Closing`      |
 ///
 /// `Closing` is final: the job is forgotten once none of its tasks is on a machine. Every change
-/// goes through [`super::Job::enter`].
+/// goes through `Job::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
     /// Its tasks may be started.
--- a/crates/core/src/machine/reachability.rs
+++ b/crates/core/src/machine/reachability.rs
@@ -9,7 +9,7 @@
 /// |---------------------------|----------------------------------------------|---------------|
 /// | any                       | a start was taken, or direct orders answered | `Reachable`   |
 /// | `Reachable`               | a heartbeat without the starts sent before   | `Doubtful(1)` |
-/// | `Doubtful`                | the same again, [`UNREACHABLE_AFTER`] in all | `Unreachable` |
+/// | `Doubtful`                | the same again, two in a row in all          | `Unreachable` |
 /// | `Unreachable`             | the same again                               | `Unreachable` |
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -11,7 +11,7 @@
 /// | any                   | its worker lost its state, or is silent at a failover   | `Deleting` |
 ///
 /// `Deleting` is final: the machine is forgotten once its deletion was answered or a list of the
-/// cloud shows that it is gone. Every change goes through [`super::Machine::enter`].
+/// cloud shows that it is gone. Every change goes through `Machine::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
     /// Rented; its worker has sent no heartbeat yet.
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -23,7 +23,7 @@
 /// A task is removed once it is surely not on the machine (S5): a later heartbeat lacks it, the
 /// machine is gone, or the worker's lease has expired. An `Assigned` one is removed when its
 /// machine takes no more starts or its job is stopped. Every change goes through
-/// [`MachineTask::enter`].
+/// `MachineTask::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineTaskState {
     /// Chosen, but no order has left yet.
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -118,10 +118,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.end_commit();
-        job.note_stored(tasks);
-        job.version = version;
-        job.record = record.clone();
+        job.commit_succeeded(record, tasks, version);
         if *finishes {
             tracing::debug!(job = %id, tasks = record.done, "job done");
             self.close_job(id);
@@ -137,11 +134,9 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.end_commit();
+        job.commit_failed();
         if let Some((record, finished, version)) = found {
-            job.found_stored(&finished);
-            job.record = record;
-            job.version = version;
+            job.found_record(record, &finished, version);
         }
     }
 }
