--- a/crates/core/src/job/completion.rs
+++ b/crates/core/src/job/completion.rs
@@ -1,4 +1,4 @@
-//! Which tasks of a job are finished, which of them are stored, and when a write is due.
+//! Which tasks of a job are finished, and which of them are stored.
 
 use corkfield_wire::records::CHUNK_TASKS;
 use corkfield_wire::TaskSet;
@@ -8,15 +8,6 @@
 /// Between two writes of a job for which nobody waits.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How soon a write of a job is wanted; the more urgent compares less.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum CommitUrgency {
-    /// Somebody waits for it: its user, or tasks that may start only once the record says so.
-    Awaited,
-    /// Mere progress.
-    Progress,
-}
-
 /// Finished tasks of a job, and the writes that store them (S9).
 #[derive(Debug)]
 pub(super) struct Completion {
@@ -36,10 +27,12 @@
         Self { finished, unstored: BTreeSet::new(), committing: false, last_commit_at: None }
     }
 
+    /// Tasks reported as done, stored or not.
     pub(super) fn finished(&self) -> &TaskSet {
         &self.finished
     }
 
+    /// Tasks reported as done but not yet stored.
     pub(super) fn unstored(&self) -> &BTreeSet<u32> {
         &self.unstored
     }
@@ -76,7 +69,7 @@
         self.finished.extend(stored);
     }
 
-    /// A write is under way.
+    /// Whether a write is under way.
     pub(super) fn is_committing(&self) -> bool {
         self.committing
     }
@@ -92,11 +85,13 @@
         self.last_commit_at.is_some_and(recently)
     }
 
+    /// A write is under way from now on.
     pub(super) fn begin_commit(&mut self, now: Instant) {
         self.committing = true;
         self.last_commit_at = Some(now);
     }
 
+    /// The write was answered, or failed.
     pub(super) fn end_commit(&mut self) {
         self.committing = false;
     }
--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -16,14 +16,14 @@
 /// | any             | cancelled, done, or claimed by another                  | `Closing`      |
 ///
 /// `Closing` is final: the job is forgotten once none of its tasks is on a machine. Every change
-/// goes through [`super::Job::enter`].
+/// goes through `Job::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
     /// Its tasks may be started.
     Active,
     /// It failed on several machines: nothing is started before the time given.
     BackingOff(Instant),
-    /// It waited long enough and has to be claimed anew, which counts (S12).
+    /// It waited long enough and has to be claimed once more, which counts as a claim (S12).
     NeedsReclaim,
     /// It reached the claim limit; its tasks are stopped.
     DeadLettered,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,8 @@
-//! Scheduling, without I/O: jobs, tasks, machines, teams, placement and renting as state
+//! Scheduling, without I/O: jobs, tasks, machines, teams, placement and scaling as state
 //! machines. Time is passed in; what should happen outside comes out as [`Action`]s.
+//!
+//! Architecture invariant: this crate opens no connection, reads no clock and starts no thread.
+//! The same calls with the same times and seed give the same answers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,7 +17,7 @@
 mod team;
 
 pub use config::Config;
-pub use job::{Job, JobState, Placed};
+pub use job::{AttemptNumber, Job, JobState, Placed};
 pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
 pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
 pub use team::{fits_some_type, Unschedulable};
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -221,7 +221,7 @@
     (spec.spot || !machine.spot)
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
         && (spec.types.is_none() || machines[&machine.name].allows(spec))
-        && !job.failures.include(&machine.name)
+        && !job.has_failed_on(&machine.name)
 }
 
 /// How many tasks of that need, which takes CPUs, have room, as a whole number.
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -34,6 +34,7 @@
 struct StorableTasks {
     /// Finished numbers of the chunks that these tasks are in.
     chunks: BTreeMap<u32, TaskSet>,
+    /// Numbers of the tasks.
     tasks: Vec<u32>,
 }
 
@@ -76,6 +77,7 @@
         due.into_iter().map(|(_, _, job)| Self::completion_commit(job, now)).collect()
     }
 
+    /// The write of what of a job is to be stored now.
     fn completion_commit(job: &mut Job, now: Instant) -> CompletionCommit {
         let mut record = job.record.clone();
         let storable = if record.is_chunked() {
@@ -116,10 +118,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.end_commit();
-        job.note_stored(tasks);
-        job.version = version;
-        job.record = record.clone();
+        job.commit_succeeded(record, tasks, version);
         if *finishes {
             tracing::debug!(job = %id, tasks = record.done, "job done");
             self.close_job(id);
@@ -135,11 +134,9 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.end_commit();
+        job.commit_failed();
         if let Some((record, finished, version)) = found {
-            job.found_stored(&finished);
-            job.record = record;
-            job.version = version;
+            job.found_record(record, &finished, version);
         }
     }
 }
