--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -1,65 +1,45 @@
 //! Requests to the state service.
 
-use crate::budget::{RateLimiter, RequestClass};
-use corkfield_http::{Client, ClientError, Network, ReadError, Reply};
+use crate::error::StateError;
+use crate::rate_limiter::{RateLimiter, RequestClass};
+use corkfield_http::{Client, ConnectionSizing, MalformedReply, Network, Reply};
 use corkfield_wire::store::{
     Events, Failed, Grant, GrantRequest, Item, Page, Revision, Transaction, PATH_KEYS, PATH_LEASES,
     PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
-use serde::de::DeserializeOwned;
+use serde::Serialize;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Connections, for all requests of the limits while answers take a good part of a second.
-const CONNECTION_S: f64 = 0.3;
-const LEAST_CONNECTIONS: usize = 96;
-const MOST_CONNECTIONS: usize = 1024;
-const PAGE: u32 = 1000;
-
-/// Why a request to the state service did not succeed.
-#[derive(Debug, thiserror::Error)]
-pub enum StateError {
-    /// These keys have other versions than the transaction requires.
-    #[error("conditions failed: {0:?}")]
-    Conflict(Vec<String>),
-    /// The lease has ended.
-    #[error("no such lease")]
-    NoSuchLease,
-    /// The changes after that revision are no longer kept, or are too many for one answer: the
-    /// keys have to be read anew.
-    #[error("revision is too old to watch from")]
-    TooOld,
-    /// The request was surely not executed.
-    #[error("refused with status {0}")]
-    Refused(u16),
-    /// The request may have been executed, or may be executed later on.
-    #[error("no answer: {0}")]
-    NoAnswer(#[from] ClientError),
-    /// The answer can't be read.
-    #[error("nonsense from the state service: {0}")]
-    MalformedAnswer(String),
-}
+const CONNECTIONS: ConnectionSizing = ConnectionSizing { request_s: 0.3, least: 96, most: 1024 };
+/// Keys that one page of a list holds at most.
+const PAGE_KEYS: u32 = 1000;
+/// An answer that takes longer is given up.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// This controller's part of the limits until it is told another.
+const INITIAL_BUDGET: RateBudget = RateBudget { requests: 0.2, writes: 0.2, burst_s: 2.5 };
 
 /// The parts of the service's limits that this controller may use.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBudget {
-    /// Part of the requests a second.
+    /// Part of the requests a second, 0 to 1.
     pub requests: f64,
-    /// Part of the changes a second.
+    /// Part of the changes a second, 0 to 1.
     pub writes: f64,
     /// Seconds' worth of changes that may come at once.
     pub burst_s: f64,
 }
 
-/// Speaks to the state service, within a share of its limits.
+/// Speaks to the state service, within a part of its limits.
 pub struct StateClient {
     http: Client,
     requests: RateLimiter,
     writes: RateLimiter,
+    /// The service's limits for all controllers together, a second.
     rps: f64,
     write_rps: f64,
-    timeout: Duration,
 }
 
 impl StateClient {
@@ -72,77 +52,71 @@
         write_rps: f64,
         max_answer: usize,
     ) -> Self {
-        let connections = (rps * CONNECTION_S) as usize;
-        let connections = connections.clamp(LEAST_CONNECTIONS, MOST_CONNECTIONS);
         let client = Self {
-            http: Client::new(network, addr, connections, max_answer),
+            http: Client::new(network, addr, CONNECTIONS.for_rate(rps), max_answer),
             requests: RateLimiter::new(rps, rps),
             writes: RateLimiter::new(write_rps, write_rps / 2.0),
             rps,
             write_rps,
-            timeout: Duration::from_millis(1500),
         };
-        client.set_budget(RateBudget { requests: 0.2, writes: 0.2, burst_s: 2.5 });
+        client.set_budget(INITIAL_BUDGET);
         client
     }
 
-    /// Sets this controller's share of the limits.
-    pub fn set_budget(&self, share: RateBudget) {
-        let (requests, writes) = (self.rps * share.requests, self.write_rps * share.writes);
+    /// Sets this controller's part of the limits.
+    pub fn set_budget(&self, budget: RateBudget) {
+        let requests = self.rps * budget.requests;
+        let writes = self.write_rps * budget.writes;
         self.requests.set_rate(requests, requests);
-        self.writes.set_rate(writes, writes * share.burst_s);
-    }
-
-    async fn send(
-        &self,
-        class: RequestClass,
-        method: &str,
-        target: &str,
-        body: &[u8],
-        limit: Duration,
-    ) -> Result<Reply, StateError> {
-        self.requests.take(class, 1.0).await;
-        let reply = self.http.request(method, target, body, limit).await?;
-        match reply.status {
-            429 | 500..=599 => Err(StateError::Refused(reply.status)),
-            _ => Ok(reply),
-        }
+        self.writes.set_rate(writes, writes * budget.burst_s);
     }
 
     /// Reads one key; `None` if it doesn't exist.
+    ///
+    /// # Errors
+    ///
+    /// If the request is refused, has no answer or a malformed one.
     pub async fn get(&self, class: RequestClass, key: &str) -> Result<Option<Item>, StateError> {
         let target = format!("{PATH_KEYS}/{key}");
-        let reply = self.send(class, "GET", &target, b"", self.timeout).await?;
+        let reply = self.read(class, &target, ANSWER_TIMEOUT).await?;
         match reply.status {
             404 => Ok(None),
-            _ => read(&reply).map(Some),
+            _ => Ok(Some(reply.success()?)),
         }
     }
 
     /// All keys with a prefix, and the revision that the first page was read at. Changes after
     /// that revision may or may not be contained: follow them with [`Self::changes`].
+    ///
+    /// # Errors
+    ///
+    /// If the request for any page is refused, has no answer or a malformed one.
     pub async fn list(
         &self,
         class: RequestClass,
         prefix: &str,
     ) -> Result<(Vec<Item>, u64), StateError> {
         let mut items: Vec<Item> = Vec::new();
-        let mut revision = None;
+        let mut first_revision = None;
         loop {
-            let after = items.last().map(|i| format!("&after={}", i.key)).unwrap_or_default();
-            let target = format!("{PATH_KEYS}?prefix={prefix}{after}&limit={PAGE}");
-            let reply = self.send(class, "GET", &target, b"", self.timeout).await?;
-            let page: Page = read(&reply)?;
-            let first = *revision.get_or_insert(page.revision);
-            let empty = page.items.is_empty();
+            let after = items.last().map(|item| format!("&after={}", item.key)).unwrap_or_default();
+            let target = format!("{PATH_KEYS}?prefix={prefix}{after}&limit={PAGE_KEYS}");
+            let page: Page = self.read(class, &target, ANSWER_TIMEOUT).await?.success()?;
+            let revision = *first_revision.get_or_insert(page.revision);
+            let is_empty = page.items.is_empty();
             items.extend(page.items);
-            if !page.more || empty {
-                return Ok((items, first));
+            if !page.more || is_empty {
+                return Ok((items, revision));
             }
         }
     }
 
     /// Carries out a conditional transaction, and gives its revision.
+    ///
+    /// # Errors
+    ///
+    /// [`StateError::Conflict`] and [`StateError::NoSuchLease`] say that it was not carried out;
+    /// after [`StateError::NoAnswer`] it may have been, or may be later on (S10).
     pub async fn transaction(
         &self,
         class: RequestClass,
@@ -152,37 +126,49 @@
         if writes > 0.0 {
             self.writes.take(class, writes).await;
         }
-        let body = serde_json::to_vec(transaction)
-            .map_err(|e| StateError::MalformedAnswer(e.to_string()))?;
-        let reply = self.send(class, "POST", PATH_TXN, &body, self.timeout).await?;
+        let body = encode(transaction)?;
+        let reply = self.send(class, PATH_TXN, &body, ANSWER_TIMEOUT).await?;
         match reply.status {
-            409 => Err(StateError::Conflict(read_any::<Failed>(&reply)?.failed)),
-            400 if contains(&reply.body, b"no such lease") => Err(StateError::NoSuchLease),
-            _ => read::<Revision>(&reply).map(|r| r.revision),
+            409 => Err(StateError::Conflict(reply.json::<Failed>()?.failed)),
+            400 if reply.body_contains("no such lease") => Err(StateError::NoSuchLease),
+            _ => Ok(reply.success::<Revision>()?.revision),
         }
     }
 
-    /// Takes a lease.
+    /// Takes a lease, and gives its number.
+    ///
+    /// # Errors
+    ///
+    /// If the request is refused, has no answer or a malformed one.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StateError> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let body = serde_json::to_vec(&GrantRequest { ttl_ms }).unwrap_or_default();
-        let reply =
-            self.send(RequestClass::Lease, "POST", PATH_LEASES, &body, self.timeout).await?;
-        read::<Grant>(&reply).map(|g| g.lease)
+        let body = encode(&GrantRequest { ttl_ms })?;
+        let reply = self.send(RequestClass::Lease, PATH_LEASES, &body, ANSWER_TIMEOUT).await?;
+        Ok(reply.success::<Grant>()?.lease)
     }
 
     /// Renews a lease; waits for the answer for at most `limit`.
+    ///
+    /// # Errors
+    ///
+    /// [`StateError::NoSuchLease`] if it has ended; otherwise if the request is refused, has no
+    /// answer or an unexpected one.
     pub async fn renew(&self, lease: u64, limit: Duration) -> Result<(), StateError> {
         let target = format!("{PATH_LEASES}/{lease}/{PATH_RENEW}");
-        let reply = self.send(RequestClass::Lease, "POST", &target, b"", limit).await?;
+        let reply = self.send(RequestClass::Lease, &target, b"", limit).await?;
         match reply.status {
             200 => Ok(()),
             404 => Err(StateError::NoSuchLease),
-            status => Err(StateError::MalformedAnswer(format!("status {status}"))),
+            status => Err(MalformedReply::Status(status).into()),
         }
     }
 
     /// Changes after a revision; waits up to `wait` for the first.
+    ///
+    /// # Errors
+    ///
+    /// [`StateError::TooOld`] if the keys have to be read anew; otherwise if the request is
+    /// refused, has no answer or a malformed one.
     pub async fn changes(
         &self,
         class: RequestClass,
@@ -192,36 +178,55 @@
     ) -> Result<Events, StateError> {
         let wait_ms = wait.as_millis();
         let target = format!("{PATH_WATCH}?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let limit = wait + self.timeout;
-        let reply = match self.send(class, "GET", &target, b"", limit).await {
-            Err(error) if too_large(&error) => return Err(StateError::TooOld),
+        let reply = match self.read(class, &target, wait + ANSWER_TIMEOUT).await {
+            Err(error) if error.is_too_large() => return Err(StateError::TooOld),
             reply => reply?,
         };
         match reply.status {
             410 => Err(StateError::TooOld),
-            _ => read(&reply),
+            _ => Ok(reply.success()?),
         }
     }
-}
 
-/// An answer that is too large to be taken: the keys have to be read page by page.
-fn too_large(error: &StateError) -> bool {
-    matches!(error, StateError::NoAnswer(ClientError::Read(ReadError::BodyTooLarge)))
-}
+    async fn read(
+        &self,
+        class: RequestClass,
+        target: &str,
+        limit: Duration,
+    ) -> Result<Reply, StateError> {
+        self.request(class, "GET", target, b"", limit).await
+    }
 
-fn contains(body: &[u8], part: &[u8]) -> bool {
-    body.windows(part.len()).any(|w| w == part)
-}
+    async fn send(
+        &self,
+        class: RequestClass,
+        target: &str,
+        body: &[u8],
+        limit: Duration,
+    ) -> Result<Reply, StateError> {
+        self.request(class, "POST", target, body, limit).await
+    }
 
-fn read<T: DeserializeOwned>(reply: &Reply) -> Result<T, StateError> {
-    if reply.status != 200 {
-        return Err(StateError::MalformedAnswer(format!("status {}", reply.status)));
+    /// Waits for the budget, then makes the request.
+    async fn request(
+        &self,
+        class: RequestClass,
+        method: &str,
+        target: &str,
+        body: &[u8],
+        limit: Duration,
+    ) -> Result<Reply, StateError> {
+        self.requests.take(class, 1.0).await;
+        let reply = self.http.request(method, target, body, limit).await?;
+        if reply.is_refusal() {
+            return Err(StateError::Refused(reply.status));
+        }
+        Ok(reply)
     }
-    read_any(reply)
 }
 
-fn read_any<T: DeserializeOwned>(reply: &Reply) -> Result<T, StateError> {
-    serde_json::from_slice(&reply.body).map_err(|e| StateError::MalformedAnswer(e.to_string()))
+fn encode(body: &impl Serialize) -> Result<Vec<u8>, StateError> {
+    serde_json::to_vec(body).map_err(StateError::MalformedRequest)
 }
 
 #[cfg(test)]
--- a/crates/state/src/budget/tests.rs
+++ b/crates/state/src/rate_limiter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the budget module.
+//! Tests of the rate limiter.
 
 use super::*;
 use std::future::Future;
@@ -6,39 +6,39 @@
 
 #[tokio::test(start_paused = true)]
 async fn housekeeping_leaves_room_for_renewals() {
-    let budget = RateLimiter::new(10.0, 10.0);
+    let limiter = RateLimiter::new(10.0, 10.0);
     let mut taken = 0;
-    while budget.try_take(RequestClass::Housekeeping, 1.0).is_none() {
+    while limiter.try_take(RequestClass::Housekeeping, 1.0).is_ok() {
         taken += 1;
     }
     assert_eq!(taken, 5);
-    assert!(budget.try_take(RequestClass::Lease, 1.0).is_none());
+    assert!(limiter.try_take(RequestClass::Lease, 1.0).is_ok());
     let start = Instant::now();
-    budget.take(RequestClass::Completion, 2.0).await;
+    limiter.take(RequestClass::Completion, 2.0).await;
     assert!(start.elapsed() > Duration::from_millis(50));
 }
 
 #[tokio::test(start_paused = true)]
 async fn many_submissions_at_once_find_the_burst_that_nobody_used() {
-    let budget = RateLimiter::new(12.0, 12.0 * 5.0);
+    let limiter = RateLimiter::new(12.0, 12.0 * 5.0);
     let start = Instant::now();
     for _ in 0..50 {
-        budget.take(RequestClass::Submission, 1.0).await;
+        limiter.take(RequestClass::Submission, 1.0).await;
     }
     assert!(start.elapsed() < Duration::from_millis(10));
-    budget.take(RequestClass::Submission, 10.0).await;
+    limiter.take(RequestClass::Submission, 10.0).await;
     assert!(start.elapsed() > Duration::from_millis(100), "but no more than that");
 }
 
 #[tokio::test(start_paused = true)]
 async fn hundreds_that_wait_are_served_in_order_of_use_and_arrival_and_wake_once_each() {
-    let budget = RateLimiter::new(100.0, 1.0);
+    let limiter = RateLimiter::new(100.0, 1.0);
     let served = RefCell::new(Vec::new());
     let waits = (0..300).map(|n| {
-        let (budget, served) = (&budget, &served);
+        let (limiter, served) = (&limiter, &served);
         let class = if n % 3 == 0 { RequestClass::Claim } else { RequestClass::Completion };
         async move {
-            budget.take(class, 1.0).await;
+            limiter.take(class, 1.0).await;
             served.borrow_mut().push((class, n));
         }
     });
@@ -46,7 +46,7 @@
     // One that gives up leaves its place to the next.
     let mut polls = 0_u32;
     let started = Instant::now();
-    let mut given_up = Some(Box::pin(budget.take(RequestClass::Lease, 1.0)));
+    let mut given_up = Some(Box::pin(limiter.take(RequestClass::Lease, 1.0)));
     std::future::poll_fn(|context| {
         polls += 1;
         if let Some(first) = &mut given_up {
