--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -42,12 +42,12 @@
         H: Fn(Request) -> F,
         F: Future<Output = Response>,
     {
-        let mut idle_limit = self.slot.limits().first;
-        while self.wait_for_bytes(idle_limit).await? {
+        let mut idle_timeout = self.slot.limits().first_request_timeout;
+        while self.wait_for_bytes(idle_timeout).await? {
             let Some(answer) = self.next_answer(handler).await else {
                 return Ok(());
             };
-            idle_limit = self.slot.idle_limit();
+            idle_timeout = self.slot.idle_timeout();
             if !self.write(&answer).await? {
                 return Ok(());
             }
@@ -80,8 +80,8 @@
         F: Future<Output = Response>,
     {
         let limits = self.slot.limits();
-        let reading = read_request(&mut self.stream, &mut self.buffer, limits.body);
-        match timeout(limits.request, reading).await {
+        let reading = read_request(&mut self.stream, &mut self.buffer, limits.max_body);
+        match timeout(limits.request_timeout, reading).await {
             Ok(Ok(ReceivedRequest { request, close })) => {
                 if !self.slot.admits(&request) {
                     return Some(too_many_connections());
@@ -98,7 +98,7 @@
     /// Sends the answer; false if the client didn't take it in time.
     async fn write(&mut self, answer: &Answer) -> Result<bool, ReadError> {
         let bytes = answer.response.encode(answer.close);
-        match timeout(self.slot.limits().write, self.stream.write_all(&bytes)).await {
+        match timeout(self.slot.limits().write_timeout, self.stream.write_all(&bytes)).await {
             Ok(written) => Ok(written.map(|()| true)?),
             Err(_) => Ok(false),
         }
--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -74,11 +74,11 @@
     }
 
     /// How long the connection may wait for its next request.
-    pub fn idle_limit(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         if self.is_other && self.connections.are_crowded() {
-            self.limits().crowded
+            self.limits().crowded_idle_timeout
         } else {
-            self.limits().idle
+            self.limits().idle_timeout
         }
     }
 }
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -15,17 +15,17 @@
     /// The path for whose clients the rest is kept.
     pub kept_for: &'static str,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body: usize,
     /// A connection on which nothing was asked yet is closed after this time.
-    pub first: Duration,
+    pub first_request_timeout: Duration,
     /// A connection without a further request is closed after this time.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The same once most of [`Self::others`] are taken: idle ones must not keep new clients out.
-    pub crowded: Duration,
+    pub crowded_idle_timeout: Duration,
     /// A request that has begun must be complete within this time.
-    pub request: Duration,
+    pub request_timeout: Duration,
     /// A response must be taken within this time.
-    pub write: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -35,12 +35,12 @@
             kept: usize::MAX,
             others: usize::MAX,
             kept_for: "",
-            body: 64 * 1024,
-            first: Duration::from_secs(10),
-            idle: Duration::from_secs(120),
-            crowded: Duration::from_secs(2),
-            request: Duration::from_secs(5),
-            write: Duration::from_secs(5),
+            max_body: 64 * 1024,
+            first_request_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(120),
+            crowded_idle_timeout: Duration::from_secs(2),
+            request_timeout: Duration::from_secs(5),
+            write_timeout: Duration::from_secs(5),
         }
     }
 }
--- /dev/null
+++ b/crates/wire/tests/peer_frames.rs
@@ -0,0 +1,88 @@
+//! Frames between controllers keep their bytes: during an upgrade both versions are linked. The
+//! bytes are those that the version at commit 2b8fbd7 wrote.
+
+use corkfield_wire::peer::{Frame, PeerHeartbeat};
+
+fn heartbeat() -> PeerHeartbeat {
+    PeerHeartbeat {
+        node: "worker-0".to_owned(),
+        incarnation: "worker-0-0000002a".to_owned(),
+        process: 5,
+        number: 6,
+        echo: 7,
+        echo_process: 8,
+        attests: true,
+        leading: false,
+        store_ok: true,
+        scheduler: Some("worker-1".to_owned()),
+        term: 41,
+    }
+}
+
+fn heartbeat_without_a_leader() -> PeerHeartbeat {
+    PeerHeartbeat {
+        node: "n".to_owned(),
+        incarnation: String::new(),
+        process: 0,
+        number: u64::MAX,
+        echo: 0,
+        echo_process: 0,
+        attests: false,
+        leading: true,
+        store_ok: false,
+        scheduler: None,
+        term: 0,
+    }
+}
+
+fn assert_encoded_as(frame: Frame, expected: &str) {
+    let bytes = frame.encode();
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, expected, "{frame:?}");
+    assert_eq!(Frame::decode(&bytes[4..]), Ok(frame));
+}
+
+#[test]
+fn heartbeats_keep_their_bytes() {
+    assert_encoded_as(
+        Frame::PeerHeartbeat(heartbeat()),
+        concat!(
+            "5b000000",                                   // length
+            "02",                                         // version
+            "00",                                         // variant
+            "08000000776f726b65722d30",                   // node
+            "11000000776f726b65722d302d3030303030303261", // incarnation
+            "0500000000000000",                           // process
+            "0600000000000000",                           // number
+            "0700000000000000",                           // echo
+            "0800000000000000",                           // echo_process
+            "01",                                         // attests
+            "00",                                         // leading
+            "01",                                         // store_ok
+            "0108000000776f726b65722d31",                 // scheduler
+            "2900000000000000",                           // term
+        ),
+    );
+    assert_encoded_as(
+        Frame::PeerHeartbeat(heartbeat_without_a_leader()),
+        "370000000200010000006e000000000000000000000000ffffffffffffffff\
+         00000000000000000000000000000000000100000000000000000000",
+    );
+}
+
+#[test]
+fn other_frames_keep_their_bytes() {
+    assert_encoded_as(
+        Frame::WorkerHeartbeat { number: 9, body: b"{}".to_vec() },
+        "1000000002010900000000000000020000007b7d",
+    );
+    assert_encoded_as(
+        Frame::Answer { number: 9, status: 421, body: b"{}".to_vec() },
+        "1200000002020900000000000000a501020000007b7d",
+    );
+    assert_encoded_as(
+        Frame::Cancelled { jobs: vec!["j-1".to_owned(), "j-02".to_owned()] },
+        "15000000020302000000030000006a2d31040000006a2d3032",
+    );
+    assert_encoded_as(Frame::Acknowledged { jobs: Vec::new() }, "06000000020400000000");
+}
