--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -1,166 +1,265 @@
-//! One controller: what its parts share, and how they are started.
+//! One controller: its components are built and wired together here, and their loops started.
 
 use crate::environment::Environment;
-use crate::leadership::Leadership;
-use crate::notifications::Notifications;
+use crate::leadership::{self, Leadership};
+use crate::notifications::CancellationNotifier;
+use crate::outbox::CancellationOutbox;
+use crate::peer_links::{
+    max_queued_frames, IncomingLinks, OutgoingLinks, PeerLinks, PeerRequestHandler,
+};
 use crate::peers::Peers;
-use crate::replica::StoreReplica;
-use crate::responses::{error, json};
-use crate::session_lease::SessionLease;
-use crate::settings::Settings;
-use crate::workers::RedirectedWorkers;
-use crate::{leadership, peers, replica, session_lease, users, workers};
-use corkfield_http::{serve_counted, Connections, Limits, Listener, Network, Request, Response};
-use corkfield_wire::user::{JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
+use crate::replica::{ReplicaFollower, ReplicaObserver, StoreReplica};
+use crate::routes::Routes;
+use crate::session_lease::{LeaseKeeper, SessionLease};
+use crate::settings::{Settings, Sockets};
+use crate::users::UserRequests;
+use crate::workers::{RedirectedWorkers, WorkerHeartbeats};
+use corkfield_http::net::LocalFuture;
+use corkfield_http::{serve_counted, Connections, Limits, Listener, Network, Response};
+use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::PATH_HEARTBEAT;
+use corkfield_wire::JobId;
+use std::collections::BTreeMap;
 use std::future::Future;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// All parts of one controller, wired together.
+/// Tries to listen at an address, after the first one.
+const LISTEN_RETRIES: u32 = 20;
+const LISTEN_RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Pause before a loop that ended is started again.
+const RESTART_PAUSE: Duration = Duration::from_millis(500);
+
+/// The components of one controller that others share.
 pub struct Node {
+    /// Settings, identity, and clients of outside services.
     pub env: Rc<Environment>,
+    /// The copy of the store.
     pub replica: Rc<StoreReplica>,
+    /// This controller's lease.
     pub session_lease: Rc<SessionLease>,
+    /// This controller's part in election and leading.
     pub leadership: Rc<Leadership>,
+    /// The view of the other controllers.
     pub peers: Rc<Peers>,
-    pub notifications: Rc<Notifications>,
+    /// Cancellations that other controllers have still to acknowledge.
+    pub notifications: Rc<CancellationOutbox>,
+    /// Workers that were redirected to the leader.
     pub redirected: Rc<RedirectedWorkers>,
-    /// Of users and workers.
+    /// The connections of users and workers.
     pub connections: Rc<Connections>,
 }
 
+/// Why a controller can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
+    /// An address from the settings can't be listened at.
     #[error("can't listen on {addr}: {error}")]
-    Listen { addr: std::net::SocketAddr, error: std::io::Error },
+    Listen {
+        /// The address.
+        addr: SocketAddr,
+        /// What the system says.
+        error: std::io::Error,
+    },
+}
+
+/// Runs a controller; returns only if it can't start. All its random numbers follow from `seed`.
+pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
+    let users_listener = listen(&*network, settings.platform.listen).await?;
+    let peers_listener = listen(&*network, settings.platform.peer_listen).await?;
+    let node = Rc::new(Node::new(settings, network, seed));
+    let (name, listen) = (&node.env.name, node.env.settings.platform.listen);
+    tracing::info!(controller = %name, %listen, "controller started");
+    let links = Rc::new(PeerLinks::new(max_queued_frames(node.env.settings.sockets().accepted)));
+    let workers = Rc::new(worker_heartbeats(&node, &links));
+    serve_requests(&node, users_listener, routes(&node, &links, &workers));
+    serve_peers(&node, peers_listener, &links, workers);
+    follow_store(&node);
+    maintain_lease(&node);
+    supervise("leader", move || leadership::run(node.clone())).await;
+    Ok(())
 }
 
-async fn listen(
-    network: &dyn Network,
-    addr: std::net::SocketAddr,
-) -> Result<Box<dyn Listener>, RunError> {
+async fn listen(network: &dyn Network, addr: SocketAddr) -> Result<Box<dyn Listener>, RunError> {
     // A restarted process may find its address still taken for a moment.
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match network.listen(addr).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if tries >= 20 => return Err(RunError::Listen { addr, error }),
+            Err(error) if retries >= LISTEN_RETRIES => {
+                return Err(RunError::Listen { addr, error })
+            }
             Err(_) => {
-                tries += 1;
-                tokio::time::sleep(Duration::from_millis(250)).await;
+                retries += 1;
+                tokio::time::sleep(LISTEN_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Runs a controller; returns only if it can't start.
-pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
-    let platform = settings.platform.clone();
-    let _params = &platform.params;
-    let sockets = settings.sockets();
-    let users_listener = listen(&*network, platform.listen).await?;
-    let peers_listener = listen(&*network, platform.peer_listen).await?;
-    // Users must not take the connections that workers need: a worker without one loses its
-    // lease and all that it runs.
-    let connections = Rc::new(Connections::new(Limits {
+impl Node {
+    fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
+        let connections = Rc::new(Connections::new(connection_limits(settings.sockets())));
+        Self {
+            env: Rc::new(Environment::new(settings, network, seed)),
+            replica: Rc::default(),
+            session_lease: Rc::default(),
+            leadership: Rc::default(),
+            peers: Rc::default(),
+            notifications: Rc::default(),
+            redirected: Rc::default(),
+            connections,
+        }
+    }
+}
+
+/// Users must not take the connections that workers need: a worker without one loses its lease and
+/// all that it runs.
+fn connection_limits(sockets: Sockets) -> Limits {
+    Limits {
         connections: sockets.accepted,
         kept: sockets.kept,
         others: sockets.users,
         kept_for: PATH_HEARTBEAT,
         ..Limits::default()
-    }));
-    let node = Rc::new(Node {
-        env: Rc::new(Environment::new(settings, network, seed)),
-        replica: Rc::default(),
-        session_lease: Rc::default(),
-        leadership: Rc::default(),
-        peers: Rc::default(),
-        notifications: Rc::default(),
-        redirected: Rc::default(),
-        connections: connections.clone(),
+    }
+}
+
+fn worker_heartbeats(node: &Rc<Node>, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
+    let leader = node.clone();
+    WorkerHeartbeats {
+        env: node.env.clone(),
+        replica: node.replica.clone(),
+        leadership: node.leadership.clone(),
+        lease_allows_starts: Box::new(move || leader.leadership.may_start(&leader)),
+        peers: node.peers.clone(),
+        links: links.clone(),
+        redirected: node.redirected.clone(),
+        connections: node.connections.clone(),
+    }
+}
+
+fn user_requests(node: &Node, links: &Rc<PeerLinks>) -> UserRequests {
+    UserRequests {
+        env: node.env.clone(),
+        replica: node.replica.clone(),
+        notifier: CancellationNotifier {
+            env: node.env.clone(),
+            replica: node.replica.clone(),
+            leadership: node.leadership.clone(),
+            peers: node.peers.clone(),
+            links: links.clone(),
+            outbox: node.notifications.clone(),
+        },
+    }
+}
+
+fn routes(node: &Rc<Node>, links: &Rc<PeerLinks>, workers: &Rc<WorkerHeartbeats>) -> Routes {
+    let viewed = node.clone();
+    Routes {
+        users: user_requests(node, links),
+        workers: workers.clone(),
+        replica: node.replica.clone(),
+        peers: node.peers.clone(),
+        overview: Box::new(move || leadership::overview(&viewed)),
+    }
+}
+
+/// Serves users, workers, operators and the load balancer.
+fn serve_requests(node: &Node, listener: Box<dyn Listener>, routes: Routes) {
+    let routes = Rc::new(routes);
+    let handler = Rc::new(move |request| routes.clone().answer(request));
+    tokio::task::spawn_local(serve_counted(listener, node.connections.clone(), handler));
+}
+
+/// Serves the links that other controllers open, and keeps one to each of them.
+fn serve_peers(
+    node: &Node,
+    listener: Box<dyn Listener>,
+    links: &Rc<PeerLinks>,
+    workers: Rc<WorkerHeartbeats>,
+) {
+    let incoming = Rc::new(IncomingLinks {
+        env: node.env.clone(),
+        peers: node.peers.clone(),
+        outbox: node.notifications.clone(),
+        handler: Rc::new(PeerRequests { workers, leadership: node.leadership.clone() }),
+    });
+    tokio::task::spawn_local(incoming.accept(listener));
+    let outgoing = Rc::new(OutgoingLinks {
+        env: node.env.clone(),
+        replica: node.replica.clone(),
+        session_lease: node.session_lease.clone(),
+        leadership: node.leadership.clone(),
+        peers: node.peers.clone(),
+        outbox: node.notifications.clone(),
+        links: links.clone(),
     });
-    tracing::info!(node = %node.env.name, listen = %platform.listen, "controller started");
-    let handler = {
-        let node = node.clone();
-        move |request| handle(node.clone(), request)
-    };
-    tokio::task::spawn_local(serve_counted(users_listener, connections, Rc::new(handler)));
-    tokio::task::spawn_local(peers::listen(node.clone(), peers_listener));
-    for peer in &platform.peers {
-        tokio::task::spawn_local(peers::maintain_link(node.clone(), peer.node.clone(), peer.addr));
+    for peer in &node.env.settings.platform.peers {
+        tokio::task::spawn_local(outgoing.clone().maintain(peer.node.clone(), peer.addr));
     }
-    tokio::task::spawn_local(supervise("watch", node.clone(), replica::watch));
-    tokio::task::spawn_local(supervise("refresher", node.clone(), replica::refresher));
-    tokio::task::spawn_local(supervise("presence", node.clone(), session_lease::maintain_lease));
-    supervise("leader", node, leadership::run).await;
-    Ok(())
+}
+
+fn follow_store(node: &Node) {
+    let follower = Rc::new(ReplicaFollower {
+        env: node.env.clone(),
+        replica: node.replica.clone(),
+        observer: node.leadership.clone(),
+    });
+    let refresher = follower.clone();
+    let watch = move || follower.clone().watch();
+    tokio::task::spawn_local(supervise("watch", watch));
+    let serve_refreshes = move || refresher.clone().serve_refreshes();
+    tokio::task::spawn_local(supervise("refresher", serve_refreshes));
+}
+
+fn maintain_lease(node: &Node) {
+    let (env, session_lease) = (node.env.clone(), node.session_lease.clone());
+    let keeper = Rc::new(LeaseKeeper { env, session_lease });
+    tokio::task::spawn_local(supervise("session lease", move || keeper.clone().maintain()));
 }
 
 /// Runs a loop for ever. A fault in it must not end the controller, nor leave it half dead: the
 /// loop is started again from what is stored.
-async fn supervise<F>(name: &str, node: Rc<Node>, run: impl Fn(Rc<Node>) -> F)
+async fn supervise<F>(name: &str, run: impl Fn() -> F)
 where
     F: Future<Output = ()> + 'static,
 {
     loop {
-        let ended = tokio::task::spawn_local(run(node.clone())).await;
+        let ended = tokio::task::spawn_local(run()).await;
         tracing::error!(name, ?ended, "a loop ended; started again");
-        tokio::time::sleep(Duration::from_millis(500)).await;
+        tokio::time::sleep(RESTART_PAUSE).await;
     }
 }
 
-async fn handle(node: Rc<Node>, request: Request) -> Response {
-    let path = request.path().to_owned();
-    let method = request.method.as_str();
-    if path == PATH_HEARTBEAT {
-        return match method {
-            "POST" => workers::heartbeat(&node, &request.body).await,
-            _ => error(405, "method not allowed"),
-        };
+/// A leader stops what a read shows as over before the read counts as proof of fresh state (S6).
+impl ReplicaObserver for Leadership {
+    fn jobs_ended(&self, jobs: &[JobId]) {
+        self.ended(jobs);
     }
-    if path == PATH_READY {
-        return ready(&node);
-    }
-    if path == "/operator/overview" && method == "GET" {
-        return leadership::overview(&node);
-    }
-    if let Some(id) = path.strip_prefix("/operator/release/").and_then(JobId::parse) {
-        return match method {
-            "POST" => users::release(&node, &id).await,
-            _ => error(405, "method not allowed"),
-        };
-    }
-    if path == PATH_JOBS {
-        return match method {
-            "POST" => users::submit(&node, &request.body).await,
-            _ => error(405, "method not allowed"),
-        };
+
+    fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, (JobRecord, u64)>) {
+        self.close_all_but(unfinished);
     }
-    let Some(rest) = path.strip_prefix(PATH_JOBS).and_then(|p| p.strip_prefix('/')) else {
-        return error(404, "no such path");
-    };
-    match (method, rest.split_once('/')) {
-        ("GET", None) => match JobId::parse(rest) {
-            Some(id) => users::query(&node, &id).await,
-            None => error(404, "no such job"),
-        },
-        ("POST", Some((id, PATH_CANCEL))) => match JobId::parse(id) {
-            Some(id) => users::cancel(&node, &id).await,
-            None => error(404, "no such job"),
-        },
-        (_, None | Some((_, PATH_CANCEL))) => error(405, "method not allowed"),
-        _ => error(404, "no such path"),
+
+    fn watches_closely(&self) -> bool {
+        self.is_leading()
     }
 }
 
-/// A controller that alone gets no answers from the state service sends users elsewhere. When
-/// none of them does, all stay, a restarted one too: there is nowhere better to go, and the load
-/// balancer would only let them wait longer once the service is back.
-fn ready(node: &Node) -> Response {
-    let stale = !node.replica.is_synced() || node.replica.proof_age() > Duration::from_secs(4);
-    if stale && node.peers.somebody_has_store() {
-        return error(503, "not ready");
+/// Answers what the other controllers ask of this one.
+struct PeerRequests {
+    workers: Rc<WorkerHeartbeats>,
+    leadership: Rc<Leadership>,
+}
+
+impl PeerRequestHandler for PeerRequests {
+    fn relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
+        Box::pin(self.workers.answer_relayed(body))
+    }
+
+    fn job_cancelled(&self, id: &JobId) {
+        self.leadership.cancelled(id);
     }
-    json(200, &serde_json::json!({"ready": true}))
 }
--- a/crates/corkfield/src/notifications/tests.rs
+++ b/crates/corkfield/src/outbox/tests.rs
@@ -6,7 +6,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn only_who_acknowledged_everything_is_attested_for() {
-    let notifications = Notifications::default();
+    let notifications = CancellationOutbox::default();
     let keep = Duration::from_secs(30);
     assert!(notifications.all_acknowledged("a"));
     notifications.add("a", &id(1));
@@ -36,7 +36,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_fleet_called_off_at_once_leaves_no_cancellation_untold() {
-    let notifications = Notifications::default();
+    let notifications = CancellationOutbox::default();
     let keep = Duration::from_secs(30);
     let all: Vec<String> = (0..9000).map(|number| id(number).to_string()).collect();
     (0..9000).for_each(|number| notifications.add("a", &id(number)));
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -20,11 +20,12 @@
 async fn a_voucher_counts_from_what_it_echoes_and_for_its_processes_alone() {
     let peers = Peers::default();
     let sent = now();
-    assert_eq!(peers.sends("q"), 1);
+    assert_eq!(peers.record_sent("q"), 1);
     tokio::time::advance(Duration::from_secs(9)).await;
-    let attested = |peers: &Peers| peers.heard.borrow()["q"].attested;
-    let hear =
-        |heartbeat: PeerHeartbeat| peers.hear(heartbeat.clone(), peers.echoed(&heartbeat, 7));
+    let attested = |peers: &Peers| peers.last.borrow()["q"].attested;
+    let hear = |heartbeat: PeerHeartbeat| {
+        peers.record(heartbeat.clone(), peers.echoed_sent(&heartbeat, 7))
+    };
     // Held back since before this process, or an answer to nothing that it sent.
     for heartbeat in [heartbeat(3, 1, 6, true), heartbeat(3, 2, 7, true), heartbeat(3, 1, 7, false)]
     {
--- /dev/null
+++ b/crates/corkfield/src/routes.rs
@@ -0,0 +1,135 @@
+//! Which component answers which HTTP request.
+
+use crate::peers::Peers;
+use crate::replica::StoreReplica;
+use crate::responses::{error, json};
+use crate::users::UserRequests;
+use crate::workers::WorkerHeartbeats;
+use corkfield_http::{Request, Response};
+use corkfield_wire::user::{JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
+use corkfield_wire::worker::PATH_HEARTBEAT;
+use std::rc::Rc;
+use std::time::Duration;
+
+const PATH_OVERVIEW: &str = "/operator/overview";
+const PATH_RELEASE: &str = "/operator/release/";
+/// A controller whose proof of fresh state is older has no answers from the state service.
+const READY_PROOF_AGE: Duration = Duration::from_secs(4);
+
+/// What a request asks for.
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum Route {
+    /// A worker's heartbeat.
+    Heartbeat,
+    /// Whether the load balancer may send users here.
+    Ready,
+    /// The operators' view.
+    Overview,
+    /// An operator lets a dead-lettered job run again.
+    Release(JobId),
+    /// A user submits a job.
+    Submit,
+    /// A user asks for a job.
+    Query(JobId),
+    /// A user cancels a job.
+    Cancel(JobId),
+}
+
+/// Why a request asks for nothing that there is.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum RouteError {
+    NoSuchPath,
+    NoSuchJob,
+    MethodNotAllowed,
+}
+
+impl Route {
+    fn parse(method: &str, path: &str) -> Result<Self, RouteError> {
+        match path {
+            PATH_HEARTBEAT => post_only(method, Self::Heartbeat),
+            PATH_READY => Ok(Self::Ready),
+            PATH_OVERVIEW if method == "GET" => Ok(Self::Overview),
+            PATH_JOBS => post_only(method, Self::Submit),
+            _ => match path.strip_prefix(PATH_RELEASE).and_then(JobId::parse) {
+                Some(id) => post_only(method, Self::Release(id)),
+                None => Self::parse_job(method, path),
+            },
+        }
+    }
+
+    /// Of the requests about one job.
+    fn parse_job(method: &str, path: &str) -> Result<Self, RouteError> {
+        let below_jobs = path.strip_prefix(PATH_JOBS).and_then(|path| path.strip_prefix('/'));
+        let rest = below_jobs.ok_or(RouteError::NoSuchPath)?;
+        let job = |id: &str| JobId::parse(id).ok_or(RouteError::NoSuchJob);
+        match (method, rest.split_once('/')) {
+            ("GET", None) => job(rest).map(Self::Query),
+            ("POST", Some((id, PATH_CANCEL))) => job(id).map(Self::Cancel),
+            (_, None | Some((_, PATH_CANCEL))) => Err(RouteError::MethodNotAllowed),
+            _ => Err(RouteError::NoSuchPath),
+        }
+    }
+}
+
+fn post_only(method: &str, route: Route) -> Result<Route, RouteError> {
+    if method == "POST" {
+        Ok(route)
+    } else {
+        Err(RouteError::MethodNotAllowed)
+    }
+}
+
+impl RouteError {
+    fn response(self) -> Response {
+        match self {
+            Self::NoSuchPath => error(404, "no such path"),
+            Self::NoSuchJob => error(404, "no such job"),
+            Self::MethodNotAllowed => error(405, "method not allowed"),
+        }
+    }
+}
+
+/// The components that answer requests.
+pub struct Routes {
+    /// Answers users.
+    pub users: UserRequests,
+    /// Answers workers.
+    pub workers: Rc<WorkerHeartbeats>,
+    /// Whether this controller has answers from the state service.
+    pub replica: Rc<StoreReplica>,
+    /// Whether another controller has.
+    pub peers: Rc<Peers>,
+    /// The operators' view.
+    pub overview: Box<dyn Fn() -> Response>,
+}
+
+impl Routes {
+    /// The answer to a request of a user, a worker, an operator or the load balancer.
+    pub async fn answer(self: Rc<Self>, request: Request) -> Response {
+        let body = &request.body;
+        match Route::parse(&request.method, request.path()) {
+            Ok(Route::Heartbeat) => self.workers.answer(body).await,
+            Ok(Route::Ready) => self.ready(),
+            Ok(Route::Overview) => (self.overview)(),
+            Ok(Route::Release(id)) => self.users.release(&id).await,
+            Ok(Route::Submit) => self.users.submit(body).await,
+            Ok(Route::Query(id)) => self.users.query(&id).await,
+            Ok(Route::Cancel(id)) => self.users.cancel(&id).await,
+            Err(error) => error.response(),
+        }
+    }
+
+    /// A controller that alone gets no answers from the state service sends users elsewhere. When
+    /// none of them does, all stay, a restarted one too: there is nowhere better to go, and the
+    /// load balancer would only let them wait longer once the service is back.
+    fn ready(&self) -> Response {
+        let stale = !self.replica.is_synced() || self.replica.proof_age() > READY_PROOF_AGE;
+        if stale && self.peers.somebody_has_store() {
+            return error(503, "not ready");
+        }
+        json(200, &serde_json::json!({"ready": true}))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -1,116 +1,185 @@
-//! This controller's lease and its presence key.
+//! This controller's lease and its membership key.
 
 use crate::clock::now;
-use crate::node::Node;
+use crate::environment::Environment;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{controller_key, Membership as Record};
-use corkfield_wire::store::Transaction;
-use std::cell::{Cell, RefCell};
+use corkfield_wire::records::{controller_key, Membership};
+use corkfield_wire::store::{Item, Transaction};
+use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
+/// A lease is renewed after this part of its time to live; a renewal may take as long.
+const RENEWAL_PART: f64 = 0.2;
+/// A renewal that failed is repeated after this part of the time to live.
+const RENEWAL_RETRY_PART: f64 = 0.03;
+/// The part of the time to live that counts: clocks may drift by the rest.
+const TRUSTED_PART: f64 = 0.998;
+/// Allowance for delays of this process.
+const TRUSTED_MARGIN: Duration = Duration::from_millis(300);
+/// Pause after a lease could not be taken, in milliseconds; drawn at random.
+const TAKE_RETRY_MS: std::ops::Range<u64> = 100..400;
+
+/// This controller's lease, as the other components see it.
+///
+/// | state | event | next state |
+/// | --- | --- | --- |
+/// | absent | lease granted and membership key written | held |
+/// | held | renewed | held, valid for longer |
+/// | held | the store no longer knows the lease | absent |
+///
+/// A lost lease is replaced by a new one under a new incarnation.
 #[derive(Default)]
 pub struct SessionLease {
-    current: RefCell<Option<Current>>,
-    valid_until: Cell<Option<Instant>>,
+    state: RefCell<LeaseState>,
+    /// Notified when a lease was taken or lost.
     pub changed: Notify,
 }
 
+#[derive(Default)]
+enum LeaseState {
+    #[default]
+    Absent,
+    Held {
+        lease: Current,
+        /// By our own clock the lease surely goes on until then.
+        valid_until: Instant,
+    },
+}
+
+/// A lease that is held.
 #[derive(Debug, Clone)]
 pub struct Current {
+    /// Names the period for which this lease is held; a new lease has another one.
     pub incarnation: String,
+    /// The state service's number of the lease.
     pub lease: u64,
-    /// Version of the presence key.
+    /// Version of the membership key.
     pub version: u64,
 }
 
 impl SessionLease {
+    /// The lease that is held.
     pub fn current(&self) -> Option<Current> {
-        self.current.borrow().clone()
+        match &*self.state.borrow() {
+            LeaseState::Absent => None,
+            LeaseState::Held { lease, .. } => Some(lease.clone()),
+        }
     }
 
     /// Whether the lease surely hasn't ended, by our own clock (S4).
     pub fn is_valid(&self) -> bool {
-        self.valid_until.get().is_some_and(|until| now() < until)
+        match &*self.state.borrow() {
+            LeaseState::Absent => false,
+            LeaseState::Held { valid_until, .. } => now() < *valid_until,
+        }
     }
 
-    fn set(&self, current: Option<Current>) {
-        *self.current.borrow_mut() = current;
+    fn enter(&self, state: LeaseState) {
+        *self.state.borrow_mut() = state;
         self.changed.notify_waiters();
     }
-}
 
-/// Takes a lease and renews it for ever; a lost one is replaced under a new incarnation.
-pub async fn maintain_lease(node: Rc<Node>) {
-    let ttl = Duration::from_secs_f64(node.env.settings.operator.lease_s);
-    loop {
-        match take_lease(&node, ttl).await {
-            Ok(current) => {
-                tracing::info!(incarnation = %current.incarnation, lease = current.lease, "lease taken");
-                let lease = current.lease;
-                node.session_lease.set(Some(current));
-                renew(&node, lease, ttl).await;
-                node.session_lease.valid_until.set(None);
-                node.session_lease.set(None);
-                tracing::warn!(lease, "lease lost");
-            }
-            Err(error) => {
-                tracing::debug!(%error, "can't take a lease");
-                node.env.pause(100..400).await;
-            }
+    /// The lease was renewed; nobody has to be notified of that.
+    fn extend(&self, until: Instant) {
+        if let LeaseState::Held { valid_until, .. } = &mut *self.state.borrow_mut() {
+            *valid_until = until;
         }
     }
 }
 
-async fn take_lease(node: &Node, ttl: Duration) -> Result<Current, StateError> {
-    let key = controller_key(&node.env.name);
-    // What a former process of this controller left is written over: whoever it was is gone.
-    let found = node.env.state.get(RequestClass::Lease, &key).await?;
-    let started = now();
-    let lease = node.env.state.grant(ttl).await?;
-    let incarnation = format!("{}-{:08x}", node.env.name, node.env.random() as u32);
-    let record = Record { incarnation: incarnation.clone(), lease };
-    let value = serde_json::to_value(&record).unwrap_or_default();
-    let version = found.map_or(0, |item| item.version);
-    let transaction =
-        Transaction::default().when(key.clone(), version).put_leased(key.clone(), value, lease);
-    let version = match node.env.state.transaction(RequestClass::Lease, &transaction).await {
-        Ok(version) => version,
-        Err(StateError::NoAnswer(error)) => {
-            // It may have been carried out all the same.
-            let read = node.env.state.get(RequestClass::Lease, &key).await?;
-            match read.filter(|item| item.value["incarnation"] == incarnation.as_str()) {
-                Some(item) => item.version,
-                None => return Err(StateError::NoAnswer(error)),
+/// Takes a lease and renews it for ever.
+pub struct LeaseKeeper {
+    /// Surroundings: the client of the state service, the controller's name, random numbers.
+    pub env: Rc<Environment>,
+    /// Where the lease is shown to the other components.
+    pub session_lease: Rc<SessionLease>,
+}
+
+impl LeaseKeeper {
+    /// Takes a lease and renews it for ever; a lost one is replaced under a new incarnation.
+    pub async fn maintain(self: Rc<Self>) {
+        let ttl = Duration::from_secs_f64(self.env.settings.operator.lease_s);
+        loop {
+            match self.take(ttl).await {
+                Ok((lease, valid_until)) => self.hold(lease, valid_until, ttl).await,
+                Err(error) => {
+                    tracing::debug!(%error, "can't take a lease");
+                    self.env.pause(TAKE_RETRY_MS).await;
+                }
             }
         }
-        Err(error) => return Err(error),
-    };
-    node.session_lease.valid_until.set(Some(started + trusted(ttl)));
-    Ok(Current { incarnation, lease, version })
-}
+    }
 
-/// The part of a lease's time that counts, allowing for drift and for delays of our own.
-fn trusted(ttl: Duration) -> Duration {
-    ttl.mul_f64(0.998).saturating_sub(Duration::from_millis(300))
-}
+    /// Shows the lease and renews it; returns when it is lost.
+    async fn hold(&self, lease: Current, valid_until: Instant, ttl: Duration) {
+        let id = lease.lease;
+        tracing::info!(incarnation = %lease.incarnation, lease = id, "lease taken");
+        self.session_lease.enter(LeaseState::Held { lease, valid_until });
+        self.renew(id, ttl).await;
+        self.session_lease.enter(LeaseState::Absent);
+        tracing::warn!(lease = id, "lease lost");
+    }
 
-/// Returns when the lease is lost.
-async fn renew(node: &Node, lease: u64, ttl: Duration) {
-    loop {
+    /// Takes a lease and writes the membership key under it; returns the lease, and until when it
+    /// surely goes on.
+    async fn take(&self, ttl: Duration) -> Result<(Current, Instant), StateError> {
+        let key = controller_key(&self.env.name);
+        // What a former process of this controller left is written over: whoever it was is gone.
+        let found = self.env.state.get(RequestClass::Lease, &key).await?;
         let started = now();
-        let pause = match node.env.state.renew(lease, ttl.mul_f64(0.2)).await {
-            Ok(()) => {
-                node.session_lease.valid_until.set(Some(started + trusted(ttl)));
-                ttl.mul_f64(0.2)
-            }
-            Err(StateError::NoSuchLease) => return,
-            Err(error) => {
-                tracing::debug!(%error, "renewal failed");
-                ttl.mul_f64(0.03)
-            }
+        let lease = self.env.state.grant(ttl).await?;
+        let incarnation = format!("{}-{:08x}", self.env.name, self.env.random() as u32);
+        let membership = Membership { incarnation: incarnation.clone(), lease };
+        let version = self.write_membership(&key, found, membership).await?;
+        Ok((Current { incarnation, lease, version }, started + trusted(ttl)))
+    }
+
+    /// Writes the membership key over what was found there; returns its version.
+    async fn write_membership(
+        &self,
+        key: &str,
+        found: Option<Item>,
+        membership: Membership,
+    ) -> Result<u64, StateError> {
+        let value = serde_json::to_value(&membership).unwrap_or_default();
+        let transaction = Transaction::default()
+            .when(key.to_owned(), found.map_or(0, |item| item.version))
+            .put_leased(key.to_owned(), value, membership.lease);
+        let error = match self.env.state.transaction(RequestClass::Lease, &transaction).await {
+            Err(StateError::NoAnswer(error)) => error,
+            outcome => return outcome,
         };
-        tokio::time::sleep(pause).await;
+        // It may have been carried out all the same.
+        let read = self.env.state.get(RequestClass::Lease, key).await?;
+        read.filter(|item| item.value["incarnation"] == membership.incarnation.as_str())
+            .map(|item| item.version)
+            .ok_or(StateError::NoAnswer(error))
     }
+
+    /// Returns when the lease is lost.
+    async fn renew(&self, lease: u64, ttl: Duration) {
+        let interval = ttl.mul_f64(RENEWAL_PART);
+        loop {
+            let started = now();
+            let pause = match self.env.state.renew(lease, interval).await {
+                Ok(()) => {
+                    self.session_lease.extend(started + trusted(ttl));
+                    interval
+                }
+                Err(StateError::NoSuchLease) => return,
+                Err(error) => {
+                    tracing::debug!(lease, %error, "renewal failed");
+                    ttl.mul_f64(RENEWAL_RETRY_PART)
+                }
+            };
+            tokio::time::sleep(pause).await;
+        }
+    }
+}
+
+/// The part of a lease's time that counts, allowing for drift and for delays of our own.
+fn trusted(ttl: Duration) -> Duration {
+    ttl.mul_f64(TRUSTED_PART).saturating_sub(TRUSTED_MARGIN)
 }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -1,183 +1,216 @@
-//! Answers to workers' reports.
+//! Answers to workers' heartbeats.
+
+mod redirects;
+
+pub use redirects::RedirectedWorkers;
 
 use crate::clock::now;
-use crate::node::Node;
+use crate::environment::Environment;
+use crate::leadership::Leadership;
+use crate::peer_links::PeerLinks;
+use crate::peers::Peers;
+use crate::replica::StoreReplica;
 use crate::responses::{error, json, later};
-use corkfield_core::Verdict;
-use corkfield_http::Response;
+use corkfield_core::{Scheduler, Verdict};
+use corkfield_http::{Connections, Response};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
+use redirects::Route;
+use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
-
-/// A report that comes in the middle of a failover waits this long for it.
-const TAKE_OVER_WAIT: Duration = Duration::from_millis(1500);
-/// A worker that is back this soon after it was sent to the leader didn't reach it.
-const BACK_SOON: Duration = Duration::from_secs(12);
-/// After this a worker whose reports are passed on tries the leader itself again.
-const TRY_AGAIN: Duration = Duration::from_secs(60);
-/// Above the number of workers; the names of a visit in the last seconds only.
-const MAX_REDIRECTED: usize = 32_768;
-/// A report for whose machine starts wait is kept this long for a proof of fresh state.
+use std::time::Duration;
+
+/// A heartbeat that comes in the middle of a failover waits this long for it.
+const FAILOVER_WAIT: Duration = Duration::from_millis(1500);
+/// A heartbeat for whose machine starts wait is kept this long for a proof of fresh state.
 const START_PROOF_WAIT: Duration = Duration::from_millis(600);
-/// Without any proof for this long the service is surely away: then no report waits for it.
+/// Without any proof for this long the service is surely away: then no heartbeat waits for it.
 const STORE_AWAY: Duration = Duration::from_secs(4);
+/// An attempt has the generation of its job's claim above these bits.
+const ATTEMPT_GENERATION_SHIFT: u32 = 24;
 
-/// Workers that were sent to the leader, and since when those that came back are passed on.
-#[derive(Default)]
-pub struct RedirectedWorkers {
-    visits: RefCell<BTreeMap<String, (Instant, Option<Instant>)>>,
-    swept: Cell<Option<Instant>>,
+/// Answers workers' heartbeats: as the leader, or by sending them to whoever leads.
+pub struct WorkerHeartbeats {
+    /// Surroundings: settings, and this controller's name.
+    pub env: Rc<Environment>,
+    /// The copy of the store, whose freshness decides on what may be answered (S4, S6).
+    pub replica: Rc<StoreReplica>,
+    /// The scheduler, if this controller leads.
+    pub leadership: Rc<Leadership>,
+    /// Whether starts may leave by the lease that this controller leads under (S4).
+    pub lease_allows_starts: Box<dyn Fn() -> bool>,
+    /// What the other controllers attest to.
+    pub peers: Rc<Peers>,
+    /// The way to a leader that a worker doesn't reach itself.
+    pub links: Rc<PeerLinks>,
+    /// Workers that were redirected.
+    pub redirected: Rc<RedirectedWorkers>,
+    /// The connections of users and workers.
+    pub connections: Rc<Connections>,
 }
 
-impl RedirectedWorkers {
-    /// Notes a worker's visit; true if its report should be passed on.
-    fn visits(&self, machine: &str) -> bool {
-        let at = now();
-        let mut redirected = self.visits.borrow_mut();
-        let stale = |seen: &Instant| at.saturating_duration_since(*seen) >= BACK_SOON;
-        if self.swept.get().is_none_or(|swept| stale(&swept)) {
-            self.swept.set(Some(at));
-            redirected.retain(|_, (seen, _)| !stale(seen));
-        }
-        let known = redirected.get_mut(machine).filter(|(seen, _)| !stale(seen));
-        let Some((seen, since)) = known else {
-            if redirected.len() < MAX_REDIRECTED || redirected.contains_key(machine) {
-                redirected.insert(machine.to_owned(), (at, None));
-            }
-            return false;
+impl WorkerHeartbeats {
+    /// The answer to a heartbeat that a worker sent to this controller.
+    pub async fn answer(&self, body: &[u8]) -> Response {
+        let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(reason) => return error(400, &reason.to_string()),
         };
-        *seen = at;
-        let since = *since.get_or_insert(at);
-        if at.saturating_duration_since(since) > TRY_AGAIN {
-            redirected.insert(machine.to_owned(), (at, None));
-            return false;
+        if self.leadership.is_leading() && !self.leadership.is_ready() {
+            let _ = tokio::time::timeout(FAILOVER_WAIT, self.leadership.until_ready()).await;
+        }
+        if self.leadership.is_ready() {
+            self.answer_as_leader(&heartbeat).await
+        } else {
+            self.answer_as_standby(&heartbeat, body).await
         }
-        true
     }
-}
 
-/// A worker's report to this controller.
-pub async fn heartbeat(node: &Node, body: &[u8]) -> Response {
-    let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
-        Ok(heartbeat) => heartbeat,
-        Err(reason) => return error(400, &reason.to_string()),
-    };
-    if node.leadership.is_leading() && !node.leadership.is_ready() {
-        let _ = tokio::time::timeout(TAKE_OVER_WAIT, node.leadership.until_ready()).await;
-    }
-    if node.leadership.is_ready() {
-        return plan_for(node, &heartbeat).await;
+    /// The answer to a heartbeat that another controller relayed to this one, as the leader.
+    pub async fn answer_relayed(&self, body: &[u8]) -> Response {
+        match serde_json::from_slice(body) {
+            Ok(heartbeat) if self.leadership.is_ready() => self.answer_as_leader(&heartbeat).await,
+            _ => later("not the planner"),
+        }
     }
-    let scheduler = planner_elsewhere(node);
-    if let Some(scheduler) = &scheduler {
-        if node.redirected.visits(&heartbeat.machine) {
-            if let Some(response) = node.peers.relay(node, scheduler, body).await {
-                return passed_on(node, response);
+
+    /// Redirects the worker to the leader, or relays its heartbeat if it was there in vain.
+    async fn answer_as_standby(&self, heartbeat: &WorkerHeartbeat, body: &[u8]) -> Response {
+        let leader = self.other_leader();
+        if let Some(leader) = &leader {
+            if self.redirected.record_visit(&heartbeat.machine) == Route::Relay {
+                if let Some(response) = self.links.relay(leader, body).await {
+                    return self.check_relayed(response);
+                }
             }
+            self.leadership.note_stray_worker(self.replica.leader_known_for());
         }
-        node.leadership.note_stray_worker(node.replica.leader_known_for());
+        let (machine, sequence) = (&heartbeat.machine, heartbeat.sequence);
+        tracing::debug!(%machine, sequence, controller = ?leader, "worker redirected");
+        json(421, &Redirect { report_to: leader })
     }
-    tracing::debug!(machine = %heartbeat.machine, sequence = heartbeat.sequence, to = ?scheduler, "worker sent on");
-    json(421, &Redirect { report_to: scheduler })
-}
 
-/// A report that another controller passed on to this one, as the leader.
-pub async fn relayed(node: &Node, body: &[u8]) -> Response {
-    match serde_json::from_slice(body) {
-        Ok(heartbeat) if node.leadership.is_ready() => plan_for(node, &heartbeat).await,
-        _ => later("not the planner"),
+    /// The leader's answer goes to the worker as it is, but for starts that don't match the job's
+    /// record as it is known here.
+    fn check_relayed(&self, response: Response) -> Response {
+        if response.status != 200 {
+            return later("the planner has no answer");
+        }
+        let Ok(mut reply) = serde_json::from_slice::<HeartbeatReply>(&response.body) else {
+            return later("the planner's answer is unreadable");
+        };
+        let contents = self.replica.contents.borrow();
+        reply.orders.retain(|order| match order {
+            Order::Start { task, attempt } => {
+                let record = contents.jobs.get(&task.job).map(|(record, _)| record);
+                record
+                    .is_some_and(|record| record.generation == attempt >> ATTEMPT_GENERATION_SHIFT)
+            }
+            _ => true,
+        });
+        json(200, &reply)
     }
-}
 
-/// The leader's answer goes to the worker as it is, but for starts that don't match the job's
-/// record as it is known here.
-fn passed_on(node: &Node, response: Response) -> Response {
-    if response.status != 200 {
-        return later("the planner has no answer");
-    }
-    let Ok(mut reply) = serde_json::from_slice::<HeartbeatReply>(&response.body) else {
-        return later("the planner's answer is unreadable");
-    };
-    let contents = node.replica.contents.borrow();
-    reply.orders.retain(|order| match order {
-        Order::Start { task, attempt } => {
-            let record = contents.jobs.get(&task.job).map(|(record, _)| record);
-            record.is_some_and(|record| record.generation == attempt >> 24)
+    async fn answer_as_leader(&self, heartbeat: &WorkerHeartbeat) -> Response {
+        let Some(scheduler) = self.leadership.scheduler() else {
+            return json(421, &Redirect { report_to: None });
+        };
+        if let Some(refusal) = self.refuse(&scheduler, heartbeat) {
+            return refusal;
         }
-        _ => true,
-    });
-    json(200, &reply)
-}
-
-async fn plan_for(node: &Node, heartbeat: &WorkerHeartbeat) -> Response {
-    let Some(scheduler) = node.leadership.scheduler() else {
-        return json(421, &Redirect { report_to: None });
-    };
-    // S6: without fresh state a cancellation may have been missed; the machines' leases have
-    // to run out while there is time.
-    if !may_answer(node) {
-        tracing::debug!(machine = %heartbeat.machine, "no fresh state to answer from");
-        return later("no fresh state");
-    }
-    let verdict = scheduler.borrow_mut().on_heartbeat(heartbeat, true, now());
-    if verdict != Verdict::Accept {
-        tracing::debug!(machine = %heartbeat.machine, sequence = heartbeat.sequence, ?verdict, "report not taken");
+        self.leadership.wake_actions();
+        if scheduler.borrow().may_start_on(&heartbeat.machine, now()) {
+            self.leadership.wait_for_pass().await;
+        }
+        self.hold(&scheduler, &heartbeat.machine).await;
+        self.renew_start_proof(&scheduler, &heartbeat.machine).await;
+        // The leader may have changed while the answer was held back.
+        let same = self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
+        if !same || !self.may_answer() {
+            return json(421, &Redirect { report_to: self.other_leader() });
+        }
+        let may_start = (self.lease_allows_starts)() && self.has_start_proof();
+        let mut scheduler = scheduler.borrow_mut();
+        let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
+        let orders = scheduler.orders(&heartbeat.machine, agent_epoch, sequence, may_start, now());
+        json(200, &HeartbeatReply { term: scheduler.term(), orders })
     }
-    match verdict {
-        Verdict::Accept => {}
-        Verdict::Stale => return later("stale report"),
-        Verdict::HigherTerm(term) => {
-            node.leadership.saw_higher_term(term);
-            return later("a higher term is needed");
+
+    /// Gives the heartbeat to the scheduler; the answer if it can't be taken.
+    fn refuse(
+        &self,
+        scheduler: &RefCell<Scheduler>,
+        heartbeat: &WorkerHeartbeat,
+    ) -> Option<Response> {
+        let WorkerHeartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
+        // S6: without fresh state a cancellation may have been missed; the machines' leases have
+        // to run out while there is time.
+        if !self.may_answer() {
+            tracing::debug!(%machine, "no fresh state to answer from");
+            return Some(later("no fresh state"));
+        }
+        let verdict = scheduler.borrow_mut().on_heartbeat(heartbeat, true, now());
+        if verdict != Verdict::Accept {
+            tracing::debug!(%machine, agent_epoch, sequence, ?verdict, "heartbeat not accepted");
+        }
+        match verdict {
+            Verdict::Accept => None,
+            Verdict::Stale => Some(later("stale report")),
+            Verdict::HigherTerm(term) => {
+                self.leadership.saw_higher_term(term);
+                Some(later("a higher term is needed"))
+            }
         }
     }
-    node.leadership.wake_actions();
-    if scheduler.borrow().may_start_on(&heartbeat.machine, now()) {
-        node.leadership.wait_for_pass().await;
+
+    /// Holds the answer to an idle machine back until there are orders for it, for a moment at
+    /// most.
+    async fn hold(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
+        let hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
+        // Short of sockets, an answer that waits for work would keep other workers out.
+        let may_hold = !hold.is_zero() && !self.connections.are_short();
+        if may_hold && scheduler.borrow().may_hold(machine) {
+            let released = self.leadership.hold_answer(machine);
+            let _ = tokio::time::timeout(hold, released.notified()).await;
+            self.leadership.release(machine, &released);
+        }
     }
-    let hold = Duration::from_secs_f64(node.env.settings.operator.hold_s);
-    // Short of sockets, an answer that waits for work would keep other workers out.
-    let may_hold = !hold.is_zero() && !node.connections.are_short();
-    if may_hold && scheduler.borrow().may_hold(&heartbeat.machine) {
-        let run = node.leadership.hold_answer(&heartbeat.machine);
-        let _ = tokio::time::timeout(hold, run.notified()).await;
-        node.leadership.release(&heartbeat.machine, &run);
+
+    /// S4: a start leaves on a young proof. A cancellation that another controller confirms after
+    /// it can then meet no more than the starts of about that time.
+    async fn renew_start_proof(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
+        let has_starts = scheduler.borrow().has_starts_for(machine);
+        if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_AWAY {
+            self.replica.refresh(START_PROOF_WAIT).await;
+        }
     }
-    // S4: a start leaves on a young proof. A cancellation that another controller confirms after
-    // it can then meet no more than the starts of about that time.
-    let young = || node.replica.proof_age() <= node.env.settings.start_proof();
-    let starts = scheduler.borrow().has_starts_for(&heartbeat.machine);
-    if starts && !young() && node.replica.proof_age() < STORE_AWAY {
-        node.replica.refresh(START_PROOF_WAIT).await;
+
+    /// Whether the proof of fresh state is young enough for starts (S4).
+    fn has_start_proof(&self) -> bool {
+        self.replica.proof_age() <= self.env.settings.start_proof()
     }
-    // The leader may have changed while the answer was held back.
-    let same = node.leadership.scheduler().is_some_and(|p| Rc::ptr_eq(&p, &scheduler));
-    if !same || !may_answer(node) {
-        return json(421, &Redirect { report_to: planner_elsewhere(node) });
+
+    /// S6: whether a heartbeat may be answered with 200. That rests on state that was fresh a while
+    /// ago, or, while the state service is out for all, on what all other controllers attest; and
+    /// it shows no other leader.
+    fn may_answer(&self) -> bool {
+        let limit = self.env.settings.answer_limit();
+        let fresh = self.replica.proof_age() < limit
+            || self.attestation_age().is_some_and(|age| age < limit);
+        fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
     }
-    let may_start = node.leadership.may_start(node) && young();
-    let mut scheduler = scheduler.borrow_mut();
-    let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-    let orders = scheduler.orders(&heartbeat.machine, agent_epoch, sequence, may_start, now());
-    json(200, &HeartbeatReply { term: scheduler.term(), orders })
-}
 
-/// S6: whether a report may be answered with 200. That rests on state that was fresh a while ago,
-/// or, while the state service is out for all, on the word of all other controllers; and it shows
-/// no other leader.
-fn may_answer(node: &Node) -> bool {
-    let limit = node.env.settings.answer_limit();
-    let fresh = node.replica.proof_age() < limit
-        || node.peers.attestation_age(node).is_some_and(|age| age < limit);
-    fresh && !node.leadership.is_replaced(&node.replica.contents.borrow())
-}
+    /// How long ago all other controllers attested for this one as the leader.
+    fn attestation_age(&self) -> Option<Duration> {
+        let term = self.leadership.term()?;
+        let proven_at = self.replica.proven_at()?;
+        self.peers.attestation_age(&self.env.settings.platform, term, proven_at)
+    }
 
-/// The leader, if it is another controller that is there.
-fn planner_elsewhere(node: &Node) -> Option<String> {
-    let contents = node.replica.contents.borrow();
-    let (record, _) = contents.scheduler.as_ref()?;
-    let name = record.node.clone().filter(|name| *name != node.env.name)?;
-    contents.is_present(record).then_some(name)
+    /// The leader, if it is another controller that is present.
+    fn other_leader(&self) -> Option<String> {
+        let contents = self.replica.contents.borrow();
+        let (record, _) = contents.scheduler.as_ref()?;
+        let name = record.node.clone().filter(|name| *name != self.env.name)?;
+        contents.is_present(record).then_some(name)
+    }
 }
