--- a/crates/corkfield/src/main.rs
+++ b/crates/corkfield/src/main.rs
@@ -5,6 +5,7 @@
 use corkfield::node;
 use corkfield::settings::{self, Settings};
 use corkfield_http::Tcp;
+use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -34,45 +35,48 @@
     Schema,
 }
 
+/// Exit status for mistakes in the command line, the settings or the environment.
+const USAGE_ERROR: u8 = 2;
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if matches!(cli.command, Some(Command::Schema)) {
+    let command = cli.command.unwrap_or(Command::Run);
+    if matches!(command, Command::Schema) {
         println!("{}", settings::schema());
         return ExitCode::SUCCESS;
     }
     let Some(config) = cli.config else {
-        eprintln!("corkfield: --config FILE is needed");
-        return ExitCode::from(2);
+        return fail(ExitCode::from(USAGE_ERROR), "--config FILE is needed");
     };
     let settings = match Settings::load(&config, cli.operator.as_deref()) {
         Ok(settings) => settings,
-        Err(error) => {
-            eprintln!("corkfield: {error}");
-            return ExitCode::from(2);
-        }
+        Err(error) => return fail(ExitCode::from(USAGE_ERROR), error),
     };
-    if matches!(cli.command, Some(Command::Check)) {
+    if matches!(command, Command::Check) {
         println!("{}", settings.summary());
         return ExitCode::SUCCESS;
     }
-    if let Err(reason) = settings::start_logging() {
-        eprintln!("corkfield: {reason}");
-        return ExitCode::from(2);
+    if let Err(error) = settings::start_logging() {
+        return fail(ExitCode::from(USAGE_ERROR), error);
     }
+    run_controller(settings)
+}
+
+/// Runs a controller; returns only if it can't start.
+fn run_controller(settings: Settings) -> ExitCode {
     // One thread: the machines give a process only a small share of one core.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => {
-            eprintln!("corkfield: can't start: {error}");
-            return ExitCode::FAILURE;
-        }
+        Err(error) => return fail(ExitCode::FAILURE, format_args!("can't start: {error}")),
     };
     let local = tokio::task::LocalSet::new();
     match local.block_on(&runtime, node::run(settings, Rc::new(Tcp), rand::random())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("corkfield: {error}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(ExitCode::FAILURE, error),
     }
 }
+
+fn fail(code: ExitCode, reason: impl Display) -> ExitCode {
+    eprintln!("corkfield: {reason}");
+    code
+}
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -2,11 +2,11 @@
 
 #[test]
 fn operators_mistakes_are_named() {
-    assert!(parse_operator("{\"lease_s\": 5}").is_ok());
-    assert!(parse_operator("{\"leas_s\": 5}").unwrap_err().contains("leas_s"));
-    let error = parse_operator("{\"hold_s\": 9}").unwrap_err();
+    assert!(Operator::parse("{\"lease_s\": 5}").is_ok());
+    assert!(Operator::parse("{\"leas_s\": 5}").unwrap_err().to_string().contains("leas_s"));
+    let error = Operator::parse("{\"hold_s\": 9}").unwrap_err().to_string();
     assert!(error.contains("hold_s"), "{error}");
-    assert!(parse_operator("[]").is_err());
+    assert!(Operator::parse("[]").is_err());
 }
 
 fn settings_of(lease: f64, cancel: f64, limits: &str) -> Settings {
@@ -28,16 +28,16 @@
     assert!(jobs("mem_mb = 258.0") > 20_000, "a large one several times as many");
     assert_eq!(jobs(""), DEFAULT_MAX_JOBS);
     assert_eq!(jobs("mem_mb = 0.0"), DEFAULT_MAX_JOBS);
-    assert_eq!(jobs("mem_mb = 0.001"), LEAST_MAX_JOBS as usize);
-    assert_eq!(jobs("mem_mb = 1e300"), MOST_MAX_JOBS as usize);
+    assert_eq!(jobs("mem_mb = 0.001"), MIN_MAX_JOBS as usize);
+    assert_eq!(jobs("mem_mb = 1e300"), MAX_MAX_JOBS as usize);
     let answer = |limits: &str| settings_of(14.0, 34.0, limits).state_answer_limit();
     assert!(answer("mem_mb = 37.0") < 2 * 1024 * 1024);
     assert!(answer("mem_mb = 0.001") > 512 * 1024, "a page of a list always fits");
-    assert_eq!(answer("mem_mb = 1e300"), MOST_ANSWER);
-    let operator = parse_operator("{\"max_jobs\": 7}").unwrap();
+    assert_eq!(answer("mem_mb = 1e300"), MAX_ANSWER_LIMIT);
+    let operator = Operator::parse("{\"max_jobs\": 7}").unwrap();
     let settings = Settings { operator, ..settings_of(14.0, 34.0, "mem_mb = 37.0") };
     assert_eq!(settings.max_jobs(), 7);
-    assert!(parse_operator("{\"max_jobs\": 0}").unwrap_err().contains("max_jobs"));
+    assert!(Operator::parse("{\"max_jobs\": 0}").unwrap_err().to_string().contains("max_jobs"));
 }
 
 #[test]
@@ -48,6 +48,33 @@
     }
 }
 
+#[test]
+fn mistakes_are_reported_in_the_words_that_operators_know() {
+    let message = |text: &str| Operator::parse(text).unwrap_err().to_string();
+    assert_eq!(message("{\"max_jobs\": 0}"), "max_jobs: must be from 1 to 1000000");
+    assert_eq!(message("{\"start_proof_s\": 0}"), "start_proof_s: must be from 0.05 to 60");
+    assert_eq!(message("[]"), "must be a JSON object");
+    let path = PathBuf::from("operator.json");
+    let error = LoadError::Operator { path, error: OperatorError::NotAnObject };
+    assert_eq!(error.to_string(), "operator.json: must be a JSON object");
+}
+
+#[test]
+fn the_summary_says_what_the_settings_come_to() {
+    let summary = settings_of(14.0, 34.0, "").summary();
+    let (platform, operator) = summary.split_once("operators' settings: ").unwrap();
+    assert_eq!(
+        platform,
+        "controller n in zone z, 1 controllers, 0 teams\n\
+         connections: 585 accepted, 558 of them kept between requests, 225 of users, \
+         198 to machines\n\
+         users and workers: 10.0.0.1:1\nunfinished jobs: 20000 at most\n\
+         controllers: 10.0.0.1:2\nstate service: 10.0.0.2:2\ncloud: 10.0.0.2:1\n"
+    );
+    assert!(operator.starts_with("{\n  \"lease_s\": 10.0,\n"), "{operator}");
+    assert!(operator.ends_with("\n}\nsettings are valid"), "{operator}");
+}
+
 #[test]
 fn the_published_schema_is_that_of_the_settings() {
     let published = include_str!("../../../../docs/operator.schema.json");
