--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -1,168 +1,234 @@
 //! Claims of job records under the leader record.
 
-use super::ActiveLeader;
-use crate::clock::now;
-use crate::completion_commits::{finished_chunks, MOST_BYTES};
+use super::active_leader::ActiveLeader;
+use super::completion_commits::{finished_chunks, MAX_TRANSACTION_BYTES};
+use super::context::LeadershipContext;
+use super::state::SharedScheduler;
+use super::store_value::{serialized_bytes, store_value};
+use crate::clock::{now, wall_ms};
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{controller_key, job_key, JobRecord, LEADER_KEY};
+use corkfield_wire::records::{controller_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, TaskSet};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Records are looked through this often, if no change of them is seen before.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
-
 /// Above so many records that are due, a claim takes as many as a transaction may change.
 const MANY_DUE: usize = 32;
+/// After a failed read of a job's finished tasks.
+const FINISHED_TASKS_RETRY: Duration = Duration::from_millis(200);
+
+/// What a look at the job records came to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ClaimRound {
+    /// A batch was claimed, and more records are due.
+    MoreDue,
+    /// All records that were due are claimed.
+    Complete,
+    /// The claim was refused, or it is not known that it was carried out.
+    Failed,
+}
+
+/// A job record that is to be claimed, at its version.
+struct DueJob {
+    record: JobRecord,
+    version: u64,
+}
+
+/// A job record of our claim as the store has it, with the job's finished tasks.
+pub(super) struct ClaimedJob {
+    /// The record as it is stored.
+    pub(super) record: JobRecord,
+    /// Finished tasks, also of a job too large to keep them in its record.
+    pub(super) finished: TaskSet,
+    /// Version of the record.
+    pub(super) version: u64,
+}
 
 /// Keeps the first records that have no more than so many bytes together, and one at least.
-fn truncate_to_bytes(due: &mut Vec<(JobRecord, u64)>, most: usize) {
+/// They are counted as they were before the claim, which changes a few bytes of each.
+fn truncate_to_bytes(due: &mut Vec<DueJob>, max_bytes: usize) {
     let mut bytes = 0;
-    let fits = due.iter().take_while(|(record, _)| {
-        bytes += serde_json::to_vec(record).map_or(0, |value| value.len());
-        bytes <= most
+    let fits = due.iter().take_while(|job| {
+        bytes += serialized_bytes(&job.record);
+        bytes <= max_bytes
     });
     let count = fits.count();
     due.truncate(count.max(1));
 }
 
-impl ActiveLeader<'_> {
+impl ActiveLeader {
+    /// Claims jobs as they come, and again when their claim has to be renewed.
     pub(super) async fn claim_jobs(&self) {
         loop {
-            let changed = self.node.replica.changed.notified();
-            let claimed = self.claim_round().await;
-            if !claimed {
-                self.node.env.timers.within(CLAIM_INTERVAL, changed).await;
+            let changed = self.context.replica.changed.notified();
+            if self.claim_round().await != ClaimRound::MoreDue {
+                self.context.env.timers.within(CLAIM_INTERVAL, changed).await;
             }
         }
     }
 
-    /// Closes what is over, and claims what is new or lapsed; true if more may be left.
-    pub(super) async fn claim_round(&self) -> bool {
-        let mut due: Vec<(JobRecord, u64)> = Vec::new();
-        self.node.leadership.forget_cancelled(&self.node.replica);
-        {
-            let contents = self.node.replica.contents.borrow();
-            let mut scheduler = self.scheduler.borrow_mut();
-            let is_cancelled = |id: &JobId| self.node.leadership.is_cancelled(id);
-            scheduler.close_all_but(|id| contents.jobs.contains_key(id));
-            let unclaimed = contents.jobs.keys().filter(|id| scheduler.job(id).is_none());
-            let unclaimed = unclaimed.filter(|id| !is_cancelled(id)).cloned().collect();
-            scheduler.set_unclaimed(unclaimed);
-            let lease_expired: HashSet<JobId> = scheduler.jobs_to_reclaim().into_iter().collect();
-            let reading = self.reading.borrow();
-            let open = |id: &JobId| !is_cancelled(id) && !reading.contains(id);
-            for (id, (record, version)) in contents.jobs.iter().filter(|(id, _)| open(id)) {
-                let known = scheduler.job(id);
-                let ours = record.owner.as_deref() == Some(self.me.incarnation.as_str());
-                let new = known.is_none_or(|job| *version > job.version && !ours);
-                if new || lease_expired.contains(id) {
-                    due.push((record.clone(), *version));
-                }
+    /// Closes what is over, and claims a batch of what is new or has to be claimed anew.
+    pub(super) async fn claim_round(&self) -> ClaimRound {
+        self.context.leadership.forget_cancelled(&self.context.replica);
+        let mut due = self.due_jobs();
+        let all = due.len();
+        self.truncate_to_batch(&mut due);
+        let more_due = due.len() < all;
+        if due.is_empty() {
+            return ClaimRound::Complete;
+        }
+        if !self.claim(due).await {
+            ClaimRound::Failed
+        } else if more_due {
+            ClaimRound::MoreDue
+        } else {
+            ClaimRound::Complete
+        }
+    }
+
+    /// Makes the scheduler see which jobs are over or not claimed yet; what is to be claimed.
+    fn due_jobs(&self) -> Vec<DueJob> {
+        let contents = self.context.replica.contents.borrow();
+        let mut scheduler = self.scheduler.borrow_mut();
+        let is_cancelled = |id: &JobId| self.context.leadership.is_cancelled(id);
+        scheduler.close_all_but(|id| contents.jobs.contains_key(id));
+        let unclaimed = contents.jobs.keys().filter(|id| scheduler.job(id).is_none());
+        let unclaimed = unclaimed.filter(|id| !is_cancelled(id)).cloned().collect();
+        scheduler.set_unclaimed(unclaimed);
+        let to_reclaim: HashSet<JobId> = scheduler.jobs_to_reclaim().into_iter().collect();
+        let reading = self.reading.borrow();
+        let own_incarnation = self.claim.membership.incarnation.as_str();
+        let mut due = Vec::new();
+        for (id, (record, version)) in &contents.jobs {
+            if is_cancelled(id) || reading.contains(id) {
+                continue;
+            }
+            let ours = record.owner.as_deref() == Some(own_incarnation);
+            let is_new = scheduler.job(id).is_none_or(|job| *version > job.version && !ours);
+            if is_new || to_reclaim.contains(id) {
+                due.push(DueJob { record: record.clone(), version: *version });
             }
         }
-        due.sort_by_key(|(record, _)| (record.spec.priority, record.accepted_ms));
-        let most = self.node.env.settings.platform.params.state.txn_ops.max(1) as usize;
-        let batch = (self.node.env.settings.operator.claim_batch as usize).min(most);
+        due
+    }
+
+    /// Keeps the most urgent records, as many as one claim takes.
+    fn truncate_to_batch(&self, due: &mut Vec<DueJob>) {
+        due.sort_by_key(|job| (job.record.spec.priority, job.record.accepted_ms));
+        let max_changes = self.context.max_transaction_changes();
+        let claim_batch = self.context.env.settings.operator.claim_batch as usize;
         // A failover has hundreds of them. How long they take is set by the changes that may be
         // written a second; larger claims spare most of the transactions.
-        let batch = if due.len() > MANY_DUE { most } else { batch };
-        let all = due.len();
+        let batch = if due.len() > MANY_DUE { max_changes } else { claim_batch.min(max_changes) };
         due.truncate(batch);
-        truncate_to_bytes(&mut due, MOST_BYTES);
-        let more = due.len() < all;
-        if due.is_empty() {
-            return false;
-        }
-        self.claim(due).await && more
+        truncate_to_bytes(due, MAX_TRANSACTION_BYTES);
     }
 
-    /// The design's claim: one conditional transaction over a few records.
-    async fn claim(&self, batch: Vec<(JobRecord, u64)>) -> bool {
-        let mut transaction = Transaction::default()
-            .when(LEADER_KEY, self.version.get())
-            .when(controller_key(&self.node.env.name), self.me.version);
+    /// The design's claim: one conditional transaction over a few records. True if it is known to
+    /// be carried out.
+    async fn claim(&self, batch: Vec<DueJob>) -> bool {
+        let own_key = controller_key(&self.context.env.name);
+        let mut transaction = self.when_leading().when(own_key, self.claim.membership.version);
         let mut claimed = Vec::new();
-        for (mut record, version) in batch {
-            let owner = self.me.incarnation.clone();
-            match record.start_watermark > 0
-                || self.scheduler.borrow().may_begin_soon(&record.spec, now())
-            {
-                true => record.claim(owner),
-                false => record.claim_without_starts(owner),
-            }
-            if record.claims > self.node.env.settings.operator.claim_limit {
-                tracing::warn!(job = %record.spec.id, claims = record.claims, "claim limit reached; set aside");
-                record.dead_lettered = true;
-            }
+        for job in batch {
+            let record = self.claimed_record(job.record);
             let key = job_key(&record.spec.id);
-            let value = serde_json::to_value(&record).unwrap_or_default();
-            transaction = transaction.when(key.clone(), version).put(key, value);
+            transaction = transaction.when(key.clone(), job.version).put(key, store_value(&record));
             claimed.push(record);
         }
-        let version = match self.node.env.state.transaction(RequestClass::Claim, &transaction).await
-        {
-            Ok(version) => version,
-            Err(StateError::NoAnswer(_)) => match self.claim_landed(&claimed[0]).await {
-                Some(version) => version,
-                None => return false,
-            },
-            Err(error) => {
-                tracing::debug!(%error, "claim failed");
-                self.node.env.pause(50..150).await;
-                return false;
-            }
+        let Some(version) = self.store_claim(&transaction, &claimed).await else {
+            return false;
         };
         for record in claimed {
             if record.is_chunked() && record.done > 0 {
                 self.read_finished(record, version);
             } else {
                 let finished = record.finished.clone();
-                self.node.leadership.take_claimed(
-                    self.node,
-                    &self.scheduler,
-                    record,
-                    finished,
-                    version,
-                );
+                let job = ClaimedJob { record, finished, version };
+                take_claimed(&self.context, &self.scheduler, job);
             }
         }
         self.scaling_wanted.notify_one();
         true
     }
 
+    /// The record as it stands after our claim.
+    fn claimed_record(&self, mut record: JobRecord) -> JobRecord {
+        let owner = self.claim.membership.incarnation.clone();
+        if record.start_watermark > 0 || self.scheduler.borrow().may_begin_soon(&record.spec, now())
+        {
+            record.claim(owner);
+        } else {
+            record.claim_without_starts(owner);
+        }
+        if record.claims > self.context.env.settings.operator.claim_limit {
+            let (job, claims) = (&record.spec.id, record.claims);
+            tracing::warn!(%job, claims, "claim limit reached; job dead-lettered");
+            record.dead_lettered = true;
+        }
+        record
+    }
+
+    /// The version at which the claim is stored; `None` if it is not known to be.
+    async fn store_claim(&self, transaction: &Transaction, claimed: &[JobRecord]) -> Option<u64> {
+        let env = &self.context.env;
+        match env.state.transaction(RequestClass::Claim, transaction).await {
+            Ok(version) => Some(version),
+            Err(StateError::NoAnswer(_)) => self.find_claim(claimed.first()?).await,
+            Err(error) => {
+                tracing::debug!(jobs = claimed.len(), %error, "claim failed");
+                env.pause(50..150).await;
+                None
+            }
+        }
+    }
+
+    /// The version of a claim without an answer, if it was carried out: all of it, as it is one
+    /// transaction.
+    async fn find_claim(&self, record: &JobRecord) -> Option<u64> {
+        let key = job_key(&record.spec.id);
+        let item = self.context.env.state.get(RequestClass::Claim, &key).await.ok()??;
+        let found: JobRecord = serde_json::from_value(item.value).ok()?;
+        let is_ours = found.owner == record.owner && found.generation == record.generation;
+        is_ours.then_some(item.version)
+    }
+
     /// Takes up a claimed job once its finished tasks are read. Other claims don't wait for that.
     fn read_finished(&self, record: JobRecord, version: u64) {
         let id = record.spec.id.clone();
         self.reading.borrow_mut().insert(id.clone());
-        let (node, reading) = (self.node.clone(), self.reading.clone());
+        let (context, reading) = (self.context.clone(), self.reading.clone());
+        // It goes on no longer than the leader that claimed the job.
         let scheduler = Rc::downgrade(&self.scheduler);
         tokio::task::spawn_local(async move {
             while let Some(scheduler) = scheduler.upgrade() {
-                if let Some(finished) = finished_chunks(&node, &id).await {
-                    node.leadership.take_claimed(&node, &scheduler, record, finished, version);
+                if let Some(finished) = finished_chunks(&context, &id).await {
+                    let job = ClaimedJob { record, finished, version };
+                    take_claimed(&context, &scheduler, job);
                     break;
                 }
                 drop(scheduler);
-                tokio::time::sleep(Duration::from_millis(200)).await;
+                tokio::time::sleep(FINISHED_TASKS_RETRY).await;
             }
             reading.borrow_mut().remove(&id);
         });
     }
+}
 
-    /// Whether a claim without an answer was carried out (all of it, as it is one transaction).
-    async fn claim_landed(&self, record: &JobRecord) -> Option<u64> {
-        let item = self
-            .node
-            .env
-            .state
-            .get(RequestClass::Claim, &job_key(&record.spec.id))
-            .await
-            .ok()??;
-        let found: JobRecord = serde_json::from_value(item.value).ok()?;
-        (found.owner == record.owner && found.generation == record.generation)
-            .then_some(item.version)
+/// Gives the scheduler a job that was claimed.
+fn take_claimed(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
+    let ClaimedJob { record, finished, version } = job;
+    let age = Duration::from_millis(wall_ms().saturating_sub(record.accepted_ms));
+    let id = record.spec.id.clone();
+    scheduler.borrow_mut().claimed(record, finished, version, age, now());
+    // It may have been cancelled while the claim's answer was under way.
+    let unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
+    if !unfinished || context.leadership.is_cancelled(&id) {
+        scheduler.borrow_mut().close_job(&id);
     }
+    context.leadership.want_pass();
 }
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -2,7 +2,6 @@
 #![forbid(unsafe_code)]
 
 mod clock;
-mod completion_commits;
 mod environment;
 mod leadership;
 pub mod node;
