--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -38,6 +38,13 @@
     version: u64,
 }
 
+/// Records that were claimed together.
+struct StoredClaim {
+    records: Vec<JobRecord>,
+    /// Version of all of them.
+    version: u64,
+}
+
 /// A job record of our claim as the store has it, with the job's finished tasks.
 pub(super) struct ClaimedJob {
     /// The record as it is stored.
@@ -81,9 +88,11 @@
         if due.is_empty() {
             return ClaimRound::Complete;
         }
-        if !self.claim(due).await {
-            ClaimRound::Failed
-        } else if more_due {
+        let Some(claim) = self.claim(due).await else {
+            return ClaimRound::Failed;
+        };
+        self.take_up(claim);
+        if more_due {
             ClaimRound::MoreDue
         } else {
             ClaimRound::Complete
@@ -128,22 +137,26 @@
         truncate_to_bytes(due, MAX_TRANSACTION_BYTES);
     }
 
-    /// The design's claim: one conditional transaction over a few records. True if it is known to
-    /// be carried out.
-    async fn claim(&self, batch: Vec<DueJob>) -> bool {
+    /// The design's claim: one conditional transaction over a few records. `None` if it is not known
+    /// to be carried out.
+    async fn claim(&self, batch: Vec<DueJob>) -> Option<StoredClaim> {
         let own_key = controller_key(&self.context.env.name);
         let mut transaction = self.when_leading().when(own_key, self.claim.membership.version);
-        let mut claimed = Vec::new();
+        let mut records = Vec::new();
         for job in batch {
             let record = self.claimed_record(job.record);
             let key = job_key(&record.spec.id);
             transaction = transaction.when(key.clone(), job.version).put(key, store_value(&record));
-            claimed.push(record);
+            records.push(record);
         }
-        let Some(version) = self.store_claim(&transaction, &claimed).await else {
-            return false;
-        };
-        for record in claimed {
+        let version = self.store_claim(&transaction, &records).await?;
+        Some(StoredClaim { records, version })
+    }
+
+    /// Gives the scheduler what was claimed.
+    fn take_up(&self, claim: StoredClaim) {
+        let version = claim.version;
+        for record in claim.records {
             if record.is_chunked() && record.done > 0 {
                 self.read_finished(record, version);
             } else {
@@ -153,7 +166,6 @@
             }
         }
         self.scaling_wanted.notify_one();
-        true
     }
 
     /// The record as it stands after our claim.
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -220,3 +220,6 @@
         let _ = context.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -1,6 +1,7 @@
 //! The parts of a controller that election and leading work with.
 
-use super::{Leadership, LeadershipClaim};
+use super::state::LeadershipClaim;
+use super::Leadership;
 use crate::environment::Environment;
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -120,3 +120,6 @@
         context.env.pause(0..60).await;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -49,9 +49,9 @@
 impl ActiveLeader {
     /// Makes the scheduler know every machine on which earlier leaders may have started tasks (S7).
     pub(super) async fn load_machine_records(&self) {
-        let state = &self.context.env.state;
+        let store = &self.context.env.state;
         loop {
-            match state.list(RequestClass::Claim, MACHINE_RECORDS_PREFIX).await {
+            match store.list(RequestClass::Claim, MACHINE_RECORDS_PREFIX).await {
                 Ok((items, _)) => {
                     items.into_iter().for_each(|item| self.load_machine_record(item));
                     return;
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -1,8 +1,8 @@
 //! Election of the leader, and all that a leader does outside the scheduler.
 //!
 //! [`run`] stands by until this controller can claim the leader record ([`election`]), and then
-//! leads until its lease or its place is lost ([`handover`]). [`state`] is what handlers of users,
-//! workers and peers see of that. The loops of a leader are methods of
+//! leads until its lease or its place is lost ([`handover`]). [`state`] is the state
+//! machine of that, [`shared`] what handlers of users, workers and peers see of it. The loops of a leader are methods of
 //! [`active_leader::ActiveLeader`], by concern:
 //!
 //! | module | loops |
@@ -33,6 +33,7 @@
 mod overview;
 mod placement_passes;
 mod scaling;
+mod shared;
 mod state;
 mod store_value;
 
@@ -43,12 +44,12 @@
 use corkfield_state::RateBudget;
 use election::Elected;
 use handover::request_transfer;
-use state::{LeadershipClaim, LeadershipEnd, LeadershipState};
+use state::{LeadershipEnd, LeadershipState};
 use std::rc::Rc;
 use std::time::Duration;
 
 pub use overview::overview;
-pub use state::Leadership;
+pub use shared::Leadership;
 
 /// The leader's part of the state service's limits; the others share the rest.
 const LEADER_REQUESTS: f64 = 0.6;
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -17,7 +17,7 @@
 const SCALE_INTERVAL: Duration = Duration::from_secs(1);
 const MIN_SCALE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A rental without an answer is sent again so often in all, after this pause.
+/// A rental without an answer is sent so often in all, with this pause between.
 const RENTAL_TRIES: u32 = 4;
 const RENTAL_RETRY: Duration = Duration::from_millis(500);
 
--- a/crates/corkfield/src/leadership/store_value.rs
+++ b/crates/corkfield/src/leadership/store_value.rs
@@ -32,3 +32,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
