--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -78,3 +78,6 @@
     known.len() == read.len()
         && known.iter().zip(read).all(|(a, b)| without_spot_price(a) == without_spot_price(b))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -21,7 +21,7 @@
 /// a slow answer, and with hundreds of jobs their tasks would wait to be announced meanwhile.
 const MAX_TRANSACTIONS_IN_FLIGHT: usize = 6;
 /// Changes that a transaction may have for completion commits, at the least: those of one job.
-const MIN_CHANGES: usize = 4;
+const MIN_CHANGES: u32 = 4;
 /// Changes of one job's completion commit, as a rule.
 const CHANGES_PER_COMMIT: usize = 2;
 /// Bytes of values that share a transaction, of completion commits or of claims, far below what
@@ -41,7 +41,7 @@
     pub(super) async fn store_completions(&self) {
         let context = &self.context;
         let params = &context.env.settings.platform.params;
-        let max_changes = params.state.txn_ops.max(MIN_CHANGES as u32) as usize;
+        let max_changes = params.state.txn_ops.max(MIN_CHANGES) as usize;
         let in_flight = InFlight::default();
         loop {
             let free = MAX_TRANSACTIONS_IN_FLIGHT.saturating_sub(in_flight.count());
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -144,3 +144,6 @@
     }
     DirectOrderOutcome::Answered
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -53,7 +53,9 @@
         loop {
             match store.list(RequestClass::Claim, MACHINE_RECORDS_PREFIX).await {
                 Ok((items, _)) => {
-                    items.into_iter().for_each(|item| self.load_machine_record(item));
+                    for item in items {
+                        self.load_machine_record(item);
+                    }
                     return;
                 }
                 Err(error) => {
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -96,3 +96,6 @@
     };
     json(200, &body)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/corkfield/src/leadership/overview/tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+
+#[test]
+fn earlier_keys_go_on_beside_those_that_replace_them() {
+    let leading = LeaderOverview {
+        term: 4,
+        jobs: 1,
+        passes: 2,
+        steps: 3,
+        waiting_tasks: 0,
+        running_tasks: 5,
+        oldest_waiting: None,
+        oldest_waiting_s: None,
+        most_claims: 6,
+        machines_up: 7,
+        machines_booting: 8,
+        machines_unreconciled: 9,
+        machines_unfenced: 9,
+    };
+    let dead_lettered = ["j-000001".to_owned()];
+    let body = ControllerOverview {
+        node: "a",
+        leader: Some("a"),
+        planner: Some("a"),
+        unfinished_jobs: 1,
+        dead_lettered: &dead_lettered,
+        set_aside: &dead_lettered,
+        state_age_s: 0.5,
+        leading: Some(&leading),
+        planning: Some(&leading),
+    };
+    let leading = serde_json::json!({
+        "term": 4, "jobs": 1, "passes": 2, "steps": 3, "waiting_tasks": 0, "running_tasks": 5,
+        "oldest_waiting": null, "oldest_waiting_s": null, "most_claims": 6, "machines_up": 7,
+        "machines_booting": 8, "machines_unreconciled": 9, "machines_unfenced": 9,
+    });
+    let expected = serde_json::json!({
+        "node": "a", "leader": "a", "planner": "a", "unfinished_jobs": 1,
+        "dead_lettered": ["j-000001"], "set_aside": ["j-000001"], "state_age_s": 0.5,
+        "leading": leading, "planning": leading,
+    });
+    assert_eq!(serde_json::to_value(&body).expect("an overview"), expected);
+
+    let standby = ControllerOverview { leading: None, planning: None, ..body };
+    let shown = serde_json::to_value(&standby).expect("an overview");
+    assert!(shown.get("planning").is_none() && shown.get("leading").is_none());
+}
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared.rs
@@ -19,7 +19,7 @@
 /// A leader known for this long has heard from all workers that reach it.
 const LEADER_SETTLED_AFTER: Duration = Duration::from_secs(10);
 /// No heartbeat waits longer than this for a placement pass.
-const MAX_PASS_WAIT: Duration = Duration::from_millis(1000);
+const MAX_PASS_WAIT: Duration = Duration::from_secs(1);
 
 /// Election and leading as the handlers of users, workers and peers see them.
 #[derive(Default)]
@@ -120,7 +120,9 @@
     /// for a claim under way, nor for a read that is repeated.
     pub fn ended(&self, jobs: &[JobId]) {
         let Some(scheduler) = self.scheduler().filter(|_| !jobs.is_empty()) else { return };
-        jobs.iter().for_each(|id| scheduler.borrow_mut().close_job(id));
+        for id in jobs {
+            scheduler.borrow_mut().close_job(id);
+        }
         self.actions_pending.notify_one();
     }
 
