--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -71,7 +71,7 @@
     /// Whether orders reach its worker.
     reachability: Reachability,
     /// Direct orders in a row that were not answered.
-    pub(crate) unanswered: u32,
+    unanswered: u32,
     /// The cloud has announced that it takes this spot machine back.
     pub(crate) notice: bool,
     /// Since when nothing is on it, as scale-in found it.
@@ -94,7 +94,7 @@
         types: &[MachineType],
         now: Instant,
     ) -> Self {
-        let size = types.iter().find(|t| t.name == type_name).cloned();
+        let size = find_size(types, &type_name);
         Self {
             name,
             addr: String::new(),
@@ -218,6 +218,28 @@
         gap
     }
 
+    /// Its worker's address as the cloud lists it, if it is not known from a message.
+    pub(crate) fn note_listed_addr(&mut self, addr: &str) {
+        if self.addr.is_empty() {
+            addr.clone_into(&mut self.addr);
+        }
+    }
+
+    /// Takes its size from the cloud's machine types.
+    pub(crate) fn update_size(&mut self, types: &[MachineType]) {
+        self.size = find_size(types, &self.type_name);
+    }
+
+    /// Its worker did not answer direct orders in time.
+    pub(crate) fn note_unanswered(&mut self) {
+        self.unanswered += 1;
+    }
+
+    /// How many direct orders in a row its worker did not answer.
+    pub(crate) fn unanswered(&self) -> u32 {
+        self.unanswered
+    }
+
     /// S7: only what was sent after the worker took our term is fresh. A machine without a
     /// record was never given a task by anybody. Returns whether the machine is fenced now.
     pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: u64) -> bool {
@@ -341,6 +363,11 @@
     }
 }
 
+/// The machine type of that name.
+fn find_size(types: &[MachineType], name: &str) -> Option<MachineType> {
+    types.iter().find(|machine_type| machine_type.name == name).cloned()
+}
+
 /// The order to stop a task, with so much time to save.
 fn stop_order(key: &TaskAttempt, grace: Duration) -> Order {
     let TaskAttempt { task, attempt } = key.clone();
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -119,6 +119,11 @@
         self.stop = Some(Duration::ZERO);
     }
 
+    /// It need not go: its job has been claimed.
+    pub(crate) fn let_run(&mut self) {
+        self.stop = None;
+    }
+
     /// The job that it is of has become known.
     pub(crate) fn belongs_to(&mut self, spec: &JobSpec, team: usize) {
         self.demand = Some(TaskDemand::of(spec, team));
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -61,7 +61,7 @@
                 if machine_task.state == MachineTaskState::Done {
                     job.finish(index);
                 } else if machine_task.takes_room() && !job.active().contains_key(&index) {
-                    machine_task.stop = None;
+                    machine_task.let_run();
                     job.place(index, &machine.name, key.attempt);
                 }
             }
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -124,7 +124,7 @@
     fn silent_unreconciled(&self) -> Vec<String> {
         let is_silent = |name: &&String| {
             let machine = self.cluster.machines.get(*name);
-            machine.is_some_and(|machine| machine.unanswered >= GIVEN_UP_AFTER)
+            machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
         };
         self.reconciliation.machines().filter(is_silent).cloned().collect()
     }
@@ -132,7 +132,7 @@
     /// A machine did not answer direct orders in time.
     pub fn unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.unanswered += 1;
+            machine.note_unanswered();
         }
     }
 
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -13,7 +13,7 @@
     /// Takes over the cloud's machine types, also for machines known already.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         for machine in self.cluster.machines.values_mut() {
-            machine.size = types.iter().find(|t| t.name == machine.type_name).cloned();
+            machine.update_size(&types);
         }
         self.cluster.machine_types = types;
     }
@@ -120,9 +120,7 @@
         let types = &self.cluster.machine_types;
         let listed = || Machine::from_listed(entry, types, now);
         let machine = self.cluster.machines.entry(entry.name.clone()).or_insert_with(listed);
-        if machine.addr.is_empty() {
-            machine.addr.clone_from(&entry.addr);
-        }
+        machine.note_listed_addr(&entry.addr);
     }
 
     /// Requests the deletion of drained machines that are empty, and, from time to time, once more
