--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -81,6 +81,7 @@
     Ok(())
 }
 
+/// Begins to accept connections at an address.
 async fn listen(network: &dyn Network, addr: SocketAddr) -> Result<Box<dyn Listener>, RunError> {
     // A restarted process may find its address still taken for a moment.
     let mut retries = 0;
@@ -126,6 +127,7 @@
     }
 }
 
+/// What answers workers.
 fn worker_heartbeats(node: &Rc<Node>, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
     let leader = node.clone();
     WorkerHeartbeats {
@@ -140,6 +142,7 @@
     }
 }
 
+/// What answers users.
 fn user_requests(node: &Node, links: &Rc<PeerLinks>) -> UserRequests {
     UserRequests {
         env: node.env.clone(),
@@ -155,6 +158,7 @@
     }
 }
 
+/// What answers all requests.
 fn routes(node: &Rc<Node>, links: &Rc<PeerLinks>, workers: &Rc<WorkerHeartbeats>) -> Routes {
     let viewed = node.clone();
     Routes {
@@ -201,6 +205,7 @@
     }
 }
 
+/// Starts the loops that keep the copy of the store up to date.
 fn follow_store(node: &Node) {
     let follower = Rc::new(ReplicaFollower {
         env: node.env.clone(),
@@ -214,6 +219,7 @@
     tokio::task::spawn_local(supervise("refresher", serve_refreshes));
 }
 
+/// Starts the loop that keeps this controller's lease.
 fn maintain_lease(node: &Node) {
     let (env, session_lease) = (node.env.clone(), node.session_lease.clone());
     let keeper = Rc::new(LeaseKeeper { env, session_lease });
--- a/crates/corkfield/src/outbox.rs
+++ b/crates/corkfield/src/outbox.rs
@@ -57,10 +57,12 @@
         self.dropped.borrow_mut().retain(|other, at| other != peer || *at >= since);
     }
 
+    /// Whether that controller has anything to acknowledge.
     fn has_open(&self, peer: &str) -> bool {
         self.open.borrow().get(peer).is_some_and(|to_peer| !to_peer.is_empty())
     }
 
+    /// Whether that controller has still to acknowledge the cancellation.
     fn is_open(&self, peer: &str, id: &JobId) -> bool {
         self.open.borrow().get(peer).is_some_and(|to_peer| to_peer.contains_key(id))
     }
--- a/crates/corkfield/src/outbox/tests.rs
+++ b/crates/corkfield/src/outbox/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_who_acknowledged_everything_is_attested_for() {
+async fn only_a_controller_that_acknowledged_everything_is_attested_for() {
     let notifications = CancellationOutbox::default();
     let keep = Duration::from_secs(30);
     assert!(notifications.all_acknowledged("a"));
@@ -35,17 +35,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fleet_called_off_at_once_leaves_no_cancellation_untold() {
+async fn cancelling_thousands_of_jobs_at_once_drops_no_notification() {
     let notifications = CancellationOutbox::default();
     let keep = Duration::from_secs(30);
     let all: Vec<String> = (0..9000).map(|number| id(number).to_string()).collect();
     (0..9000).for_each(|number| notifications.add("a", &id(number)));
-    let mut told = Vec::new();
-    while told.len() < all.len() {
+    let mut sent = Vec::new();
+    while sent.len() < all.len() {
         let due = notifications.due("a", keep);
-        assert!(!due.is_empty(), "{} were dropped", all.len() - told.len());
-        told.extend(due);
+        assert!(!due.is_empty(), "{} were dropped", all.len() - sent.len());
+        sent.extend(due);
     }
-    notifications.acknowledged("a", &told);
-    assert!(notifications.all_acknowledged("a"), "4,096 were told, and attesting ended");
+    notifications.acknowledged("a", &sent);
+    assert!(notifications.all_acknowledged("a"), "4,096 were sent, and attesting ended");
 }
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -17,25 +17,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_voucher_counts_from_what_it_echoes_and_for_its_processes_alone() {
+async fn an_attestation_counts_from_what_it_echoes_and_for_its_processes_alone() {
     let peers = Peers::default();
     let sent = now();
     assert_eq!(peers.record_sent("q"), 1);
     tokio::time::advance(Duration::from_secs(9)).await;
     let attested = |peers: &Peers| peers.last.borrow()["q"].attested;
-    let hear = |heartbeat: PeerHeartbeat| {
+    let record = |heartbeat: PeerHeartbeat| {
         peers.record(heartbeat.clone(), peers.echoed_sent(&heartbeat, 7))
     };
     // Held back since before this process, or an answer to nothing that it sent.
     for heartbeat in [heartbeat(3, 1, 6, true), heartbeat(3, 2, 7, true), heartbeat(3, 1, 7, false)]
     {
-        hear(heartbeat);
+        record(heartbeat);
         assert_eq!(attested(&peers), None);
     }
-    hear(heartbeat(3, 1, 7, true));
+    record(heartbeat(3, 1, 7, true));
     assert_eq!(attested(&peers), Some(sent), "however late it comes");
-    hear(heartbeat(3, 1, 7, false));
+    record(heartbeat(3, 1, 7, false));
     assert_eq!(attested(&peers), Some(sent), "it said so then");
-    hear(heartbeat(4, 1, 7, false));
+    record(heartbeat(4, 1, 7, false));
     assert_eq!(attested(&peers), None, "another process");
 }
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -56,7 +56,7 @@
     }
 
     /// Final states never change, so they may be kept as long as there is room.
-    pub fn note_final(&mut self, id: &JobId, record: FinalRecord) {
+    pub fn insert_final(&mut self, id: &JobId, record: FinalRecord) {
         if self.finals.insert(id.clone(), record).is_some() {
             return;
         }
@@ -104,6 +104,7 @@
         membership.is_some_and(|(membership, _)| membership.incarnation == record.incarnation)
     }
 
+    /// Takes the record stored under a key.
     fn insert(&mut self, key: &str, value: Value, version: u64) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             if let Some(record) = decode(key, value) {
@@ -126,6 +127,7 @@
         }
     }
 
+    /// Drops the record of a key that was deleted.
     fn remove(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             self.jobs.remove(&id);
--- a/crates/corkfield/src/replica/freshness.rs
+++ b/crates/corkfield/src/replica/freshness.rs
@@ -20,10 +20,12 @@
         self.newest_read.set(self.newest_read.get().max(Some(started)));
     }
 
+    /// When the newest successful read was begun.
     pub(super) fn proven_at(&self) -> Option<Instant> {
         self.newest_read.get()
     }
 
+    /// How long ago the newest successful read was begun; an hour if there was none.
     pub(super) fn age(&self) -> Duration {
         self.newest_read
             .get()
@@ -41,7 +43,9 @@
 /// Requests for a read that is begun after the request. Each takes a ticket; a read serves all
 /// tickets that were given out before it began.
 pub(super) struct RefreshQueue {
+    /// The newest ticket given out.
     newest_ticket: Cell<u64>,
+    /// Notified when a ticket is given out.
     requested: Notify,
     served: watch::Sender<ServedTicket>,
 }
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -37,15 +37,19 @@
     pub changed: Notify,
 }
 
+/// See the table of [`SessionLease`].
 #[derive(Default)]
 enum LeaseState {
     #[default]
     Absent,
-    Held {
-        lease: Current,
-        /// By our own clock the lease surely goes on until then.
-        valid_until: Instant,
-    },
+    Held(HeldLease),
+}
+
+/// A lease that is held, and for how long.
+struct HeldLease {
+    lease: Current,
+    /// By our own clock the lease surely goes on until then.
+    valid_until: Instant,
 }
 
 /// A lease that is held.
@@ -64,7 +68,7 @@
     pub fn current(&self) -> Option<Current> {
         match &*self.state.borrow() {
             LeaseState::Absent => None,
-            LeaseState::Held { lease, .. } => Some(lease.clone()),
+            LeaseState::Held(held) => Some(held.lease.clone()),
         }
     }
 
@@ -72,10 +76,11 @@
     pub fn is_valid(&self) -> bool {
         match &*self.state.borrow() {
             LeaseState::Absent => false,
-            LeaseState::Held { valid_until, .. } => now() < *valid_until,
+            LeaseState::Held(held) => now() < held.valid_until,
         }
     }
 
+    /// Changes the state; those that wait for it are notified.
     fn enter(&self, state: LeaseState) {
         *self.state.borrow_mut() = state;
         self.changed.notify_waiters();
@@ -83,8 +88,8 @@
 
     /// The lease was renewed; nobody has to be notified of that.
     fn extend(&self, until: Instant) {
-        if let LeaseState::Held { valid_until, .. } = &mut *self.state.borrow_mut() {
-            *valid_until = until;
+        if let LeaseState::Held(held) = &mut *self.state.borrow_mut() {
+            held.valid_until = until;
         }
     }
 }
@@ -103,7 +108,7 @@
         let ttl = Duration::from_secs_f64(self.env.settings.operator.lease_s);
         loop {
             match self.take(ttl).await {
-                Ok((lease, valid_until)) => self.hold(lease, valid_until, ttl).await,
+                Ok(held) => self.hold(held, ttl).await,
                 Err(error) => {
                     tracing::debug!(%error, "can't take a lease");
                     self.env.pause(TAKE_RETRY_MS).await;
@@ -113,18 +118,17 @@
     }
 
     /// Shows the lease and renews it; returns when it is lost.
-    async fn hold(&self, lease: Current, valid_until: Instant, ttl: Duration) {
-        let id = lease.lease;
-        tracing::info!(incarnation = %lease.incarnation, lease = id, "lease taken");
-        self.session_lease.enter(LeaseState::Held { lease, valid_until });
-        self.renew(id, ttl).await;
+    async fn hold(&self, held: HeldLease, ttl: Duration) {
+        let lease = held.lease.lease;
+        tracing::info!(incarnation = %held.lease.incarnation, lease, "lease taken");
+        self.session_lease.enter(LeaseState::Held(held));
+        self.renew(lease, ttl).await;
         self.session_lease.enter(LeaseState::Absent);
-        tracing::warn!(lease = id, "lease lost");
+        tracing::warn!(lease, "lease lost");
     }
 
-    /// Takes a lease and writes the membership key under it; returns the lease, and until when it
-    /// surely goes on.
-    async fn take(&self, ttl: Duration) -> Result<(Current, Instant), StateError> {
+    /// Takes a lease and writes the membership key under it.
+    async fn take(&self, ttl: Duration) -> Result<HeldLease, StateError> {
         let key = controller_key(&self.env.name);
         // What a former process of this controller left is written over: whoever it was is gone.
         let found = self.env.state.get(RequestClass::Lease, &key).await?;
@@ -133,7 +137,8 @@
         let incarnation = format!("{}-{:08x}", self.env.name, self.env.random() as u32);
         let membership = Membership { incarnation: incarnation.clone(), lease };
         let version = self.write_membership(&key, found, membership).await?;
-        Ok((Current { incarnation, lease, version }, started + trusted(ttl)))
+        let lease = Current { incarnation, lease, version };
+        Ok(HeldLease { lease, valid_until: started + trusted(ttl) })
     }
 
     /// Writes the membership key over what was found there; returns its version.
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -18,6 +18,7 @@
 
 /// Users wait 5 s for a submission or a cancellation.
 const CHANGE_LIMIT: Duration = Duration::from_millis(4500);
+/// Reason given to users who are asked to come back.
 const NO_STORE: &str = "the state service doesn't answer";
 /// Pause after a cancellation met a newer record or no answer, in milliseconds; drawn at random.
 const CANCEL_RETRY_MS: std::ops::Range<u64> = 5..50;
@@ -51,7 +52,7 @@
     async fn cancel_stored(&self, id: &JobId) -> Response {
         loop {
             let (record, version) = match self.find(id).await {
-                Ok(StoredJob::Unfinished(record, version)) => (record, version),
+                Ok(StoredJob::Unfinished { record, version }) => (record, version),
                 Ok(found) => {
                     return found.response(id).unwrap_or_else(|| error(404, "no such job"));
                 }
@@ -95,7 +96,7 @@
 
     /// An operator lets a dead-lettered job run again (S12).
     pub async fn release(&self, id: &JobId) -> Response {
-        let Ok(StoredJob::Unfinished(record, version)) = self.find(id).await else {
+        let Ok(StoredJob::Unfinished { record, version }) = self.find(id).await else {
             return error(404, "no such unfinished job");
         };
         if !record.dead_lettered {
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -1,6 +1,7 @@
 //! What the state service holds of a job.
 
 use super::UserRequests;
+use crate::responses::json;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, FinalRecord, JobRecord};
@@ -8,15 +9,18 @@
 use corkfield_wire::{JobId, JobStatus};
 use std::time::Duration;
 
-use crate::responses::json;
-
 /// Users wait 2 s for a query.
 pub(super) const QUERY_LIMIT: Duration = Duration::from_millis(1700);
 
 /// What the store holds of a job, read after the request came in (S1).
 pub(super) enum StoredJob {
-    /// An unfinished job, and the version of its record.
-    Unfinished(Box<JobRecord>, u64),
+    /// An unfinished job.
+    Unfinished {
+        /// The record.
+        record: Box<JobRecord>,
+        /// Version of the record.
+        version: u64,
+    },
     /// A job that is over.
     Final(FinalRecord),
     /// The job was never accepted.
@@ -38,7 +42,7 @@
     /// The answer to a user who asks for the job; `None` if there is none.
     pub(super) fn response(&self, id: &JobId) -> Option<Response> {
         match self {
-            Self::Unfinished(record, _) => {
+            Self::Unfinished { record, .. } => {
                 Some(json(200, &view(id, record.status(), record.done, record.running)))
             }
             Self::Final(record) => Some(json(200, &view(id, record.status, record.done, 0))),
@@ -82,7 +86,7 @@
             return Some(StoredJob::Final(record));
         }
         let (record, version) = contents.jobs.get(id).cloned()?;
-        Some(StoredJob::Unfinished(Box::new(record), version))
+        Some(StoredJob::Unfinished { record: Box::new(record), version })
     }
 
     /// The store surely holds this final state: it was read there, or committed. Before a user
@@ -91,6 +95,6 @@
         if record.status == JobStatus::Cancelled {
             self.notifier.notify_all(id).await;
         }
-        self.replica.contents.borrow_mut().note_final(id, record.clone());
+        self.replica.contents.borrow_mut().insert_final(id, record.clone());
     }
 }
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -28,6 +28,8 @@
     state: VisitorState,
 }
 
+/// How the heartbeats of a worker that was here get to the leader.
+///
 /// | state | event | next state |
 /// | --- | --- | --- |
 /// | unknown, or not seen for [`BACK_SOON`] | heartbeat | redirected |
