--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -100,3 +100,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -165,3 +165,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -188,3 +188,6 @@
 fn trusted(ttl: Duration) -> Duration {
     ttl.mul_f64(TRUSTED_PART).saturating_sub(TRUSTED_MARGIN)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -232,4 +232,4 @@
 }
 
 #[cfg(test)]
-mod tests;
+pub(crate) mod tests;
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -9,7 +9,8 @@
     assert!(Operator::parse("[]").is_err());
 }
 
-fn settings_of(lease: f64, cancel: f64, limits: &str) -> Settings {
+/// Settings of a lone controller, with these times of workers in seconds.
+pub(crate) fn settings_of(lease: f64, cancel: f64, limits: &str) -> Settings {
     let text = format!(
         "node_name = \"n\"\ndomain = \"z\"\nclient_listen = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n\
          [endpoints]\ncloud = \"10.0.0.2:1\"\nstate = \"10.0.0.2:2\"\n[settings]\nsize = 1\n\
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -6,7 +6,7 @@
 use crate::environment::Environment;
 use crate::notifications::CancellationNotifier;
 use crate::replica::StoreReplica;
-use crate::responses::{error, json, later};
+use crate::responses::{error, json, retry_later};
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
@@ -39,14 +39,14 @@
         match tokio::time::timeout(QUERY_LIMIT, self.find(id)).await {
             Ok(Ok(found)) => found.response(id).unwrap_or_else(|| error(404, "no such job")),
             Ok(Err(reason)) => self.unavailable(id, &reason),
-            Err(_) => later(NO_STORE),
+            Err(_) => retry_later(NO_STORE),
         }
     }
 
     /// The answer to a cancellation (S11).
     pub async fn cancel(&self, id: &JobId) -> Response {
         let run = self.cancel_stored(id);
-        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| later(NO_STORE))
+        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| retry_later(NO_STORE))
     }
 
     async fn cancel_stored(&self, id: &JobId) -> Response {
@@ -72,7 +72,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(job = %id, %error, "can't store a cancellation");
-                    return later(NO_STORE);
+                    return retry_later(NO_STORE);
                 }
             }
         }
@@ -109,7 +109,7 @@
             Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "can't release");
-                later(NO_STORE)
+                retry_later(NO_STORE)
             }
         }
     }
@@ -117,6 +117,6 @@
     /// The answer while it is not known what the store holds of the job.
     fn unavailable(&self, id: &JobId, reason: &LookupError) -> Response {
         tracing::debug!(job = %id, error = %reason, "job can't be looked up");
-        later(NO_STORE)
+        retry_later(NO_STORE)
     }
 }
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -3,7 +3,7 @@
 use super::lookup::view;
 use super::{UserRequests, CHANGE_LIMIT, NO_STORE};
 use crate::clock::wall_ms;
-use crate::responses::{error, json, later};
+use crate::responses::{error, json, retry_later};
 use corkfield_core::fits_some_type;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
@@ -34,7 +34,7 @@
                 Err(BadSubmission { id, reason }) => self.refuse(id.as_ref(), 400, &reason).await,
             }
         };
-        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| later(NO_STORE))
+        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| retry_later(NO_STORE))
     }
 
     /// Refuses a submission for good, unless its id was accepted before (S2).
@@ -60,7 +60,7 @@
             Admission::Admitted => {}
             Admission::NeverFits(reason) => return self.refuse(Some(&id), 422, &reason).await,
             // A known job is still recognised.
-            Admission::NotNow => return self.known_or(&id, later("not now")).await,
+            Admission::NotNow => return self.known_or(&id, retry_later("not now")).await,
         }
         let record = JobRecord::new(spec, wall_ms());
         let Ok(value) = serde_json::to_value(&record) else {
@@ -92,13 +92,15 @@
                     return json(201, &view(id, JobStatus::Queued, 0, 0));
                 }
                 // Known already, perhaps by an earlier try of ours whose answer was lost.
-                Err(StateError::Conflict(_)) => return self.known_or(id, later("not now")).await,
+                Err(StateError::Conflict(_)) => {
+                    return self.known_or(id, retry_later("not now")).await
+                }
                 Err(StateError::NoAnswer(_) | StateError::Refused(429)) => {
                     self.env.pause(STORE_RETRY_MS).await;
                 }
                 Err(error) => {
                     tracing::debug!(job = %id, %error, "can't store a submission");
-                    return later(NO_STORE);
+                    return retry_later(NO_STORE);
                 }
             }
         }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -10,7 +10,7 @@
 use crate::peer_links::PeerLinks;
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
-use crate::responses::{error, json, later};
+use crate::responses::{error, json, retry_later};
 use corkfield_core::{Scheduler, Verdict};
 use corkfield_http::{Connections, Response};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
@@ -69,7 +69,7 @@
     pub async fn answer_relayed(&self, body: &[u8]) -> Response {
         match serde_json::from_slice(body) {
             Ok(heartbeat) if self.leadership.is_ready() => self.answer_as_leader(&heartbeat).await,
-            _ => later("not the planner"),
+            _ => retry_later("not the planner"),
         }
     }
 
@@ -93,10 +93,10 @@
     /// record as it is known here.
     fn check_relayed(&self, response: Response) -> Response {
         if response.status != 200 {
-            return later("the planner has no answer");
+            return retry_later("the planner has no answer");
         }
         let Ok(mut reply) = serde_json::from_slice::<HeartbeatReply>(&response.body) else {
-            return later("the planner's answer is unreadable");
+            return retry_later("the planner's answer is unreadable");
         };
         let contents = self.replica.contents.borrow();
         reply.orders.retain(|order| match order {
@@ -146,7 +146,7 @@
         // to run out while there is time.
         if !self.may_answer() {
             tracing::debug!(%machine, "no fresh state to answer from");
-            return Some(later("no fresh state"));
+            return Some(retry_later("no fresh state"));
         }
         let verdict = scheduler.borrow_mut().on_heartbeat(heartbeat, true, now());
         if verdict != Verdict::Accept {
@@ -154,10 +154,10 @@
         }
         match verdict {
             Verdict::Accept => None,
-            Verdict::Stale => Some(later("stale report")),
+            Verdict::Stale => Some(retry_later("stale report")),
             Verdict::HigherTerm(term) => {
                 self.leadership.saw_higher_term(term);
-                Some(later("a higher term is needed"))
+                Some(retry_later("a higher term is needed"))
             }
         }
     }
