--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -234,7 +234,7 @@
 {
     loop {
         let ended = tokio::task::spawn_local(run()).await;
-        tracing::error!(name, ?ended, "a loop ended; started again");
+        tracing::error!(component = name, ?ended, "loop ended; started again");
         tokio::time::sleep(RESTART_PAUSE).await;
     }
 }
