--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -6,7 +6,7 @@
 use crate::environment::Environment;
 use crate::notifications::CancellationNotifier;
 use crate::replica::StoreReplica;
-use crate::responses::{error, json, later};
+use crate::responses::{error, json, retry_later};
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
@@ -18,6 +18,7 @@
 
 /// Users wait 5 s for a submission or a cancellation.
 const CHANGE_LIMIT: Duration = Duration::from_millis(4500);
+/// Reason given to users who are asked to come back.
 const NO_STORE: &str = "the state service doesn't answer";
 /// Pause after a cancellation met a newer record or no answer, in milliseconds; drawn at random.
 const CANCEL_RETRY_MS: std::ops::Range<u64> = 5..50;
@@ -38,20 +39,20 @@
         match tokio::time::timeout(QUERY_LIMIT, self.find(id)).await {
             Ok(Ok(found)) => found.response(id).unwrap_or_else(|| error(404, "no such job")),
             Ok(Err(reason)) => self.unavailable(id, &reason),
-            Err(_) => later(NO_STORE),
+            Err(_) => retry_later(NO_STORE),
         }
     }
 
     /// The answer to a cancellation (S11).
     pub async fn cancel(&self, id: &JobId) -> Response {
         let run = self.cancel_stored(id);
-        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| later(NO_STORE))
+        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| retry_later(NO_STORE))
     }
 
     async fn cancel_stored(&self, id: &JobId) -> Response {
         loop {
             let (record, version) = match self.find(id).await {
-                Ok(StoredJob::Unfinished(record, version)) => (record, version),
+                Ok(StoredJob::Unfinished { record, version }) => (record, version),
                 Ok(found) => {
                     return found.response(id).unwrap_or_else(|| error(404, "no such job"));
                 }
@@ -71,7 +72,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(job = %id, %error, "can't store a cancellation");
-                    return later(NO_STORE);
+                    return retry_later(NO_STORE);
                 }
             }
         }
@@ -95,7 +96,7 @@
 
     /// An operator lets a dead-lettered job run again (S12).
     pub async fn release(&self, id: &JobId) -> Response {
-        let Ok(StoredJob::Unfinished(record, version)) = self.find(id).await else {
+        let Ok(StoredJob::Unfinished { record, version }) = self.find(id).await else {
             return error(404, "no such unfinished job");
         };
         if !record.dead_lettered {
@@ -108,7 +109,7 @@
             Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "can't release");
-                later(NO_STORE)
+                retry_later(NO_STORE)
             }
         }
     }
@@ -116,6 +117,6 @@
     /// The answer while it is not known what the store holds of the job.
     fn unavailable(&self, id: &JobId, reason: &LookupError) -> Response {
         tracing::debug!(job = %id, error = %reason, "job can't be looked up");
-        later(NO_STORE)
+        retry_later(NO_STORE)
     }
 }
