--- a/crates/cloud/tests/answers.rs
+++ b/crates/cloud/tests/answers.rs
@@ -1,36 +1,16 @@
 //! What the client makes of the cloud's answers, and what it sends.
 
+#[path = "../../http/tests/scripted_server/mod.rs"]
+mod scripted_server;
+
 use corkfield_cloud::{CloudClient, CloudError};
-use corkfield_http::{serve, Limits, Network, Request, Response, Tcp};
+use corkfield_http::Tcp;
 use corkfield_wire::cloud::RentRequest;
-use std::cell::RefCell;
-use std::future::Future;
-use std::net::SocketAddr;
+use scripted_server::{run, serve_answers, Answer, Received};
 use std::rc::Rc;
 
-fn run<T>(future: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, future)
-}
-
-/// Requests as the cloud received them.
-type Received = Rc<RefCell<Vec<String>>>;
-
-/// A cloud that gives these answers in turn, and the last one again and again.
-async fn client_of(answers: &'static [(u16, &'static str)]) -> (CloudClient, Received) {
-    let probe = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let addr: SocketAddr = probe.local_addr().unwrap();
-    drop(probe);
-    let listener = Tcp.listen(addr).await.unwrap();
-    let received = Received::default();
-    let log = received.clone();
-    let handler = move |request: Request| {
-        let body = String::from_utf8_lossy(&request.body).into_owned();
-        log.borrow_mut().push(format!("{} {} {body}", request.method, request.target));
-        let (status, body) = answers[(log.borrow().len() - 1).min(answers.len() - 1)];
-        async move { Response::new(status, body.as_bytes().to_vec()) }
-    };
-    tokio::task::spawn_local(serve(listener, Limits::default(), Rc::new(handler)));
+async fn client_of(answers: &'static [Answer]) -> (CloudClient, Received) {
+    let (addr, received) = serve_answers(answers).await;
     (CloudClient::new(Rc::new(Tcp), addr, 1000.0), received)
 }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,6 +1,6 @@
 //! The client: kept connections to one address, one request at a time on each.
 
-use crate::message::{self, Framing, ReadError, MAX_HEAD, MAX_HEADERS};
+use crate::message::{self, Framing, ParsedHead, ReadError, MAX_HEADERS};
 use crate::net::{Network, Stream};
 use crate::reply::Reply;
 use std::cell::{Cell, RefCell};
@@ -192,42 +192,27 @@
 async fn read_reply(stream: &mut Stream, max_body: usize) -> Result<ReceivedReply, ReadError> {
     let mut buffer = Vec::new();
     let ReplyHead { status, framing } = loop {
-        let head = read_head(stream, &mut buffer).await?;
+        let head = message::read_head(stream, &mut buffer, parse_head).await?;
         if !head.is_provisional() {
             break head;
         }
     };
-    let body = if framing.chunked {
-        message::chunked_body(stream, &mut buffer, max_body).await?
-    } else {
-        let length = framing.length.ok_or(ReadError::Malformed)?;
-        message::sized_body(stream, &mut buffer, length, max_body).await?
-    };
+    let body = message::read_body(stream, &mut buffer, framing, max_body).await?;
     // Bytes beyond the answer belong to no request.
     let close = framing.close || !buffer.is_empty();
     Ok(ReceivedReply { reply: Reply { status, body }, close })
 }
 
-async fn read_head(stream: &mut Stream, buffer: &mut Vec<u8>) -> Result<ReplyHead, ReadError> {
-    loop {
-        if let Some((head, length)) = parse_head(buffer)? {
-            buffer.drain(..length);
-            return Ok(head);
-        }
-        message::fill(stream, buffer).await?;
-    }
-}
-
-/// The head at the front of `bytes` and its length; none while it is incomplete.
-fn parse_head(bytes: &[u8]) -> Result<Option<(ReplyHead, usize)>, ReadError> {
+/// The head at the front of `bytes`; none while it is incomplete.
+fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead<ReplyHead>>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
             let framing = message::framing(parsed.headers)?;
-            Ok(Some((ReplyHead { status: parsed.code.unwrap_or(0), framing }, length)))
+            let head = ReplyHead { status: parsed.code.unwrap_or(0), framing };
+            Ok(Some(ParsedHead { head, length }))
         }
-        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD => Err(ReadError::HeadTooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(_) => Err(ReadError::Malformed),
     }
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -3,7 +3,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// Longest head of a message, in bytes.
-pub(crate) const MAX_HEAD: usize = 8 * 1024;
+const MAX_HEAD: usize = 8 * 1024;
 /// Most headers of a message.
 pub(crate) const MAX_HEADERS: usize = 48;
 /// Room that is made in the buffer before each read, in bytes.
@@ -89,8 +89,49 @@
     }
 }
 
+/// The head at the front of a buffer.
+pub(crate) struct ParsedHead<T> {
+    /// What it says.
+    pub head: T,
+    /// Its length in bytes.
+    pub length: usize,
+}
+
+/// Takes a head off the front of `buffer`, reading what is missing. `parse` gives none while the
+/// head is incomplete.
+pub(crate) async fn read_head<R: AsyncRead + Unpin, T>(
+    stream: &mut R,
+    buffer: &mut Vec<u8>,
+    parse: impl Fn(&[u8]) -> Result<Option<ParsedHead<T>>, ReadError>,
+) -> Result<T, ReadError> {
+    loop {
+        if let Some(ParsedHead { head, length }) = parse(buffer)? {
+            buffer.drain(..length);
+            return Ok(head);
+        }
+        if buffer.len() > MAX_HEAD {
+            return Err(ReadError::HeadTooLarge);
+        }
+        fill(stream, buffer).await?;
+    }
+}
+
+/// Takes a body off the front of `buffer`, reading what is missing.
+pub(crate) async fn read_body<R: AsyncRead + Unpin>(
+    stream: &mut R,
+    buffer: &mut Vec<u8>,
+    framing: Framing,
+    max_body: usize,
+) -> Result<Vec<u8>, ReadError> {
+    if framing.chunked {
+        return chunked_body(stream, buffer, max_body).await;
+    }
+    let length = framing.length.ok_or(ReadError::Malformed)?;
+    sized_body(stream, buffer, length, max_body).await
+}
+
 /// Takes a body of `length` bytes off the front of `buffer`, reading what is missing.
-pub(crate) async fn sized_body<R: AsyncRead + Unpin>(
+async fn sized_body<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
     length: usize,
@@ -107,7 +148,7 @@
 }
 
 /// Takes a chunked body off the front of `buffer`, reading what is missing.
-pub(crate) async fn chunked_body<R: AsyncRead + Unpin>(
+async fn chunked_body<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
     max_body: usize,
--- a/crates/http/src/server/request.rs
+++ b/crates/http/src/server/request.rs
@@ -1,6 +1,6 @@
 //! Requests, and reading them off a connection.
 
-use crate::message::{self, Framing, ReadError, MAX_HEAD, MAX_HEADERS};
+use crate::message::{self, Framing, ParsedHead, ReadError, MAX_HEADERS};
 use crate::net::Stream;
 use tokio::io::AsyncWriteExt;
 
@@ -44,32 +44,20 @@
     buffer: &mut Vec<u8>,
     max_body: usize,
 ) -> Result<ReceivedRequest, ReadError> {
-    let RequestHead { method, target, framing } = read_head(stream, buffer).await?;
+    let RequestHead { method, target, framing } =
+        message::read_head(stream, buffer, parse_head).await?;
     if framing.expects_continue {
         stream.write_all(CONTINUE).await?;
     }
-    let body = if framing.chunked {
-        message::chunked_body(stream, buffer, max_body).await?
-    } else {
-        let length = framing.length.unwrap_or(0);
-        message::sized_body(stream, buffer, length, max_body).await?
-    };
+    // A request without a length has no body.
+    let framing = Framing { length: framing.length.or(Some(0)), ..framing };
+    let body = message::read_body(stream, buffer, framing, max_body).await?;
     let request = Request { method, target, body };
     Ok(ReceivedRequest { request, close: framing.close })
 }
 
-async fn read_head(stream: &mut Stream, buffer: &mut Vec<u8>) -> Result<RequestHead, ReadError> {
-    loop {
-        if let Some((head, length)) = parse_head(buffer)? {
-            buffer.drain(..length);
-            return Ok(head);
-        }
-        message::fill(stream, buffer).await?;
-    }
-}
-
-/// The head at the front of `bytes` and its length; none while it is incomplete.
-fn parse_head(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, ReadError> {
+/// The head at the front of `bytes`; none while it is incomplete.
+fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead<RequestHead>>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(bytes) {
@@ -77,9 +65,8 @@
             let framing = message::framing(parsed.headers)?;
             let method = parsed.method.unwrap_or("").to_owned();
             let target = parsed.path.unwrap_or("").to_owned();
-            Ok(Some((RequestHead { method, target, framing }, length)))
+            Ok(Some(ParsedHead { head: RequestHead { method, target, framing }, length }))
         }
-        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD => Err(ReadError::HeadTooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(ReadError::HeadTooLarge),
         Err(_) => Err(ReadError::Malformed),
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -76,16 +76,22 @@
     });
 }
 
+/// Makes two requests, of which the server answers one on each connection, and gives the numbers
+/// of the connections that they came over.
+async fn connections_of_two_requests(answer: &'static str) -> Vec<usize> {
+    let (addr, received) = serve_fixed(vec![vec![answer], vec![answer]]).await;
+    let client = client(addr);
+    get(&client).await.unwrap();
+    get(&client).await.unwrap();
+    let connections = received.borrow().iter().map(|(number, _)| *number).collect();
+    connections
+}
+
 #[test]
 fn a_connection_that_the_server_closes_is_not_used_again() {
     run(async {
-        let last = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-        let (addr, received) = serve_fixed(vec![vec![last], vec![last]]).await;
-        let client = client(addr);
-        get(&client).await.unwrap();
-        get(&client).await.unwrap();
-        let connections: Vec<usize> = received.borrow().iter().map(|(number, _)| *number).collect();
-        assert_eq!(connections, [0, 1]);
+        let announced = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+        assert_eq!(connections_of_two_requests(announced).await, [0, 1]);
     });
 }
 
@@ -93,13 +99,8 @@
 fn a_request_on_a_connection_closed_meanwhile_is_sent_again_on_another() {
     run(async {
         // The first connection is closed after its answer without a word of it.
-        let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-        let (addr, received) = serve_fixed(vec![vec![ok], vec![ok]]).await;
-        let client = client(addr);
-        get(&client).await.unwrap();
-        get(&client).await.unwrap();
-        let connections: Vec<usize> = received.borrow().iter().map(|(number, _)| *number).collect();
-        assert_eq!(connections, [0, 1]);
+        let unannounced = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+        assert_eq!(connections_of_two_requests(unannounced).await, [0, 1]);
     });
 }
 
--- a/crates/state/tests/answers.rs
+++ b/crates/state/tests/answers.rs
@@ -1,41 +1,21 @@
 //! What the client makes of the state service's answers, and what it sends.
 
-use corkfield_http::{serve, Limits, Network, Request, Response, Tcp};
+#[path = "../../http/tests/scripted_server/mod.rs"]
+mod scripted_server;
+
+use corkfield_http::Tcp;
 use corkfield_state::{RequestClass, StateClient, StateError};
 use corkfield_wire::store::Transaction;
+use scripted_server::{run, serve_answers, Answer, Received};
 use serde_json::json;
-use std::cell::RefCell;
-use std::future::Future;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 const CLASS: RequestClass = RequestClass::Lease;
 const LIMIT: Duration = Duration::from_secs(5);
 
-fn run<T>(future: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, future)
-}
-
-/// Requests as the service received them.
-type Received = Rc<RefCell<Vec<String>>>;
-
-/// A service that gives these answers in turn, and the last one again and again.
-async fn client_of(answers: &'static [(u16, &'static str)]) -> (StateClient, Received) {
-    let probe = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let addr: SocketAddr = probe.local_addr().unwrap();
-    drop(probe);
-    let listener = Tcp.listen(addr).await.unwrap();
-    let received = Received::default();
-    let log = received.clone();
-    let handler = move |request: Request| {
-        let body = String::from_utf8_lossy(&request.body).into_owned();
-        log.borrow_mut().push(format!("{} {} {body}", request.method, request.target));
-        let (status, body) = answers[(log.borrow().len() - 1).min(answers.len() - 1)];
-        async move { Response::new(status, body.as_bytes().to_vec()) }
-    };
-    tokio::task::spawn_local(serve(listener, Limits::default(), Rc::new(handler)));
+async fn client_of(answers: &'static [Answer]) -> (StateClient, Received) {
+    let (addr, received) = serve_answers(answers).await;
     (StateClient::new(Rc::new(Tcp), addr, 100.0, 40.0, 1024 * 1024), received)
 }
 
