--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,12 +14,12 @@
 pub mod records;
 pub mod settings;
 pub mod store;
-pub mod taskset;
+pub mod task_set;
 mod text;
 pub mod user;
 pub mod worker;
 
 pub use job_id::JobId;
-pub use taskset::TaskSet;
+pub use task_set::TaskSet;
 pub use user::{JobSpec, JobStatus, Priority};
 pub use worker::TaskId;
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -1,6 +1,6 @@
 //! Records of jobs: one while the job is unfinished, another once it is over.
 
-use crate::taskset::TaskSet;
+use crate::task_set::TaskSet;
 use crate::user::{JobSpec, JobStatus};
 use serde::{Deserialize, Serialize};
 
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -37,7 +37,7 @@
     pub endpoints: Endpoints,
     /// What the service is to do, and within which limits (`settings`).
     #[serde(rename = "settings")]
-    pub params: Params,
+    pub params: ServiceSettings,
 }
 
 /// Another controller.
@@ -65,7 +65,7 @@
 
 /// What the service is to do, and within which limits.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Params {
+pub struct ServiceSettings {
     /// Number of controllers.
     pub size: u32,
     /// Names of the zones.
@@ -195,7 +195,7 @@
     }
 }
 
-impl Params {
+impl ServiceSettings {
     fn fill_defaults(&mut self) {
         let limits = [
             (&mut self.state.rps, DEFAULT_STATE_RPS),
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -1,6 +1,6 @@
 //! Which settings are refused.
 
-use super::{Params, Platform};
+use super::{Platform, ServiceSettings};
 
 /// The largest number that is taken for a rate, a size or a time.
 const MAX_NUMBER: f64 = 1e9;
@@ -49,7 +49,7 @@
     }
 }
 
-impl Params {
+impl ServiceSettings {
     fn check_positive(&self) -> Result<(), SettingsError> {
         let positive = [
             ("settings.size", f64::from(self.size)),
--- a/crates/wire/src/taskset/tests.rs
+++ b/crates/wire/src/task_set/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of the taskset module.
+//! Tests of the task_set module.
 
 use super::*;
 
 #[test]
 fn ranges_join_and_survive_a_round_trip() {
     let mut set = TaskSet::default();
-    for n in [4, 2, 3, 9, 0, 3] {
-        set.insert(n);
+    for index in [4, 2, 3, 9, 0, 3] {
+        set.insert(index);
     }
     let text = String::from(set.clone());
     assert_eq!(text, "0,2-4,9");
@@ -27,8 +27,8 @@
 fn a_chunk_at_its_worst_fits_a_small_value() {
     let mut set = TaskSet::default();
     let first = crate::user::MAX_TASKS - crate::records::CHUNK_TASKS;
-    for n in (0..crate::records::CHUNK_TASKS).step_by(2) {
-        set.insert(first + n);
+    for index in (0..crate::records::CHUNK_TASKS).step_by(2) {
+        set.insert(first + index);
     }
     assert!(String::from(set).len() < 4096);
 }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -19,7 +19,7 @@
 
 /// The kinds of job that this service runs (`shape`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion: a job array.
     #[serde(rename = "sweep")]
     Array,
@@ -56,7 +56,7 @@
     pub team: String,
     /// Its kind.
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -5,7 +5,7 @@
 use corkfield_wire::store::{
     Events, Failed, Grant, GrantRequest, Item, Page, Revision, Transaction,
 };
-use corkfield_wire::user::{ErrorView, JobView, Kind};
+use corkfield_wire::user::{ErrorView, JobKind, JobView};
 use corkfield_wire::worker::{
     DirectOrders, ExitCause, HeartbeatReply, Order, Redirect, TaskPhase, TaskStatus,
     WorkerHeartbeat,
@@ -56,7 +56,7 @@
         "loaners":true,"guess_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0}"#,
     );
     assert_eq!((spec.class.as_str(), spec.team.as_str()), ("train", "vision"));
-    assert_eq!((spec.kind, spec.priority, spec.tasks), (Kind::Array, Priority::High, 16));
+    assert_eq!((spec.kind, spec.priority, spec.tasks), (JobKind::Array, Priority::High, 16));
     assert_eq!((spec.cpus, spec.gpus, spec.memory_gb), (8.0, 1.0, 64.0));
     assert_eq!((spec.image.as_str(), spec.image_gb), ("img-07", 6.2));
     assert_eq!((spec.one_zone, spec.spread, spec.spot), (true, false, true));
