--- a/crates/corkfield/examples/loopback.rs
+++ b/crates/corkfield/examples/loopback.rs
@@ -5,7 +5,7 @@
 //! `cargo run --release --example loopback -- --machines 360 --seconds 30`
 
 use clap::Parser;
-use corkfield_fakes::{ExecutionHistory, FakeCloud, FakeStore, Loopback, Plan, WorkerSettings};
+use corkfield_fakes::{ExecutionHistory, FakeCloud, FakeStore, JobPlan, Loopback, WorkerSettings};
 use corkfield_http::{Client, Tcp};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
@@ -20,6 +20,14 @@
 const REQUEST_LIMIT: Duration = Duration::from_secs(4);
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
+const WORKER_LEASE: Duration = Duration::from_secs(26);
+const CANCEL_LIMIT: Duration = Duration::from_secs(46);
+const MACHINE_CPUS: f64 = 8.0;
+const CLIENT_PORT: u16 = 8080;
+const PEER_PORT: u16 = 8081;
+const MAX_USER_CONNECTIONS: usize = 64;
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
 #[derive(Debug, Parser)]
 struct Cli {
@@ -46,8 +54,8 @@
     load: f64,
 }
 
-fn controller_addr(n: u8, port: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 1, n + 1], port))
+fn controller_addr(controller: u8, port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 1, controller + 1], port))
 }
 
 fn store_addr() -> SocketAddr {
@@ -58,14 +66,14 @@
     SocketAddr::from(([127, 0, 2, 2], 8443))
 }
 
-fn settings_of(n: u8, cli: &Cli) -> String {
+fn settings_text(controller: u8, cli: &Cli) -> String {
     let mut text = format!(
-        "node_name = \"n{n}\"\ndomain = \"z1\"\nclient_listen = \"{}\"\nback = \"{}\"\n",
-        controller_addr(n, 8080),
-        controller_addr(n, 8081)
+        "node_name = \"n{controller}\"\ndomain = \"z1\"\nclient_listen = \"{}\"\nback = \"{}\"\n",
+        controller_addr(controller, CLIENT_PORT),
+        controller_addr(controller, PEER_PORT)
     );
-    for other in (0..cli.controllers).filter(|other| *other != n) {
-        let back = controller_addr(other, 8081);
+    for other in (0..cli.controllers).filter(|other| *other != controller) {
+        let back = controller_addr(other, PEER_PORT);
         text += &format!(
             "[[seeds]]\nnode_name = \"n{other}\"\ndomain = \"z1\"\nendpoint = \"{back}\"\n"
         );
@@ -90,9 +98,9 @@
     fn start(cli: &Cli) -> std::io::Result<Self> {
         std::fs::create_dir_all(&cli.folder)?;
         let mut started = Self(Vec::new());
-        for n in 0..cli.controllers {
-            let path = cli.folder.join(format!("n{n}.toml"));
-            std::fs::write(&path, settings_of(n, cli))?;
+        for controller in 0..cli.controllers {
+            let path = cli.folder.join(format!("n{controller}.toml"));
+            std::fs::write(&path, settings_text(controller, cli))?;
             let mut command = Command::new(&cli.program);
             command.arg("--config").arg(path).env("LOG_LEVEL", "error").stdin(Stdio::null());
             started.0.push(command.spawn()?);
@@ -101,7 +109,7 @@
     }
 
     fn usage(&self) -> Vec<Usage> {
-        self.0.iter().map(|child| Usage::of(child.id())).collect()
+        self.0.iter().map(|child| Usage::read(child.id())).collect()
     }
 }
 
@@ -125,16 +133,16 @@
 }
 
 impl Usage {
-    fn of(process: u32) -> Self {
-        let read = |file: &str| {
+    fn read(process: u32) -> Self {
+        let read_file = |file: &str| {
             std::fs::read_to_string(format!("/proc/{process}/{file}")).unwrap_or_default()
         };
-        let status = read("status");
+        let status = read_file("status");
         let field = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name));
             line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
         };
-        let schedstat = read("schedstat");
+        let schedstat = read_file("schedstat");
         let run_ns = schedstat.split_whitespace().next().and_then(|ns| ns.parse().ok());
         Self {
             processor: Duration::from_nanos(run_ns.unwrap_or(0)),
@@ -144,29 +152,27 @@
     }
 }
 
-fn start_stand_ins(cli: &Cli) -> (Rc<FakeStore>, Rc<ExecutionHistory>) {
-    let history = Rc::new(ExecutionHistory::default());
-    history.cancel_after.set(Duration::from_secs(46));
-    let store = Rc::new(FakeStore::default());
-    store.keep_time();
-    store.start(Rc::new(Tcp), store_addr(), Rc::default());
-    let template = WorkerSettings {
+fn worker_template(cli: &Cli) -> WorkerSettings {
+    let controllers = (0..cli.controllers)
+        .map(|controller| (format!("n{controller}"), controller_addr(controller, CLIENT_PORT)));
+    WorkerSettings {
         name: String::new(),
         addr: store_addr(),
         machine_type: String::new(),
         zone: String::new(),
         spot: false,
         cpus: 0.0,
-        heartbeat: Duration::from_secs(5),
-        lease: Duration::from_secs(26),
+        heartbeat: HEARTBEAT_INTERVAL,
+        lease: WORKER_LEASE,
         heartbeats_after_answers: false,
-        controllers: (0..cli.controllers)
-            .map(|n| (format!("n{n}"), controller_addr(n, 8080)))
-            .collect(),
-    };
-    let kind = MachineType {
+        controllers: controllers.collect(),
+    }
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
         name: "box".to_owned(),
-        cpus: 8.0,
+        cpus: MACHINE_CPUS,
         gpus: 0.0,
         memory_gb: 64.0,
         cache_gb: 20.0,
@@ -175,16 +181,45 @@
         spot_price: 0.3,
         boot_s: 15.0,
         zones: vec!["z1".to_owned()],
-    };
-    let machines = cli.machines as usize;
-    let cloud = FakeCloud::new(Rc::new(Loopback), history.clone(), template, vec![kind], machines);
-    cloud.start(Rc::new(Tcp), cloud_addr());
-    (0..machines).for_each(|_| drop(cloud.add("z1", false, 0.5)));
-    (store, history)
+    }
+}
+
+/// What stands around the controllers, as far as the measurement looks at it.
+struct StandIns {
+    store: Rc<FakeStore>,
+    history: Rc<ExecutionHistory>,
+}
+
+impl StandIns {
+    fn start(cli: &Cli) -> Self {
+        let history = Rc::new(ExecutionHistory::default());
+        history.cancel_limit.set(CANCEL_LIMIT);
+        let store = Rc::new(FakeStore::default());
+        store.start_lease_expiry();
+        store.start(Rc::new(Tcp), store_addr(), Rc::default());
+        let machines = cli.machines as usize;
+        let cloud = FakeCloud::new(
+            Rc::new(Loopback),
+            history.clone(),
+            worker_template(cli),
+            vec![machine_type()],
+            machines,
+        );
+        cloud.start(Rc::new(Tcp), cloud_addr());
+        (0..machines).for_each(|_| drop(cloud.add_machine("z1", false, 0.5)));
+        Self { store, history }
+    }
+
+    /// The name of the leader; empty if there is none.
+    fn leader(&self) -> String {
+        let record = self.store.value(LEADER_KEY).and_then(|v| serde_json::from_value(v).ok());
+        record.and_then(|record: LeaderRecord| record.node).unwrap_or_default()
+    }
 }
 
-fn client(n: u8) -> Client {
-    Client::new(Rc::new(Tcp), controller_addr(n, 8080), 64, 1024 * 1024)
+fn client(controller: u8) -> Client {
+    let addr = controller_addr(controller, CLIENT_PORT);
+    Client::new(Rc::new(Tcp), addr, MAX_USER_CONNECTIONS, MAX_ANSWER_BYTES)
 }
 
 /// What a load balancer asks of every controller.
@@ -198,13 +233,34 @@
     }
 }
 
-fn spec(number: u32, tasks: u32, cpus: f64, priority: &str) -> JobSpec {
-    let text = format!(
-        "{{\"name_id\":\"j-{number:06}\",\"pool\":\"sums\",\"owner\":\"free\",\"shape\":\"sweep\",\"rank\":\"{priority}\",\
-         \"pieces\":{tasks},\"vcpus\":{cpus:.1},\"accelerators\":0.0,\"mem_gb\":1.0,\"bundle\":\"img-1\",\"image_gb\":0.5,\
-         \"same_place\":false,\"apart\":false,\"loaners\":true,\"guess_s\":20.0,\"snapshot_s\":0.0,\"flush_s\":0.0}}"
-    );
-    JobSpec::parse(text.as_bytes()).expect("a valid submission")
+/// Jobs of one kind.
+struct JobClass {
+    priority: &'static str,
+    tasks: u32,
+    /// CPUs of a task.
+    cpus: f64,
+    /// How long a task runs, in seconds.
+    run_s: f64,
+}
+
+const LARGE_JOB: JobClass = JobClass { priority: "normal", tasks: 350, cpus: 1.0, run_s: 25.0 };
+const URGENT_JOB: JobClass = JobClass { priority: "urgent", tasks: 30, cpus: 4.0, run_s: 15.0 };
+
+impl JobClass {
+    fn spec(&self, number: u32) -> JobSpec {
+        let Self { priority, tasks, cpus, .. } = self;
+        let text = format!(
+            "{{\"name_id\":\"j-{number:06}\",\"pool\":\"sums\",\"owner\":\"free\",\"shape\":\"sweep\",\"rank\":\"{priority}\",\
+             \"pieces\":{tasks},\"vcpus\":{cpus:.1},\"accelerators\":0.0,\"mem_gb\":1.0,\"bundle\":\"img-1\",\"image_gb\":0.5,\
+             \"same_place\":false,\"apart\":false,\"loaners\":true,\"guess_s\":20.0,\"snapshot_s\":0.0,\"flush_s\":0.0}}"
+        );
+        JobSpec::parse(text.as_bytes()).expect("a valid submission")
+    }
+
+    /// CPU-seconds of a job.
+    fn work(&self) -> f64 {
+        f64::from(self.tasks) * self.cpus * self.run_s
+    }
 }
 
 /// A user submits a job and asks about it until it is done.
@@ -230,28 +286,33 @@
 
 /// Two urgent jobs of 30 tasks and a large one in turn, as many as the load asks for.
 async fn submit_jobs(cli: &Cli, history: &ExecutionHistory) {
-    let cpus = f64::from(cli.machines) * 8.0 * cli.load;
+    let busy_cpus = f64::from(cli.machines) * MACHINE_CPUS * cli.load;
     let mut number = 0;
     loop {
-        let (tasks, task_cpus, run_s, priority) = match number % 3 {
-            0 => (350, 1.0, 25.0, "normal"),
-            _ => (30, 4.0, 15.0, "urgent"),
-        };
-        let spec = spec(number, tasks, task_cpus, priority);
-        history.submitted(Plan { spec: spec.clone(), run_s, broken: false });
+        let class = if number % 3 == 0 { LARGE_JOB } else { URGENT_JOB };
+        let spec = class.spec(number);
+        history.add_plan(JobPlan { spec: spec.clone(), run_s: class.run_s, fails: false });
         let controller = u8::try_from(number % u32::from(cli.controllers)).unwrap_or(0);
         tokio::task::spawn_local(use_job(spec, controller));
         number += 1;
-        let work = f64::from(tasks) * task_cpus * run_s;
-        tokio::time::sleep(Duration::from_secs_f64(work / cpus)).await;
+        tokio::time::sleep(Duration::from_secs_f64(class.work() / busy_cpus)).await;
     }
 }
 
-fn print_usage(controllers: &Controllers, before: &[Usage], scheduler: &str, seconds: f64) {
-    for (n, (after, before)) in controllers.usage().iter().zip(before).enumerate() {
-        let role = if scheduler == format!("n{n}") { "planner" } else { "standby" };
+/// The role of a controller, in the words that the output lines have always had.
+fn role(controller: usize, leader: &str) -> &'static str {
+    if leader == format!("n{controller}") {
+        "planner"
+    } else {
+        "standby"
+    }
+}
+
+fn print_usage(controllers: &Controllers, before: &[Usage], leader: &str, seconds: f64) {
+    for (number, (after, before)) in controllers.usage().iter().zip(before).enumerate() {
         println!(
-            "n{n} {role}: {:.2} ms of processor time and {:.0} waits a second, {} KiB at most",
+            "n{number} {}: {:.2} ms of processor time and {:.0} waits a second, {} KiB at most",
+            role(number, leader),
             (after.processor - before.processor).as_secs_f64() * 1000.0 / seconds,
             (after.waits - before.waits) as f64 / seconds,
             after.memory_kib
@@ -259,28 +320,29 @@
     }
 }
 
-async fn play(cli: Cli) -> std::io::Result<()> {
-    let (store, history) = start_stand_ins(&cli);
+/// Measures the controllers after the warm-up, and prints what they took.
+async fn measure(cli: &Cli, stand_ins: &StandIns, controllers: &Controllers) {
+    tokio::time::sleep(Duration::from_secs(cli.warm_up)).await;
+    let leader = stand_ins.leader();
+    for (number, child) in controllers.0.iter().enumerate() {
+        println!("n{number} {}: process {}", role(number, &leader), child.id());
+    }
+    let (before, starts_before) = (controllers.usage(), stand_ins.history.total_starts());
+    tokio::time::sleep(Duration::from_secs(cli.seconds)).await;
+    let seconds = cli.seconds as f64;
+    print_usage(controllers, &before, &leader, seconds);
+    let starts = f64::from(stand_ins.history.total_starts() - starts_before) / seconds;
+    let violations = stand_ins.history.violations().len();
+    println!("{starts:.0} starts a second, {violations} broken rules");
+}
+
+async fn run(cli: Cli) -> std::io::Result<()> {
+    let stand_ins = StandIns::start(&cli);
     let controllers = Controllers::start(&cli)?;
     tokio::task::spawn_local(probe(cli.controllers));
-    let measure = async {
-        tokio::time::sleep(Duration::from_secs(cli.warm_up)).await;
-        let record = store.get(LEADER_KEY).and_then(|v| serde_json::from_value(v).ok());
-        let scheduler = record.and_then(|record: LeaderRecord| record.node).unwrap_or_default();
-        for (n, child) in controllers.0.iter().enumerate() {
-            let role = if scheduler == format!("n{n}") { "planner" } else { "standby" };
-            println!("n{n} {role}: process {}", child.id());
-        }
-        let (before, starts) = (controllers.usage(), history.starts_in_all());
-        tokio::time::sleep(Duration::from_secs(cli.seconds)).await;
-        let seconds = cli.seconds as f64;
-        print_usage(&controllers, &before, &scheduler, seconds);
-        let starts = f64::from(history.starts_in_all() - starts) / seconds;
-        println!("{starts:.0} starts a second, {} broken rules", history.broken_rules().len());
-    };
     tokio::select! {
-        () = measure => {}
-        () = submit_jobs(&cli, &history), if cli.load > 0.0 => {}
+        () = measure(&cli, &stand_ins, &controllers) => {}
+        () = submit_jobs(&cli, &stand_ins.history), if cli.load > 0.0 => {}
     }
     Ok(())
 }
@@ -288,5 +350,5 @@
 fn main() -> std::io::Result<()> {
     let cli = Cli::parse();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, play(cli))
+    tokio::task::LocalSet::new().block_on(&runtime, run(cli))
 }
--- a/crates/corkfield/tests/scenarios/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that meet claims, orders in flight and controllers that are cut off.
 
-use crate::cluster::{scenario, secs, spec, CANCEL_S, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, CANCEL_S, CONTROLLERS};
 use corkfield_fakes::Fault;
 use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::{JobView, PATH_JOBS};
@@ -13,18 +13,18 @@
             let body = String::from_utf8_lossy(&request.body);
             let claims = request.path() == PATH_TXN && body.contains("\"owner\":\"n");
             if claims {
-                Fault::Late(6.0)
+                Fault::DelayAndLoseAnswer(6.0)
             } else {
                 Fault::None
             }
         });
-        let job = spec(1, 4);
+        let job = job_spec(1, 4);
         cluster.submit(&job, 5.0).await;
-        secs(1.0).await;
+        sleep_s(1.0).await;
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
-        secs(10.0).await;
+        sleep_s(10.0).await;
         cluster.store.clear_faults();
-        assert!(cluster.record(&job.id).is_none());
+        assert!(cluster.job_record(&job.id).is_none());
         assert_eq!(cluster.status(&job.id).await, Some(JobStatus::Cancelled));
     });
 }
@@ -33,20 +33,21 @@
 fn a_cancellation_meets_an_order_in_flight() {
     scenario(2, |cluster| async move {
         for number in 1..8 {
-            let job = spec(number, 8);
+            let job = job_spec(number, 8);
             cluster.submit(&job, 40.0).await;
-            secs(0.3 * f64::from(number)).await;
+            sleep_s(0.3 * f64::from(number)).await;
             assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
-            for n in 0..NODES.len() {
+            for controller in 0..CONTROLLERS.len() {
                 let path = format!("{PATH_JOBS}/{}", job.id);
-                let (status, body) = cluster.ask(n, "GET", &path, b"").await.expect("an answer");
+                let (status, body) =
+                    cluster.request(controller, "GET", &path, b"").await.expect("an answer");
                 let view: JobView = serde_json::from_slice(&body).expect("a view");
                 assert_eq!((status, view.status), (200, JobStatus::Cancelled), "no older answer");
             }
         }
-        secs(CANCEL_S).await;
+        sleep_s(CANCEL_S).await;
         for number in 1..8 {
-            assert_eq!(cluster.history.running(&spec(number, 8).id), 0);
+            assert_eq!(cluster.history.running_tasks(&job_spec(number, 8).id), 0);
         }
     });
 }
@@ -54,21 +55,19 @@
 #[test]
 fn a_cancellation_is_kept_while_the_reporting_controller_is_cut_off_from_everything_but_workers() {
     scenario(2, |cluster| async move {
-        let job = spec(1, 12);
+        let job = job_spec(1, 12);
         cluster.submit(&job, 200.0).await;
-        secs(5.0).await;
-        let old = cluster.planner_node();
+        sleep_s(5.0).await;
+        let old = cluster.leader();
         // It answers workers, but hears of nothing; and nobody else reaches the workers.
-        for other in ["state", "cloud", "user"].into_iter().chain(NODES) {
-            cluster.net.cut(NODES[old], other);
+        for other in ["state", "cloud", "user"].into_iter().chain(CONTROLLERS) {
+            cluster.net.cut(CONTROLLERS[old], other);
         }
-        for n in (0..NODES.len()).filter(|n| *n != old) {
-            for worker in cluster.cloud.workers() {
-                cluster.net.cut(NODES[n], &worker.settings.name);
-            }
+        for controller in cluster.other_controllers(old) {
+            cluster.cut_from_workers(controller);
         }
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
-        secs(CANCEL_S + 5.0).await;
-        assert_eq!(cluster.history.running(&job.id), 0);
+        sleep_s(CANCEL_S + 5.0).await;
+        assert_eq!(cluster.history.running_tasks(&job.id), 0);
     });
 }
--- /dev/null
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -0,0 +1,118 @@
+//! The settings of the three controllers, and what the deployment consists of.
+
+use super::{CANCEL_S, CONTROLLERS, LEASE_S};
+use corkfield::settings::{Operator, Settings};
+use corkfield_fakes::WorkerSettings;
+use corkfield_wire::cloud::MachineType;
+use corkfield_wire::settings::Platform;
+use std::fmt::Write;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// What the platform grants.
+#[derive(Debug, Clone, Copy)]
+pub struct Grants {
+    /// Requests to the state service a second.
+    pub state_rps: f64,
+    /// Changes of the state service a second.
+    pub write_rps: f64,
+    /// Requests to the cloud a second.
+    pub cloud_rps: f64,
+    /// Sockets of each controller.
+    pub sockets: u32,
+}
+
+/// Enough for the few machines of most scenarios.
+pub const SMALL_GRANTS: Grants =
+    Grants { state_rps: 200.0, write_rps: 90.0, cloud_rps: 5.0, sockets: 500 };
+
+/// Where users and workers reach a controller.
+pub fn client_addr(controller: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8080))
+}
+
+/// Where a controller reaches the state service: each has an address of its own.
+pub fn store_addr(controller: usize) -> SocketAddr {
+    SocketAddr::from(([10, 2, 0, controller as u8 + 1], 2379))
+}
+
+pub fn cloud_addr() -> SocketAddr {
+    SocketAddr::from(([10, 2, 1, 1], 443))
+}
+
+/// The settings of a controller, as they are deployed.
+pub fn controller_settings(controller: usize, grants: Grants, operator: Operator) -> Settings {
+    let text = settings_text(controller, grants);
+    let platform = Platform::parse(&text).expect("the settings are valid");
+    Settings { platform, operator }
+}
+
+fn settings_text(controller: usize, grants: Grants) -> String {
+    let Grants { state_rps, write_rps, cloud_rps, sockets } = grants;
+    let mut text = String::new();
+    let number = controller + 1;
+    let name = CONTROLLERS[controller];
+    let _ = write!(
+        text,
+        "node_name = \"{name}\"\ndomain = \"z1\"\nclient_listen = \"10.0.0.{number}:8080\"\nback = \"10.0.0.{number}:8081\"\n",
+    );
+    for (other, name) in CONTROLLERS.iter().enumerate().filter(|(other, _)| *other != controller) {
+        let _ = write!(
+            text,
+            "[[seeds]]\nnode_name = \"{name}\"\ndomain = \"z1\"\nendpoint = \"10.0.0.{}:8081\"\n",
+            other + 1
+        );
+    }
+    let _ = write!(
+        text,
+        "[endpoints]\ncloud = \"10.2.1.1:443\"\nstate = \"10.2.0.{number}:2379\"\n[settings]\nsize = 3\nzones = [\"z1\", \"z2\"]\n",
+    );
+    for (name, cpus, max) in [("free", 0.0, 0.0), ("capped", 4.0, 6.0)] {
+        let _ = write!(
+            text,
+            "[[settings.teams]]\nname = \"{name}\"\ncpus = {cpus:.1}\ncpus_max = {max:.1}\n"
+        );
+    }
+    let _ = write!(
+        text,
+        "[settings.workers]\nreport_s = 2.0\nlease_s = {LEASE_S:.1}\ncancel_s = {CANCEL_S:.1}\n\
+         [settings.state]\nrps = {state_rps:.1}\nwrite_rps = {write_rps:.1}\nvalue_kb = 16.0\ntxn_ops = 12\n\
+         [settings.cloud]\nrps = {cloud_rps:.1}\nlist_lag_s = 1.0\n[settings.limits]\nsockets = {sockets}\n"
+    );
+    text
+}
+
+/// The only machine type, of eight CPUs.
+pub fn machine_type() -> MachineType {
+    MachineType {
+        name: "box".to_owned(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory_gb: 32.0,
+        cache_gb: 20.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.3,
+        boot_s: 5.0,
+        zones: vec!["z1".to_owned(), "z2".to_owned()],
+    }
+}
+
+/// What all workers have in common; the cloud fills in the rest.
+pub fn worker_template() -> WorkerSettings {
+    let controllers = CONTROLLERS.iter().enumerate();
+    WorkerSettings {
+        name: String::new(),
+        addr: client_addr(0),
+        machine_type: String::new(),
+        zone: String::new(),
+        spot: false,
+        cpus: 0.0,
+        heartbeat: Duration::from_secs(2),
+        lease: Duration::from_secs_f64(LEASE_S),
+        heartbeats_after_answers: true,
+        controllers: controllers
+            .map(|(number, name)| ((*name).to_owned(), client_addr(number)))
+            .collect(),
+    }
+}
--- a/crates/corkfield/tests/scenarios/combined_faults/close_questions.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/close_questions.rs
@@ -1,6 +1,6 @@
 //! Users ask all controllers within milliseconds of a change.
 
-use crate::cluster::{scenario, secs, spec, Cluster, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, Cluster, CONTROLLERS};
 use corkfield_fakes::Fault;
 use corkfield_wire::user::PATH_CANCEL;
 use corkfield_wire::{JobSpec, JobStatus};
@@ -9,15 +9,15 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Questions and repeats at all controllers, within milliseconds; the ledger notes what goes back.
+/// Questions and repeats at all controllers, within milliseconds; the execution history notes what goes back.
 async fn ask_all(cluster: &Rc<Cluster>, job: &JobSpec) {
     let mut asked = Vec::new();
     for wait_ms in [0, 1, 3, 10, 40] {
         tokio::time::sleep(std::time::Duration::from_millis(wait_ms)).await;
-        for node in 0..NODES.len() {
+        for node in 0..CONTROLLERS.len() {
             let (asker, job) = (cluster.clone(), job.clone());
             asked.push(tokio::task::spawn_local(async move {
-                asker.ask_about(node, &job.id, None).await;
+                asker.request_about_job(node, &job.id, None).await;
                 asker.submit_again(node, &job).await;
             }));
         }
@@ -33,39 +33,45 @@
     for (seed, slowest_s) in [(0, 0.0), (1, 0.03), (2, 0.3), (3, 0.9)] {
         scenario(3, |cluster| async move {
             let rng = RefCell::new(SmallRng::seed_from_u64(seed));
-            cluster.store.set_faults(move |_| match slowest_s > 0.0 {
-                true => Fault::Slow(rng.borrow_mut().random_range(0.0..slowest_s)),
-                false => Fault::None,
+            cluster.store.set_faults(move |_| {
+                if slowest_s > 0.0 {
+                    Fault::Delay(rng.borrow_mut().random_range(0.0..slowest_s))
+                } else {
+                    Fault::None
+                }
             });
             for number in 1..=18u32 {
-                let job = spec(number, 1 + number % 2);
-                let node = number as usize % NODES.len();
-                // The ledger has to know the job before its worker does.
-                cluster.history.submitted(corkfield_fakes::Plan {
+                let job = job_spec(number, 1 + number % 2);
+                let node = number as usize % CONTROLLERS.len();
+                // The execution history has to know the job before its worker does.
+                cluster.history.add_plan(corkfield_fakes::JobPlan {
                     spec: job.clone(),
                     run_s: if number % 3 == 0 { 120.0 } else { 1.0 },
-                    broken: false,
+                    fails: false,
                 });
                 while !matches!(cluster.submit_again(node, &job).await, Some(200 | 201)) {
-                    secs(0.2).await;
+                    sleep_s(0.2).await;
                 }
                 ask_all(&cluster, &job).await;
                 match number % 3 {
                     0 => {
-                        cluster.cancel_at((node + 1) % NODES.len(), &job.id).await;
+                        cluster.cancel_through((node + 1) % CONTROLLERS.len(), &job.id).await;
                         ask_all(&cluster, &job).await;
                     }
                     1 => {
                         // Whoever is told first that it is done, the others must know as well.
                         for round in 0..600 {
-                            let at = round % NODES.len();
-                            if cluster.ask_about(at, &job.id, None).await == Some(JobStatus::Done) {
+                            let asked = round % CONTROLLERS.len();
+                            if cluster.request_about_job(asked, &job.id, None).await
+                                == Some(JobStatus::Done)
+                            {
                                 break;
                             }
-                            secs(0.05).await;
+                            sleep_s(0.05).await;
                         }
                         ask_all(&cluster, &job).await;
-                        let after = cluster.ask_about(node, &job.id, Some(PATH_CANCEL)).await;
+                        let after =
+                            cluster.request_about_job(node, &job.id, Some(PATH_CANCEL)).await;
                         assert!(after.is_none_or(|status| status == JobStatus::Done));
                     }
                     _ => {}
--- a/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
@@ -1,6 +1,6 @@
 //! Changes of the leader, and what meets them.
 
-use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
 use corkfield_wire::store::{PATH_RENEW, PATH_WATCH};
 use corkfield_wire::JobStatus;
@@ -9,31 +9,31 @@
 fn ten_changes_of_the_leader_in_two_minutes_lose_and_double_nothing() {
     for outage in [false, true] {
         scenario(3, |cluster| async move {
-            let jobs: Vec<_> = (1..=4).map(|n| spec(n, 12)).collect();
+            let jobs: Vec<_> = (1..=4).map(|number| job_spec(number, 12)).collect();
             for job in &jobs {
                 cluster.submit(job, 40.0).await;
             }
-            let doomed = spec(9, 6);
-            cluster.submit(&doomed, 300.0).await;
+            let to_cancel = job_spec(9, 6);
+            cluster.submit(&to_cancel, 300.0).await;
             for round in 0..10 {
                 if outage && round == 4 {
                     cluster.store.set_down(true);
                 }
-                let scheduler = cluster.planner_node();
-                cluster.restart(scheduler, 0.1 + f64::from(round % 3)).await;
-                secs(if outage { 4.0 } else { 9.0 }).await;
+                let leader = cluster.leader();
+                cluster.restart(leader, 0.1 + f64::from(round % 3)).await;
+                sleep_s(if outage { 4.0 } else { 9.0 }).await;
                 if round == 2 {
-                    cluster.cancel(&doomed.id).await;
+                    cluster.cancel(&to_cancel.id).await;
                 }
                 if outage && round == 7 {
                     cluster.store.set_down(false);
-                    secs(4.0).await;
+                    sleep_s(4.0).await;
                 }
             }
             for job in &jobs {
-                cluster.until_done(&job.id, 200.0).await;
+                cluster.wait_until_done(&job.id, 200.0).await;
             }
-            assert_eq!(cluster.history.running(&doomed.id), 0);
+            assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
         });
     }
 }
@@ -44,29 +44,29 @@
     for kind in 0..3 {
         for after in [1.0, LEASE_S - 3.0, LEASE_S + 6.0] {
             scenario(3, |cluster| async move {
-                let job = spec(1, 20);
+                let job = job_spec(1, 20);
                 cluster.submit(&job, 30.0).await;
-                secs(5.0).await;
-                let worker = cluster.worker_of(&task(&job, 0));
+                sleep_s(5.0).await;
+                let worker = cluster.worker_of(&task_id(&job, 0));
                 let name = worker.settings.name.clone();
                 // It can't be returned either.
                 cluster.cloud.down.set(true);
                 match kind {
                     0 => cluster.net.cut(&name, "*"),
-                    1 => worker.deaf.set(true),
-                    _ => worker.mute.set(true),
+                    1 => worker.receives_nothing.set(true),
+                    _ => worker.sends_nothing.set(true),
                 }
-                secs(0.7).await;
-                let scheduler = cluster.planner_node();
-                cluster.restart(scheduler, 0.5).await;
-                secs(after).await;
+                sleep_s(0.7).await;
+                let leader = cluster.leader();
+                cluster.restart(leader, 0.5).await;
+                sleep_s(after).await;
                 match kind {
                     0 => cluster.net.heal(&name, "*"),
-                    1 => worker.deaf.set(false),
-                    _ => worker.mute.set(false),
+                    1 => worker.receives_nothing.set(false),
+                    _ => worker.sends_nothing.set(false),
                 }
                 cluster.cloud.down.set(false);
-                cluster.until_done(&job.id, 150.0).await;
+                cluster.wait_until_done(&job.id, 150.0).await;
             });
         }
     }
@@ -76,35 +76,38 @@
 fn a_leader_alone_with_its_workers_tells_no_user_anything_old() {
     for hung in [false, true] {
         scenario(3, |cluster| async move {
-            let (kept, doomed) = (spec(1, 8), spec(2, 8));
+            let (kept, to_cancel) = (job_spec(1, 8), job_spec(2, 8));
             cluster.submit(&kept, 40.0).await;
-            cluster.submit(&doomed, 300.0).await;
-            secs(5.0).await;
-            let old = cluster.planner_node();
-            cluster.net.cut(NODES[old], "state");
-            cluster.part(old, true);
-            secs(LEASE_S).await;
-            let new = cluster.planner_node();
+            cluster.submit(&to_cancel, 300.0).await;
+            sleep_s(5.0).await;
+            let old = cluster.leader();
+            cluster.net.cut(CONTROLLERS[old], "state");
+            cluster.cut_from_peers(old);
+            sleep_s(LEASE_S).await;
+            let new = cluster.leader();
             assert_ne!(new, old);
             if hung {
-                let worker = cluster.worker_of(&task(&doomed, 0));
+                let worker = cluster.worker_of(&task_id(&to_cancel, 0));
                 worker.set_hung(true);
                 tokio::task::spawn_local(async move {
-                    secs(LEASE_S - 3.0).await;
+                    sleep_s(LEASE_S - 3.0).await;
                     worker.set_hung(false);
                 });
             }
-            cluster.cancel_at(new, &doomed.id).await;
+            cluster.cancel_through(new, &to_cancel.id).await;
             for _ in 0..20 {
-                let told = cluster.ask_about(old, &doomed.id, None).await;
+                let told = cluster.request_about_job(old, &to_cancel.id, None).await;
                 assert_eq!(told, None, "no answer without the store");
-                secs(1.0).await;
+                sleep_s(1.0).await;
             }
-            assert_eq!(cluster.history.running(&doomed.id), 0);
-            cluster.net.heal(NODES[old], "state");
-            cluster.part(old, false);
-            cluster.until_done(&kept.id, 120.0).await;
-            assert_eq!(cluster.ask_about(old, &doomed.id, None).await, Some(JobStatus::Cancelled));
+            assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
+            cluster.net.heal(CONTROLLERS[old], "state");
+            cluster.heal_to_peers(old);
+            cluster.wait_until_done(&kept.id, 120.0).await;
+            assert_eq!(
+                cluster.request_about_job(old, &to_cancel.id, None).await,
+                Some(JobStatus::Cancelled)
+            );
         });
     }
 }
@@ -114,23 +117,23 @@
     for away in [LEASE_S - 7.0, LEASE_S + 3.0, 75.0] {
         // With room beside what still runs.
         scenario(6, |cluster| async move {
-            let (job, doomed) = (spec(1, 20), spec(2, 3));
+            let (job, to_cancel) = (job_spec(1, 20), job_spec(2, 3));
             cluster.submit(&job, 18.0).await;
-            cluster.submit(&doomed, 300.0).await;
-            secs(5.0).await;
-            cluster.cancel(&doomed.id).await;
+            cluster.submit(&to_cancel, 300.0).await;
+            sleep_s(5.0).await;
+            cluster.cancel(&to_cancel.id).await;
             // One machine stands still when they are back, the first time within its lease.
-            let hung = cluster.worker_of(&task(&job, 0));
+            let hung = cluster.worker_of(&task_id(&job, 0));
             hung.set_hung(true);
-            (0..NODES.len()).for_each(|n| cluster.kill(n));
-            secs(away).await;
-            (0..NODES.len()).for_each(|n| cluster.start(n));
-            secs(5.0).await;
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
+            sleep_s(away).await;
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.start(controller));
+            sleep_s(5.0).await;
             hung.set_hung(false);
-            secs(7.0).await;
-            assert_eq!(cluster.history.running(&doomed.id), 0);
-            cluster.until_done(&job.id, 90.0).await;
-            assert_eq!(cluster.status(&doomed.id).await, Some(JobStatus::Cancelled));
+            sleep_s(7.0).await;
+            assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
+            cluster.wait_until_done(&job.id, 90.0).await;
+            assert_eq!(cluster.status(&to_cancel.id).await, Some(JobStatus::Cancelled));
         });
     }
 }
@@ -139,26 +142,26 @@
 fn a_leader_that_stands_still_while_clocks_run_on_does_no_harm_when_it_goes_on() {
     for still in [3.0, 9.5, 11.0, LEASE_S + 2.0, 70.0] {
         scenario(3, |cluster| async move {
-            let (job, stream, doomed) = (spec(1, 10), spec(2, 200), spec(3, 4));
+            let (job, stream, to_cancel) = (job_spec(1, 10), job_spec(2, 200), job_spec(3, 4));
             cluster.submit(&job, 25.0).await;
-            cluster.submit(&doomed, 300.0).await;
+            cluster.submit(&to_cancel, 300.0).await;
             cluster.submit(&stream, 0.8).await;
-            secs(5.0).await;
-            let scheduler = cluster.planner_node();
+            sleep_s(5.0).await;
+            let leader = cluster.leader();
             let cancelling = {
-                let (cluster, id) = (cluster.clone(), doomed.id.clone());
+                let (cluster, id) = (cluster.clone(), to_cancel.id.clone());
                 tokio::task::spawn_local(async move {
-                    secs(1.0).await;
-                    cluster.cancel_at(cluster.others(scheduler)[0], &id).await;
+                    sleep_s(1.0).await;
+                    cluster.cancel_through(cluster.other_controllers(leader)[0], &id).await;
                 })
             };
-            cluster.freeze(scheduler, still).await;
+            cluster.freeze(leader, still).await;
             cancelling.await.expect("it is cancelled");
             // It wakes to orders, transactions and reports that are long over.
-            secs(LEASE_S + 6.0).await;
-            assert_eq!(cluster.history.running(&doomed.id), 0);
+            sleep_s(LEASE_S + 6.0).await;
+            assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
             for job in [&job, &stream] {
-                cluster.until_done(&job.id, 150.0).await;
+                cluster.wait_until_done(&job.id, 150.0).await;
             }
         });
     }
@@ -169,21 +172,21 @@
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(4);
         cluster.cloud.boot_s.set(20.0);
-        let mut job = spec(1, 30);
+        let mut job = job_spec(1, 30);
         job.estimate_s = 60.0;
         cluster.submit(&job, 60.0).await;
-        secs(3.0).await;
+        sleep_s(3.0).await;
         // To it the rented machines are about to come up; to the next leader they do.
-        let scheduler = cluster.planner_node();
-        cluster.freeze(scheduler, 40.0).await;
-        assert_ne!(cluster.planner_node(), scheduler);
+        let leader = cluster.leader();
+        cluster.freeze(leader, 40.0).await;
+        assert_ne!(cluster.leader(), leader);
         // And the store is out of its reach for a while yet.
-        cluster.net.cut(NODES[scheduler], "state");
-        secs(4.0).await;
-        cluster.net.heal(NODES[scheduler], "state");
-        secs(5.0).await;
+        cluster.net.cut(CONTROLLERS[leader], "state");
+        sleep_s(4.0).await;
+        cluster.net.heal(CONTROLLERS[leader], "state");
+        sleep_s(5.0).await;
         assert_eq!(cluster.cloud.workers().len(), 4, "none was returned");
-        cluster.until_done(&job.id, 120.0).await;
+        cluster.wait_until_done(&job.id, 120.0).await;
         cluster.assert_started_once(&job, "nothing was started again");
     });
 }
@@ -192,18 +195,18 @@
 fn a_leader_that_was_cut_off_from_all_returns_no_machine_when_the_cut_ends() {
     for cut_s in [20.0, 45.0] {
         scenario(4, |cluster| async move {
-            let mut job = spec(1, 30);
+            let mut job = job_spec(1, 30);
             job.estimate_s = 60.0;
             cluster.submit(&job, 90.0).await;
-            secs(5.0).await;
-            let scheduler = cluster.planner_node();
+            sleep_s(5.0).await;
+            let leader = cluster.leader();
             // The machines silent, it asks for others meanwhile.
             cluster.cloud.lose_answers.set(true);
-            cluster.net.cut(NODES[scheduler], "*");
-            secs(cut_s).await;
-            assert_ne!(cluster.planner_node(), scheduler);
+            cluster.net.cut(CONTROLLERS[leader], "*");
+            sleep_s(cut_s).await;
+            assert_ne!(cluster.leader(), leader);
             // It learns at once that its jobs are another's, so that nothing seems to need the
-            // machines, and only seconds later that another plans and its lease is lost.
+            // machines, and only seconds later that another one leads and its lease is lost.
             cluster.store.set_faults(|request| {
                 let path = request.path();
                 if path == PATH_WATCH || path.ends_with(PATH_RENEW) {
@@ -212,13 +215,13 @@
                     Fault::None
                 }
             });
-            cluster.net.heal(NODES[scheduler], "*");
-            secs(3.0).await;
+            cluster.net.heal(CONTROLLERS[leader], "*");
+            sleep_s(3.0).await;
             cluster.store.clear_faults();
             cluster.cloud.lose_answers.set(false);
-            secs(5.0).await;
+            sleep_s(5.0).await;
             assert_eq!(cluster.cloud.workers().len(), 4, "none was returned");
-            cluster.until_done(&job.id, 120.0).await;
+            cluster.wait_until_done(&job.id, 120.0).await;
             cluster.assert_started_once(&job, "nothing was started again");
         });
     }
@@ -226,37 +229,43 @@
 
 #[test]
 fn a_zone_with_a_controller_that_is_cut_off_goes_on_or_expires_and_doubles_nothing() {
-    for planner_inside in [true, false] {
+    for leader_inside in [true, false] {
         for long in [LEASE_S - 4.0, LEASE_S + 8.0] {
             scenario(4, |cluster| async move {
-                let (job, doomed) = (spec(1, 20), spec(2, 6));
+                let (job, to_cancel) = (job_spec(1, 20), job_spec(2, 6));
                 cluster.submit(&job, 30.0).await;
-                cluster.submit(&doomed, 300.0).await;
-                secs(5.0).await;
-                let scheduler = cluster.planner_node();
-                let inside = if planner_inside { scheduler } else { cluster.others(scheduler)[0] };
+                cluster.submit(&to_cancel, 300.0).await;
+                sleep_s(5.0).await;
+                let leader = cluster.leader();
+                let inside =
+                    if leader_inside { leader } else { cluster.other_controllers(leader)[0] };
                 let workers = cluster.cloud.workers();
                 let (near, far): (Vec<_>, Vec<_>) =
                     workers.iter().partition(|worker| worker.settings.zone == "z1");
                 let cuts = || {
                     let outside = ["state", "cloud", "user"].into_iter().map(str::to_owned);
-                    let outside = outside.chain(far.iter().map(|w| w.settings.name.clone()));
-                    let others = cluster.others(inside).into_iter().map(|n| NODES[n].to_owned());
+                    let outside =
+                        outside.chain(far.iter().map(|worker| worker.settings.name.clone()));
+                    let others = cluster
+                        .other_controllers(inside)
+                        .into_iter()
+                        .map(|other| CONTROLLERS[other].to_owned());
                     let outside: Vec<String> = outside.chain(others).collect();
-                    let within = near.iter().map(|w| w.settings.name.clone());
-                    let within: Vec<String> = within.chain([NODES[inside].to_owned()]).collect();
+                    let within = near.iter().map(|worker| worker.settings.name.clone());
+                    let within: Vec<String> =
+                        within.chain([CONTROLLERS[inside].to_owned()]).collect();
                     within
                         .into_iter()
                         .flat_map(move |a| outside.clone().into_iter().map(move |b| (a.clone(), b)))
                 };
                 cuts().for_each(|(a, b)| cluster.net.cut(&a, &b));
-                secs(2.0).await;
-                cluster.cancel_at(cluster.others(inside)[0], &doomed.id).await;
-                secs(long).await;
+                sleep_s(2.0).await;
+                cluster.cancel_through(cluster.other_controllers(inside)[0], &to_cancel.id).await;
+                sleep_s(long).await;
                 cuts().for_each(|(a, b)| cluster.net.heal(&a, &b));
-                secs(LEASE_S).await;
-                assert_eq!(cluster.history.running(&doomed.id), 0);
-                cluster.until_done(&job.id, 150.0).await;
+                sleep_s(LEASE_S).await;
+                assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
+                cluster.wait_until_done(&job.id, 150.0).await;
             });
         }
     }
@@ -266,27 +275,30 @@
 fn leaders_hand_over_and_back_and_one_returns_within_an_instant() {
     for back in [0.05, 0.6, 4.0] {
         scenario(2, |cluster| async move {
-            let job = spec(1, 14);
+            let job = job_spec(1, 14);
             cluster.submit(&job, 70.0).await;
-            secs(5.0).await;
+            sleep_s(5.0).await;
             let machines: Vec<String> =
-                cluster.cloud.workers().iter().map(|w| w.settings.name.clone()).collect();
+                cluster.cloud.workers().iter().map(|worker| worker.settings.name.clone()).collect();
             // Twice the workers lose their leader.
             for _ in 0..2 {
-                let scheduler = cluster.planner_node();
-                machines.iter().for_each(|machine| cluster.net.cut(NODES[scheduler], machine));
-                secs(LEASE_S).await;
-                assert_ne!(cluster.planner_node(), scheduler);
-                machines.iter().for_each(|machine| cluster.net.heal(NODES[scheduler], machine));
-                secs(2.0).await;
+                let leader = cluster.leader();
+                machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
+                sleep_s(LEASE_S).await;
+                assert_ne!(cluster.leader(), leader);
+                machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
+                sleep_s(2.0).await;
             }
-            let last = cluster.planner_node();
-            (0..NODES.len()).for_each(|n| cluster.kill(n));
-            secs(back).await;
+            let last = cluster.leader();
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
+            sleep_s(back).await;
             cluster.start(last);
-            secs(6.0).await;
-            cluster.others(last).into_iter().for_each(|n| cluster.start(n));
-            cluster.until_done(&job.id, 150.0).await;
+            sleep_s(6.0).await;
+            cluster
+                .other_controllers(last)
+                .into_iter()
+                .for_each(|controller| cluster.start(controller));
+            cluster.wait_until_done(&job.id, 150.0).await;
             cluster.assert_started_once(&job, "no lease ran out");
         });
     }
@@ -298,8 +310,8 @@
         scenario(1, |cluster| async move {
             // Two or three tasks that run one after the other.
             let jobs: Vec<_> = (1..=3)
-                .map(|n| {
-                    let mut job = spec(n, 1 + n.min(2));
+                .map(|number| {
+                    let mut job = job_spec(number, 1 + number.min(2));
                     job.cpus = 5.0;
                     job
                 })
@@ -308,12 +320,12 @@
                 cluster.submit(job, 7.0).await;
             }
             for round in 0..6u32 {
-                secs(4.0 + f64::from((seed * 7 + round * 5) % 6)).await;
-                let scheduler = cluster.planner_node();
-                cluster.restart(scheduler, 0.1 * f64::from(round)).await;
+                sleep_s(4.0 + f64::from((seed * 7 + round * 5) % 6)).await;
+                let leader = cluster.leader();
+                cluster.restart(leader, 0.1 * f64::from(round)).await;
             }
             for job in &jobs {
-                cluster.until_done(&job.id, 120.0).await;
+                cluster.wait_until_done(&job.id, 120.0).await;
                 cluster.assert_started_once(job, "nothing was started again");
             }
         });
--- a/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
@@ -1,6 +1,6 @@
 //! Transactions that are carried out at once while only their answers are lost.
 
-use crate::cluster::{scenario, secs, spec, Cluster, LEASE_S, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, Cluster, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
 use corkfield_wire::records::{
     CONTROLLERS_PREFIX, FINAL_RECORDS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_RECORDS_PREFIX,
@@ -73,12 +73,12 @@
             scenario(3, |cluster| async move {
                 let lost = lose_answers(&cluster, commit, most);
                 if commit == Commit::Membership || commit == Commit::MachineRecord {
-                    cluster.restart(cluster.planner_node(), 0.2).await;
-                    let machine = cluster.cloud.add("z1", false, 0.1);
-                    secs(1.0).await;
+                    cluster.restart(cluster.leader(), 0.2).await;
+                    let machine = cluster.cloud.add_machine("z1", false, 0.1);
+                    sleep_s(1.0).await;
                     assert!(cluster.cloud.worker(&machine).is_some());
                 }
-                let (kept, cancelled) = (spec(1, 6), spec(2, 4));
+                let (kept, cancelled) = (job_spec(1, 6), job_spec(2, 4));
                 let submitting = cluster.clone();
                 let first = kept.clone();
                 let submission =
@@ -87,15 +87,15 @@
                 let status = submission.await.expect("no panic");
                 assert!(matches!(status, 200 | 201), "{commit:?}: answered with {status}");
                 cluster.submit(&cancelled, 200.0).await;
-                secs(4.0).await;
+                sleep_s(4.0).await;
                 let (cancelling, id) = (cluster.clone(), cancelled.id.clone());
                 let cancellation = tokio::task::spawn_local(async move {
-                    cancelling.cancel_at(0, &id).await;
+                    cancelling.cancel_through(0, &id).await;
                 });
                 watch_all(&cluster, &cancelled.id, 2.5).await;
                 cancellation.await.expect("cancelled");
                 watch_all(&cluster, &kept.id, 6.0).await;
-                cluster.until_done(&kept.id, 60.0).await;
+                cluster.wait_until_done(&kept.id, 60.0).await;
                 assert_eq!(cluster.status(&cancelled.id).await, Some(JobStatus::Cancelled));
                 assert!(lost.get() >= 1, "{commit:?}: no answer was lost");
                 cluster.assert_started_once(&kept, "a lost answer starts nothing again");
@@ -107,55 +107,51 @@
 #[test]
 fn a_hand_over_without_an_answer_leaves_one_leader() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 20);
+        let job = job_spec(1, 20);
         cluster.submit(&job, 14.0).await;
-        secs(4.0).await;
+        sleep_s(4.0).await;
         let lost = lose_answers(&cluster, Commit::HandOver, 2);
-        let scheduler = cluster.planner_node();
-        for worker in cluster.cloud.workers() {
-            cluster.net.cut(NODES[scheduler], &worker.settings.name);
-        }
-        secs(LEASE_S).await;
+        let leader = cluster.leader();
+        cluster.cut_from_workers(leader);
+        sleep_s(LEASE_S).await;
         assert!(lost.get() >= 1, "no answer to a hand-over was lost");
-        assert_ne!(cluster.planner_node(), scheduler);
-        for worker in cluster.cloud.workers() {
-            cluster.net.heal(NODES[scheduler], &worker.settings.name);
-        }
-        cluster.until_done(&job.id, 90.0).await;
+        assert_ne!(cluster.leader(), leader);
+        cluster.heal_to_workers(leader);
+        cluster.wait_until_done(&job.id, 90.0).await;
     });
 }
 
-/// Asks all controllers about a job again and again; the ledger notes answers that go back.
+/// Asks all controllers about a job again and again; the execution history notes answers that go back.
 async fn watch_all(cluster: &Rc<Cluster>, id: &corkfield_wire::JobId, seconds: f64) {
     let rounds = (seconds / 0.05) as usize;
     for round in 0..rounds {
         let (asker, id) = (cluster.clone(), id.clone());
         tokio::task::spawn_local(async move {
-            asker.ask_about(round % NODES.len(), &id, None).await;
+            asker.request_about_job(round % CONTROLLERS.len(), &id, None).await;
         });
-        secs(0.05).await;
+        sleep_s(0.05).await;
     }
 }
 
 #[test]
 fn a_cancellation_without_an_answer_is_asked_for_again_elsewhere() {
     scenario(2, |cluster| async move {
-        let job = spec(1, 4);
+        let job = job_spec(1, 4);
         cluster.submit(&job, 200.0).await;
-        secs(3.0).await;
+        sleep_s(3.0).await;
         lose_answers(&cluster, Commit::Cancellation, 1);
         // The user gives up on the first controller before it knows.
         let (first, id) = (cluster.clone(), job.id.clone());
         tokio::task::spawn_local(async move {
-            first.ask_about(0, &id, Some(PATH_CANCEL)).await;
+            first.request_about_job(0, &id, Some(PATH_CANCEL)).await;
         });
-        secs(0.1).await;
-        let told = cluster.ask_about(1, &job.id, Some(PATH_CANCEL)).await;
+        sleep_s(0.1).await;
+        let told = cluster.request_about_job(1, &job.id, Some(PATH_CANCEL)).await;
         assert_eq!(told, Some(JobStatus::Cancelled));
-        for node in 0..NODES.len() {
-            assert_eq!(cluster.ask_about(node, &job.id, None).await, told);
+        for node in 0..CONTROLLERS.len() {
+            assert_eq!(cluster.request_about_job(node, &job.id, None).await, told);
         }
-        secs(4.0).await;
-        assert_eq!(cluster.history.running(&job.id), 0);
+        sleep_s(4.0).await;
+        assert_eq!(cluster.history.running_tasks(&job.id), 0);
     });
 }
--- a/crates/corkfield/tests/scenarios/combined_faults/machines.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/machines.rs
@@ -1,33 +1,38 @@
 //! Machines that can't be asked, limits and zones.
 
-use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_wire::{JobStatus, Priority};
 
 #[test]
 fn workers_that_reach_no_controller_expire_and_obey_direct_orders_meanwhile() {
     for (all, failover) in [(false, false), (false, true), (true, false), (true, true)] {
         scenario(3, |cluster| async move {
-            let (job, doomed) = (spec(1, 14), spec(2, 6));
+            let (job, to_cancel) = (job_spec(1, 14), job_spec(2, 6));
             cluster.submit(&job, 25.0).await;
-            cluster.submit(&doomed, 300.0).await;
-            secs(5.0).await;
-            let mute: Vec<_> = match all {
-                true => cluster.cloud.workers(),
-                false => vec![cluster.worker_of(&task(&doomed, 0))],
+            cluster.submit(&to_cancel, 300.0).await;
+            sleep_s(5.0).await;
+            let silent: Vec<_> = if all {
+                cluster.cloud.workers()
+            } else {
+                vec![cluster.worker_of(&task_id(&to_cancel, 0))]
             };
-            mute.iter().for_each(|worker| worker.mute.set(true));
-            secs(1.0).await;
-            cluster.cancel(&doomed.id).await;
+            silent.iter().for_each(|worker| worker.sends_nothing.set(true));
+            sleep_s(1.0).await;
+            cluster.cancel(&to_cancel.id).await;
             if failover {
-                let scheduler = cluster.planner_node();
-                cluster.restart(scheduler, 0.3).await;
+                let leader = cluster.leader();
+                cluster.restart(leader, 0.3).await;
             } else {
-                secs(2.5).await;
-                assert_eq!(cluster.history.running(&doomed.id), 0, "direct orders reach them");
+                sleep_s(2.5).await;
+                assert_eq!(
+                    cluster.history.running_tasks(&to_cancel.id),
+                    0,
+                    "direct orders reach them"
+                );
             }
-            secs(LEASE_S + 8.0).await;
-            mute.iter().for_each(|worker| worker.mute.set(false));
-            cluster.until_done(&job.id, 120.0).await;
+            sleep_s(LEASE_S + 8.0).await;
+            silent.iter().for_each(|worker| worker.sends_nothing.set(false));
+            cluster.wait_until_done(&job.id, 120.0).await;
         });
     }
 }
@@ -37,29 +42,29 @@
     for (hung_s, when) in [(4.0, 0.5), (9.0, 2.0), (LEASE_S + 3.0, 0.0), (LEASE_S - 1.0, 5.0)] {
         scenario(4, |cluster| async move {
             let capped = |number: u32, tasks: u32, cpus: f64| {
-                let mut job = spec(number, tasks);
+                let mut job = job_spec(number, tasks);
                 (job.team, job.cpus) = ("capped".to_owned(), cpus);
                 job
             };
             let (first, second, third) = (capped(1, 2, 1.0), capped(2, 2, 2.0), capped(3, 9, 2.0));
             cluster.submit(&first, 30.0).await;
             cluster.submit(&second, 300.0).await;
-            secs(4.0).await;
+            sleep_s(4.0).await;
             cluster.submit(&third, 4.0).await;
-            secs(1.0).await;
-            let worker = cluster.worker_of(&task(&second, 0));
+            sleep_s(1.0).await;
+            let worker = cluster.worker_of(&task_id(&second, 0));
             worker.set_hung(true);
             cluster.cloud.down.set(true);
-            let scheduler = cluster.planner_node();
-            cluster.restart(scheduler, 0.3).await;
-            secs(when).await;
+            let leader = cluster.leader();
+            cluster.restart(leader, 0.3).await;
+            sleep_s(when).await;
             // What is cancelled counts until it is surely gone.
             cluster.cancel(&second.id).await;
-            secs(hung_s).await;
+            sleep_s(hung_s).await;
             worker.set_hung(false);
             cluster.cloud.down.set(false);
             for job in [&first, &third] {
-                cluster.until_done(&job.id, 150.0).await;
+                cluster.wait_until_done(&job.id, 150.0).await;
             }
         });
     }
@@ -69,21 +74,21 @@
 fn work_bound_to_a_zone_waits_for_no_machines_elsewhere() {
     for (tasks, busy) in [(3, false), (3, true), (24, true)] {
         scenario(4, |cluster| async move {
-            let mut bound = spec(1, tasks);
+            let mut bound = job_spec(1, tasks);
             bound.zone = Some("z1".to_owned());
             cluster.submit(&bound, 12.0).await;
             // The other zone's machines are idle, or busy and kept by their work.
-            let mut elsewhere = spec(2, if busy { 80 } else { 1 });
+            let mut elsewhere = job_spec(2, if busy { 80 } else { 1 });
             elsewhere.zone = Some("z2".to_owned());
             cluster.submit(&elsewhere, 6.0).await;
-            secs(5.0).await;
+            sleep_s(5.0).await;
             for worker in cluster.cloud.workers() {
                 if worker.settings.zone == "z1" {
-                    cluster.cloud.take(&worker.settings.name);
+                    cluster.cloud.reclaim(&worker.settings.name);
                 }
             }
-            cluster.until_done(&bound.id, 75.0).await;
-            cluster.until_done(&elsewhere.id, 120.0).await;
+            cluster.wait_until_done(&bound.id, 75.0).await;
+            cluster.wait_until_done(&elsewhere.id, 120.0).await;
         });
     }
 }
@@ -91,23 +96,23 @@
 #[test]
 fn work_that_nobody_began_waits_for_no_silent_machine_after_a_failover() {
     scenario(4, |cluster| async move {
-        let (long, next) = (spec(1, 32), spec(2, 10));
+        let (long, next) = (job_spec(1, 32), job_spec(2, 10));
         cluster.submit(&long, 300.0).await;
-        secs(5.0).await;
+        sleep_s(5.0).await;
         // There is no room for it yet.
         cluster.submit(&next, 3.0).await;
-        secs(2.0).await;
+        sleep_s(2.0).await;
         cluster.cloud.down.set(true);
-        let worker = cluster.worker_of(&task(&long, 0));
-        worker.deaf.set(true);
-        let scheduler = cluster.planner_node();
-        cluster.restart(scheduler, 0.2).await;
+        let worker = cluster.worker_of(&task_id(&long, 0));
+        worker.receives_nothing.set(true);
+        let leader = cluster.leader();
+        cluster.restart(leader, 0.2).await;
         cluster.cancel(&long.id).await;
-        let waited = cluster.until_done(&next.id, 60.0).await;
+        let waited = cluster.wait_until_done(&next.id, 60.0).await;
         assert!(waited < 14.0, "{waited} s: no longer than if all machines had answered");
-        worker.deaf.set(false);
+        worker.receives_nothing.set(false);
         cluster.cloud.down.set(false);
-        secs(LEASE_S + 3.0).await;
+        sleep_s(LEASE_S + 3.0).await;
     });
 }
 
@@ -115,29 +120,29 @@
 fn jobs_that_must_stay_together_or_apart_do_so_through_take_overs_and_losses() {
     for seed in 0..3u32 {
         scenario(4, |cluster| async move {
-            let (mut together, mut apart) = (spec(1, 150), spec(2, 9));
+            let (mut together, mut apart) = (job_spec(1, 150), job_spec(2, 9));
             (together.one_zone, together.cpus) = (true, 0.2);
             apart.spread = true;
             cluster.submit(&together, 6.0).await;
             cluster.submit(&apart, 20.0).await;
-            secs(4.0 + f64::from(seed)).await;
+            sleep_s(4.0 + f64::from(seed)).await;
             // Two of its machines are silent in the failover.
             let silent =
-                [cluster.worker_of(&task(&together, 0)), cluster.worker_of(&task(&apart, 0))];
+                [cluster.worker_of(&task_id(&together, 0)), cluster.worker_of(&task_id(&apart, 0))];
             silent.iter().for_each(|worker| worker.set_hung(true));
-            let scheduler = cluster.planner_node();
-            cluster.restart(scheduler, 0.3).await;
-            secs(7.0).await;
+            let leader = cluster.leader();
+            cluster.restart(leader, 0.3).await;
+            sleep_s(7.0).await;
             silent.iter().for_each(|worker| worker.set_hung(false));
-            secs(4.0).await;
+            sleep_s(4.0).await;
             let zone = silent[0].settings.zone.clone();
             for worker in cluster.cloud.workers() {
                 if worker.settings.zone == zone {
-                    cluster.cloud.take(&worker.settings.name);
+                    cluster.cloud.reclaim(&worker.settings.name);
                 }
             }
             for job in [&together, &apart] {
-                cluster.until_done(&job.id, 200.0).await;
+                cluster.wait_until_done(&job.id, 200.0).await;
             }
         });
     }
@@ -149,7 +154,7 @@
         cluster.net.set_latency(std::time::Duration::from_millis(120));
         let mut urgent = Vec::new();
         for number in 1..=12 {
-            let mut job = spec(number, 8);
+            let mut job = job_spec(number, 8);
             job.priority = [Priority::High, Priority::Normal, Priority::Low][number as usize % 3];
             job.cpus = f64::from(1 + number % 2);
             if job.priority == Priority::High {
@@ -157,17 +162,17 @@
             }
             cluster.submit(&job, 5.0).await;
         }
-        let scheduler = cluster.planner_node();
-        cluster.restart(scheduler, 0.5).await;
+        let leader = cluster.leader();
+        cluster.restart(leader, 0.5).await;
         let started = tokio::time::Instant::now();
         for job in &urgent {
-            cluster.until_done(&job.id, 120.0).await;
+            cluster.wait_until_done(&job.id, 120.0).await;
         }
         // A quarter of the work, and less.
         let seconds = started.elapsed().as_secs_f64();
         assert!(seconds < 24.0, "{seconds} s");
         for number in 1..=12 {
-            cluster.until_done(&spec(number, 8).id, 400.0).await;
+            cluster.wait_until_done(&job_spec(number, 8).id, 400.0).await;
         }
     });
 }
@@ -176,24 +181,26 @@
 fn commands_and_answers_that_are_held_up_for_seconds_are_carried_out_or_void() {
     for held_s in [0.7, 2.0, 3.8, 4.5, 8.0] {
         scenario(2, |cluster| async move {
-            let stream = spec(1, 120);
+            let stream = job_spec(1, 120);
             cluster.submit(&stream, 1.3).await;
             let workers = cluster.cloud.workers();
             for number in 2..8 {
-                let doomed = spec(number, 3);
-                cluster.submit(&doomed, 200.0).await;
-                secs(2.5).await;
-                let scheduler = cluster.planner_node();
+                let to_cancel = job_spec(number, 3);
+                cluster.submit(&to_cancel, 200.0).await;
+                sleep_s(2.5).await;
+                let leader = cluster.leader();
                 let name = &workers[number as usize % 2].settings.name;
-                cluster.net.cut(NODES[scheduler], name);
-                secs(0.2).await;
-                assert_eq!(cluster.cancel(&doomed.id).await, Some(JobStatus::Cancelled));
-                secs(held_s).await;
-                cluster.net.heal(NODES[scheduler], name);
+                cluster.net.cut(CONTROLLERS[leader], name);
+                sleep_s(0.2).await;
+                assert_eq!(cluster.cancel(&to_cancel.id).await, Some(JobStatus::Cancelled));
+                sleep_s(held_s).await;
+                cluster.net.heal(CONTROLLERS[leader], name);
             }
-            cluster.until_done(&stream.id, 200.0).await;
-            secs(LEASE_S).await;
-            assert!((2..8).all(|number| cluster.history.running(&spec(number, 3).id) == 0));
+            cluster.wait_until_done(&stream.id, 200.0).await;
+            sleep_s(LEASE_S).await;
+            assert!(
+                (2..8).all(|number| cluster.history.running_tasks(&job_spec(number, 3).id) == 0)
+            );
         });
     }
 }
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -1,6 +1,6 @@
 //! Messages that arrive late: reports, transactions.
 
-use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
 use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::worker::PATH_HEARTBEAT;
@@ -12,25 +12,25 @@
 fn a_heartbeat_held_back_until_a_new_leader_has_acted_proves_nothing() {
     for held_s in [3.0, 9.0, 16.0, 30.0, 45.0] {
         scenario(3, |cluster| async move {
-            let job = spec(1, 20);
+            let job = job_spec(1, 20);
             cluster.submit(&job, 14.0).await;
-            secs(5.0).await;
-            let worker = cluster.worker_of(&task(&job, 0));
+            sleep_s(5.0).await;
+            let worker = cluster.worker_of(&task_id(&job, 0));
             let name = worker.settings.name.clone();
             cluster.cloud.down.set(true);
             // Its reports to each controller are under way when the leader ends.
-            for node in NODES {
+            for node in CONTROLLERS {
                 cluster.net.cut(&name, node);
             }
-            secs(1.0).await;
-            let scheduler = cluster.planner_node();
-            cluster.restart(scheduler, 0.4).await;
-            secs(held_s).await;
-            for node in NODES {
+            sleep_s(1.0).await;
+            let leader = cluster.leader();
+            cluster.restart(leader, 0.4).await;
+            sleep_s(held_s).await;
+            for node in CONTROLLERS {
                 cluster.net.heal(&name, node);
             }
             cluster.cloud.down.set(false);
-            cluster.until_done(&job.id, 150.0).await;
+            cluster.wait_until_done(&job.id, 150.0).await;
         });
     }
 }
@@ -40,12 +40,12 @@
     for seed in 0..3 {
         scenario(3, |cluster| async move {
             let mut rng = SmallRng::seed_from_u64(seed);
-            let jobs: Vec<_> = (1..=3).map(|n| spec(n, 30)).collect();
+            let jobs: Vec<_> = (1..=3).map(|number| job_spec(number, 30)).collect();
             for job in &jobs {
                 cluster.submit(job, 3.0).await;
             }
             for round in 0..160 {
-                secs(0.25).await;
+                sleep_s(0.25).await;
                 let workers = cluster.cloud.workers();
                 let Some(worker) = workers.get(rng.random_range(0..workers.len().max(1))) else {
                     // All was done sooner, and the machines were returned.
@@ -54,8 +54,8 @@
                 // Of this session, of an earlier one, of an earlier attempt.
                 let sent = worker.sent_heartbeats();
                 if let Some(copy) = sent.get(rng.random_range(0..sent.len().max(1))) {
-                    let n = rng.random_range(0..NODES.len());
-                    cluster.ask(n, "POST", PATH_HEARTBEAT, copy).await;
+                    let controller = rng.random_range(0..CONTROLLERS.len());
+                    cluster.request(controller, "POST", PATH_HEARTBEAT, copy).await;
                 }
                 match round {
                     40 => {
@@ -63,19 +63,19 @@
                         let hung = worker.clone();
                         hung.set_hung(true);
                         tokio::task::spawn_local(async move {
-                            secs(LEASE_S + 1.0).await;
+                            sleep_s(LEASE_S + 1.0).await;
                             hung.set_hung(false);
                         });
                     }
                     90 => {
-                        let scheduler = cluster.planner_node();
-                        cluster.restart(scheduler, 0.2).await;
+                        let leader = cluster.leader();
+                        cluster.restart(leader, 0.2).await;
                     }
                     _ => {}
                 }
             }
             for job in &jobs {
-                cluster.until_done(&job.id, 120.0).await;
+                cluster.wait_until_done(&job.id, 120.0).await;
             }
         });
     }
@@ -89,39 +89,39 @@
             cluster.store.set_faults(move |request| {
                 let mut rng = rng.borrow_mut();
                 if request.path() == PATH_TXN && rng.random_bool(0.2) {
-                    Fault::Late(rng.random_range(2.0..12.0))
+                    Fault::DelayAndLoseAnswer(rng.random_range(2.0..12.0))
                 } else {
                     Fault::None
                 }
             });
-            let jobs: Vec<_> = (1..=6).map(|n| spec(n, 10)).collect();
+            let jobs: Vec<_> = (1..=6).map(|number| job_spec(number, 10)).collect();
             for job in &jobs {
                 cluster.submit(job, 4.0).await;
             }
-            let doomed = spec(9, 6);
-            cluster.submit(&doomed, 300.0).await;
+            let to_cancel = job_spec(9, 6);
+            cluster.submit(&to_cancel, 300.0).await;
             // A hand-over, a crash and a cancellation among them.
-            let scheduler = cluster.planner_node();
+            let leader = cluster.leader();
             let machines: Vec<String> =
-                cluster.cloud.workers().iter().map(|w| w.settings.name.clone()).collect();
-            machines.iter().for_each(|machine| cluster.net.cut(NODES[scheduler], machine));
-            secs(LEASE_S - 1.0).await;
-            machines.iter().for_each(|machine| cluster.net.heal(NODES[scheduler], machine));
-            cluster.cancel(&doomed.id).await;
-            let scheduler = cluster.planner_node();
-            cluster.restart(scheduler, 0.3).await;
+                cluster.cloud.workers().iter().map(|worker| worker.settings.name.clone()).collect();
+            machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
+            sleep_s(LEASE_S - 1.0).await;
+            machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
+            cluster.cancel(&to_cancel.id).await;
+            let leader = cluster.leader();
+            cluster.restart(leader, 0.3).await;
             for job in &jobs {
-                cluster.until_done(&job.id, 250.0).await;
+                cluster.wait_until_done(&job.id, 250.0).await;
             }
             cluster.store.clear_faults();
-            secs(14.0).await;
-            assert_eq!(cluster.history.running(&doomed.id), 0);
+            sleep_s(14.0).await;
+            assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
             for job in &jobs {
-                cluster.until_done(&job.id, 5.0).await;
+                cluster.wait_until_done(&job.id, 5.0).await;
             }
-            let last = spec(20, 4);
+            let last = job_spec(20, 4);
             cluster.submit(&last, 2.0).await;
-            cluster.until_done(&last.id, 30.0).await;
+            cluster.wait_until_done(&last.id, 30.0).await;
         });
     }
 }
--- a/crates/corkfield/tests/scenarios/combined_faults/users.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/users.rs
@@ -1,6 +1,6 @@
 //! What users ask meets the end of a job.
 
-use crate::cluster::{scenario, secs, spec, NODES};
+use crate::cluster::{job_spec, scenario, sleep_s, CONTROLLERS};
 use corkfield_fakes::Fault;
 use corkfield_wire::store::{Transaction, PATH_TXN};
 use corkfield_wire::user::PATH_CANCEL;
@@ -10,51 +10,53 @@
 
 #[test]
 fn a_cancellation_a_question_or_a_repeat_meets_the_end_of_the_last_task() {
-    for (planner_ends, slow_s) in [(false, 0.0), (true, 0.0), (false, 0.12), (true, 0.3)] {
+    for (leader_ends, slow_s) in [(false, 0.0), (true, 0.0), (false, 0.12), (true, 0.3)] {
         scenario(4, |cluster| async move {
             // Between a read of the job and the write that ends it another one may come.
             cluster.store.set_faults(move |request| match request.path() {
-                PATH_TXN if slow_s > 0.0 => Fault::Slow(slow_s),
+                PATH_TXN if slow_s > 0.0 => Fault::Delay(slow_s),
                 _ => Fault::None,
             });
             let mut asking = Vec::new();
             for number in 0..24u32 {
-                let job = spec(number + 1, 1 + number % 3);
+                let job = job_spec(number + 1, 1 + number % 3);
                 cluster.submit(&job, 2.0).await;
                 // From before the end of the last task to after it was stored.
                 let wait = 1.9 + 3.0 * slow_s + 0.06 * f64::from(number);
                 let asker = cluster.clone();
                 asking.push(tokio::task::spawn_local(async move {
-                    secs(wait).await;
-                    let n = number as usize % NODES.len();
+                    sleep_s(wait).await;
+                    let first = number as usize % CONTROLLERS.len();
                     let (id, verb) = (&job.id, (number % 2 == 0).then_some(PATH_CANCEL));
                     for round in 0..12 {
-                        let at = (n + round) % NODES.len();
+                        let controller = (first + round) % CONTROLLERS.len();
                         // The answer to a cancellation may take its time; others ask meanwhile.
-                        let (patient, doomed) = (asker.clone(), id.clone());
+                        let (requester, to_cancel) = (asker.clone(), id.clone());
                         tokio::task::spawn_local(async move {
-                            patient.ask_about(at, &doomed, verb).await;
+                            requester.request_about_job(controller, &to_cancel, verb).await;
                         });
                         tokio::join!(
-                            asker.ask_about((at + 1) % NODES.len(), id, None),
-                            asker.submit_again((at + 2) % NODES.len(), &job),
+                            asker.request_about_job((controller + 1) % CONTROLLERS.len(), id, None),
+                            asker.submit_again((controller + 2) % CONTROLLERS.len(), &job),
                         );
                         for wait in [0.03, 0.04, 0.04, 0.04] {
-                            secs(wait).await;
-                            asker.ask_about((at + 1) % NODES.len(), id, None).await;
+                            sleep_s(wait).await;
+                            asker
+                                .request_about_job((controller + 1) % CONTROLLERS.len(), id, None)
+                                .await;
                         }
                     }
                     let status = asker.status(id).await.expect("known");
                     if verb.is_some() {
                         assert!(status.is_final(), "{id} is {status:?}");
                     } else {
-                        asker.until_done(id, 60.0).await;
+                        asker.wait_until_done(id, 60.0).await;
                     }
                 }));
-                secs(0.3).await;
-                if planner_ends && number == 12 {
-                    let scheduler = cluster.planner_node();
-                    cluster.restart(scheduler, 0.2).await;
+                sleep_s(0.3).await;
+                if leader_ends && number == 12 {
+                    let leader = cluster.leader();
+                    cluster.restart(leader, 0.2).await;
                 }
             }
             for asked in asking {
@@ -71,22 +73,28 @@
             let cancels = request.path() == PATH_TXN
                 && String::from_utf8_lossy(&request.body).contains("aborted");
             if cancels {
-                Fault::Slow(1.2)
+                Fault::Delay(1.2)
             } else {
                 Fault::None
             }
         });
         for number in 1..=8u32 {
-            let job = spec(number, 2);
+            let job = job_spec(number, 2);
             cluster.submit(&job, 2.0).await;
-            secs(1.5 + 0.1 * f64::from(number)).await;
-            let (patient, doomed) = (cluster.clone(), job.id.clone());
+            sleep_s(1.5 + 0.1 * f64::from(number)).await;
+            let (requester, to_cancel) = (cluster.clone(), job.id.clone());
             let cancelling = tokio::task::spawn_local(async move {
-                patient.ask_about(number as usize % NODES.len(), &doomed, Some(PATH_CANCEL)).await
+                requester
+                    .request_about_job(
+                        number as usize % CONTROLLERS.len(),
+                        &to_cancel,
+                        Some(PATH_CANCEL),
+                    )
+                    .await
             });
             for round in 0..30 {
-                cluster.ask_about(round % NODES.len(), &job.id, None).await;
-                secs(0.05).await;
+                cluster.request_about_job(round % CONTROLLERS.len(), &job.id, None).await;
+                sleep_s(0.05).await;
             }
             assert!(cancelling.await.expect("no panic").is_some_and(|status| status.is_final()));
         }
@@ -108,17 +116,17 @@
             }
             Fault::None
         });
-        let mut huge = spec(1, 2000);
+        let mut huge = job_spec(1, 2000);
         (huge.cpus, huge.memory_gb) = (0.25, 0.2);
         cluster.submit(&huge, 1.0).await;
-        let mut spare = spec(2, 20);
+        let mut spare = job_spec(2, 20);
         spare.priority = Priority::Low;
         cluster.submit(&spare, 60.0).await;
         let swarm: Vec<JobSpec> = (100..250)
-            .map(|number| JobSpec { cpus: 0.25, memory_gb: 0.1, ..spec(number, 1) })
+            .map(|number| JobSpec { cpus: 0.25, memory_gb: 0.1, ..job_spec(number, 1) })
             .collect();
-        let usual: Vec<JobSpec> = (3..9).map(|number| spec(number, 10)).collect();
-        let urgent = JobSpec { priority: Priority::High, cpus: 4.0, ..spec(9, 2) };
+        let usual: Vec<JobSpec> = (3..9).map(|number| job_spec(number, 10)).collect();
+        let urgent = JobSpec { priority: Priority::High, cpus: 4.0, ..job_spec(9, 2) };
         for job in swarm.iter().chain(&usual).chain([&urgent]) {
             cluster.submit(job, 2.0).await;
         }
@@ -129,19 +137,19 @@
                 let (asker, id) = (cluster.clone(), job.id.clone());
                 let (asked, late) = (asked.clone(), late.clone());
                 tokio::task::spawn_local(async move {
-                    let at = tokio::time::Instant::now();
-                    let told = asker.ask_about(round % NODES.len(), &id, None).await;
+                    let asked_at = tokio::time::Instant::now();
+                    let told = asker.request_about_job(round % CONTROLLERS.len(), &id, None).await;
                     asked.set(asked.get() + 1);
-                    if told.is_none() || at.elapsed().as_secs_f64() > 2.0 {
+                    if told.is_none() || asked_at.elapsed().as_secs_f64() > 2.0 {
                         late.set(late.get() + 1);
                     }
                 });
             }
-            secs(0.1).await;
+            sleep_s(0.1).await;
         }
-        cluster.until_done(&urgent.id, 30.0).await;
+        cluster.wait_until_done(&urgent.id, 30.0).await;
         for job in swarm.iter().chain(&usual).chain([&huge, &spare]) {
-            cluster.until_done(&job.id, 240.0).await;
+            cluster.wait_until_done(&job.id, 240.0).await;
         }
         let seconds = started.elapsed().as_secs_f64();
         assert!(seconds < 240.0, "{seconds} s");
--- a/crates/corkfield/tests/scenarios/fleet/large.rs
+++ b/crates/corkfield/tests/scenarios/fleet/large.rs
@@ -1,6 +1,6 @@
 //! Fleets above the size that the service was first built for. Bounds are counts.
 
-use crate::cluster::{scenario_with, secs, spec, Cluster, Grants, CANCEL_S};
+use crate::cluster::{job_spec, scenario_with_grants, sleep_s, Cluster, Grants, CANCEL_S};
 use corkfield_fakes::Fault;
 use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::JobSpec;
@@ -21,21 +21,22 @@
 /// Waits until so many tasks were started.
 async fn until_started(cluster: &Cluster, starts: u32, limit_s: f64) {
     let started = tokio::time::Instant::now();
-    while cluster.history.starts_in_all() < starts {
+    while cluster.history.total_starts() < starts {
         let waited = started.elapsed().as_secs_f64();
-        assert!(waited < limit_s, "{} of {starts} starts", cluster.history.starts_in_all());
-        secs(0.5).await;
+        assert!(waited < limit_s, "{} of {starts} starts", cluster.history.total_starts());
+        sleep_s(0.5).await;
     }
 }
 
 /// Machines come up, jobs are called off, the leader ends while a part of the machines is silent,
 /// and all other jobs are done: no worker loses its lease, and nothing is started twice.
 fn comes_up_and_is_taken_over(machines: usize) {
-    scenario_with(grants(machines), 16, |cluster| async move {
+    scenario_with_grants(grants(machines), 16, |cluster| async move {
         cluster.cloud.capacity.set(machines);
         let count = u32::try_from(machines * 8 / 2500).expect("not that many");
-        let jobs: Vec<_> =
-            (0..count).map(|n| JobSpec { estimate_s: 20.0, ..spec(n, 2500) }).collect();
+        let jobs: Vec<_> = (0..count)
+            .map(|number| JobSpec { estimate_s: 20.0, ..job_spec(number, 2500) })
+            .collect();
         for job in &jobs {
             cluster.submit(job, 22.0).await;
         }
@@ -43,19 +44,19 @@
         until_started(&cluster, count * 2500 * 9 / 10, 40.0).await;
         let hung: Vec<_> = cluster.cloud.workers().into_iter().step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
-        cluster.restart(cluster.planner_node(), 0.3).await;
+        cluster.restart(cluster.leader(), 0.3).await;
         for job in called_off {
             cluster.cancel(&job.id).await;
         }
-        secs(6.0).await;
+        sleep_s(6.0).await;
         hung.iter().for_each(|worker| worker.set_hung(false));
         for job in others {
-            cluster.until_done(&job.id, 60.0).await;
+            cluster.wait_until_done(&job.id, 60.0).await;
             cluster.assert_started_once(job, "no lease ran out");
         }
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
         assert_eq!(agent_epochs, Some(1), "no lease ran out");
-        secs(CANCEL_S).await;
+        sleep_s(CANCEL_S).await;
     });
 }
 
@@ -72,16 +73,16 @@
 #[test]
 fn hundreds_of_jobs_are_claimed_in_few_transactions_after_a_failover() {
     let grants = Grants { state_rps: 300.0, write_rps: 120.0, ..grants(1700) };
-    scenario_with(grants, 20, |cluster| async move {
+    scenario_with_grants(grants, 20, |cluster| async move {
         // More than the machines can do: nearly all of them wait.
-        let jobs: Vec<_> = (0..800).map(|n| spec(n, 2)).collect();
+        let jobs: Vec<_> = (0..800).map(|number| job_spec(number, 2)).collect();
         for job in &jobs {
             cluster.submit(job, 60.0).await;
         }
-        let (_, term_before) = cluster.scheduler().expect("somebody plans");
-        cluster.restart(cluster.planner_node(), 0.3).await;
-        while cluster.scheduler().is_none_or(|(_, term)| term == term_before) {
-            secs(0.1).await;
+        let term_before = cluster.elected_leader().expect("there is a leader").term;
+        cluster.restart(cluster.leader(), 0.3).await;
+        while cluster.elected_leader().is_none_or(|leader| leader.term == term_before) {
+            sleep_s(0.1).await;
         }
         let started = tokio::time::Instant::now();
         let claims = Rc::new(Cell::new(0));
@@ -92,16 +93,14 @@
             counted.set(counted.get() + u32::from(is_claim && body.contains("\"put\":\"c/jobs/")));
             Fault::None
         });
-        let (scheduler, _) = cluster.scheduler().expect("somebody plans");
+        let leader = cluster.leader();
         loop {
-            let view = cluster.ask(scheduler, "GET", "/operator/overview", b"").await;
-            let view: serde_json::Value =
-                serde_json::from_slice(&view.expect("an answer").1).expect("an overview");
+            let view = cluster.overview(leader).await;
             let claimed = view["planning"]["jobs"].as_u64();
             if claimed.is_some() && claimed == view["unfinished_jobs"].as_u64() {
                 break;
             }
-            secs(0.1).await;
+            sleep_s(0.1).await;
         }
         // The changes that may be written a second set the time; four records at a time would
         // take 200 transactions besides.
--- a/crates/corkfield/tests/scenarios/fleet/mod.rs
+++ b/crates/corkfield/tests/scenarios/fleet/mod.rs
@@ -2,7 +2,7 @@
 
 mod large;
 
-use crate::cluster::{scenario_with, secs, spec, Cluster, Grants, NODES};
+use crate::cluster::{job_spec, scenario_with_grants, sleep_s, Cluster, Grants, CONTROLLERS};
 use corkfield_fakes::Fault;
 use corkfield_http::Network;
 use corkfield_wire::store::{Transaction, PATH_TXN};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
 
-const MACHINE_RECORDS_PREFIX: usize = 1700;
+const MACHINES: usize = 1700;
 const GRANTS: Grants =
     Grants { state_rps: 500.0, write_rps: 200.0, cloud_rps: 12.0, sockets: 3900 };
 
@@ -53,35 +53,34 @@
 
     /// Counts since the last call; steps since the leader took over.
     async fn take(&self) -> Counts {
-        let node = self.cluster.planner_node();
-        let view = self.cluster.ask(node, "GET", "/operator/overview", b"").await;
-        let view: serde_json::Value =
-            serde_json::from_slice(&view.expect("an answer").1).expect("an overview");
+        let view = self.cluster.overview(self.cluster.leader()).await;
+
         Counts {
             requests: self.requests.take(),
             changes: self.changes.take(),
             calls: self.cluster.cloud.calls.take(),
-            steps: view["planning"]["steps"].as_u64().expect("it plans"),
+            steps: view["planning"]["steps"].as_u64().expect("it is the leader"),
         }
     }
 }
 
 #[test]
 fn a_fleet_comes_up_is_taken_over_and_loses_a_third_within_its_limits() {
-    scenario_with(GRANTS, 16, |cluster| async move {
-        cluster.cloud.capacity.set(MACHINE_RECORDS_PREFIX);
+    scenario_with_grants(GRANTS, 16, |cluster| async move {
+        cluster.cloud.capacity.set(MACHINES);
         let counter = Counter::new(&cluster);
-        let jobs: Vec<_> = (1..=6).map(|n| JobSpec { estimate_s: 20.0, ..spec(n, 3000) }).collect();
+        let jobs: Vec<_> =
+            (1..=6).map(|number| JobSpec { estimate_s: 20.0, ..job_spec(number, 3000) }).collect();
         for job in &jobs {
             cluster.submit(job, 20.0).await;
         }
         let started = tokio::time::Instant::now();
-        while cluster.history.starts_in_all() < 12_000 {
-            secs(0.5).await;
+        while cluster.history.total_starts() < 12_000 {
+            sleep_s(0.5).await;
             assert!(
                 started.elapsed().as_secs_f64() < 30.0,
                 "{} starts",
-                cluster.history.starts_in_all()
+                cluster.history.total_starts()
             );
         }
         // 34 rentals, a record for each machine, a write for each job's next first starts.
@@ -92,33 +91,30 @@
         let spot = cluster.cloud.workers().into_iter().filter(|worker| worker.settings.spot);
         let hung: Vec<_> = spot.step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
-        let before = cluster.history.starts_in_all();
-        cluster.restart(cluster.planner_node(), 0.3).await;
-        secs(6.0).await;
+        let before = cluster.history.total_starts();
+        cluster.restart(cluster.leader(), 0.3).await;
+        sleep_s(6.0).await;
         let taken = counter.take().await;
         assert!(taken.requests < 200 && taken.changes < 600, "{taken:?}");
         assert!(taken.steps < 300_000, "{taken:?}");
-        assert!(cluster.history.starts_in_all() > before + 500, "the others are not waited for");
+        assert!(cluster.history.total_starts() > before + 500, "the others are not waited for");
         hung.iter().for_each(|worker| worker.set_hung(false));
-        secs(3.0).await;
+        sleep_s(3.0).await;
         assert!(hung.iter().all(|worker| !worker.dead.get()), "too many to be given up");
         // A wave without notice.
         for worker in cluster.cloud.workers().into_iter().step_by(3) {
-            cluster.cloud.take(&worker.settings.name);
+            cluster.cloud.reclaim(&worker.settings.name);
         }
         for job in &jobs {
-            cluster.until_done(&job.id, 100.0).await;
+            cluster.wait_until_done(&job.id, 100.0).await;
         }
         let wave = counter.take().await;
         assert!(wave.calls < 250 && wave.requests < 1200 && wave.changes < 4000, "{wave:?}");
         assert!(wave.steps < 1_500_000, "{wave:?}");
         // Every worker's, a share for direct orders, and few besides.
-        for node in NODES {
-            let most = cluster.net.most_open(node);
-            assert!(
-                most < MACHINE_RECORDS_PREFIX + GRANTS.sockets as usize * 24 / 100,
-                "{node}: {most}"
-            );
+        for node in CONTROLLERS {
+            let most = cluster.net.peak_connections(node);
+            assert!(most < MACHINES + GRANTS.sockets as usize * 24 / 100, "{node}: {most}");
         }
     });
 }
@@ -126,21 +122,21 @@
 #[test]
 fn questions_to_silent_machines_keep_to_their_share_of_the_sockets() {
     let grants = Grants { sockets: 300, ..GRANTS };
-    scenario_with(grants, 190, |cluster| async move {
-        let job = spec(1, 1500);
+    scenario_with_grants(grants, 190, |cluster| async move {
+        let job = job_spec(1, 1500);
         cluster.submit(&job, 30.0).await;
-        secs(8.0).await;
+        sleep_s(8.0).await;
         cluster.cloud.workers().iter().for_each(|worker| worker.set_hung(true));
-        let old = cluster.planner_node();
+        let old = cluster.leader();
         cluster.kill(old);
         // What the controllers had open before, to workers too, depends on which planned first.
-        cluster.net.reset_most_open();
-        let open_before = NODES.map(|node| cluster.net.open_now(node));
-        secs(14.0).await;
-        let scheduler = cluster.planner_node();
-        assert_ne!(scheduler, old);
+        cluster.net.reset_peak_connections();
+        let open_before = CONTROLLERS.map(|node| cluster.net.open_connections(node));
+        sleep_s(14.0).await;
+        let leader = cluster.leader();
+        assert_ne!(leader, old);
         // 66 questions at a time; the store, the cloud and the other controller were open before.
-        let most = cluster.net.most_open(NODES[scheduler]) - open_before[scheduler];
+        let most = cluster.net.peak_connections(CONTROLLERS[leader]) - open_before[leader];
         assert!(most < 75, "{most}");
     });
 }
@@ -149,32 +145,32 @@
 fn workers_that_outnumber_the_sockets_keep_their_leases() {
     // 195 of the sockets of each of the three controllers are for users and workers.
     let grants = Grants { sockets: 300, ..GRANTS };
-    scenario_with(grants, 750, |cluster| async move {
-        let job = spec(1, 5000);
+    scenario_with_grants(grants, 750, |cluster| async move {
+        let job = job_spec(1, 5000);
         cluster.submit(&job, 40.0).await;
-        secs(30.0).await;
+        sleep_s(30.0).await;
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
         assert_eq!(agent_epochs, Some(1), "no lease ran out");
-        cluster.until_done(&job.id, 60.0).await;
-        assert_eq!(cluster.history.starts_in_all(), job.tasks, "nothing is started again");
+        cluster.wait_until_done(&job.id, 60.0).await;
+        assert_eq!(cluster.history.total_starts(), job.tasks, "nothing is started again");
     });
 }
 
 #[test]
 fn bad_and_excessive_requests_in_a_failover_harm_neither_workers_nor_users() {
     let grants = Grants { sockets: 300, ..GRANTS };
-    scenario_with(grants, 60, |cluster| async move {
-        let job = spec(1, 300);
+    scenario_with_grants(grants, 60, |cluster| async move {
+        let job = job_spec(1, 300);
         cluster.submit(&job, 20.0).await;
-        secs(6.0).await;
-        cluster.restart(cluster.planner_node(), 0.3).await;
+        sleep_s(6.0).await;
+        cluster.restart(cluster.leader(), 0.3).await;
         // Far more connections of users than their share, malformed and oversized bodies, halves.
-        let rude = cluster.net.host("rude");
+        let misbehaving = cluster.net.host("misbehaving");
         let mut held = Vec::new();
         for round in 0..260u32 {
-            for node in 0..NODES.len() {
+            for node in 0..CONTROLLERS.len() {
                 let addr = SocketAddr::from(([10, 0, 0, node as u8 + 1], 8080));
-                let Ok(mut stream) = rude.connect(addr).await else { continue };
+                let Ok(mut stream) = misbehaving.connect(addr).await else { continue };
                 let large = format!("POST {PATH_JOBS} HTTP/1.1\r\nContent-Length: 70000\r\n\r\n");
                 let bytes: &[u8] = match round % 8 {
                     0 => b"POST /submissions HTTP/1.1\r\nContent-Length: 2\r\n\r\n{x",
@@ -186,16 +182,16 @@
                 held.push(stream);
             }
         }
-        secs(2.0).await;
+        sleep_s(2.0).await;
         let path = format!("{PATH_JOBS}/{}", job.id);
-        for node in 0..NODES.len() {
+        for node in 0..CONTROLLERS.len() {
             let started = tokio::time::Instant::now();
-            let answer = cluster.ask(node, "GET", &path, b"").await.map(|(status, _)| status);
+            let answer = cluster.request(node, "GET", &path, b"").await.map(|(status, _)| status);
             assert!(matches!(answer, Some(200 | 503)), "node {node}: {answer:?}");
             assert!(started.elapsed().as_secs_f64() < 2.0, "never held back");
         }
-        cluster.until_done(&job.id, 60.0).await;
-        assert_eq!(cluster.history.starts_in_all(), 300, "no worker lost its lease");
+        cluster.wait_until_done(&job.id, 60.0).await;
+        assert_eq!(cluster.history.total_starts(), 300, "no worker lost its lease");
         drop(held);
     });
 }
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -1,7 +1,7 @@
 //! A job from its submission to its end: input, limits, priorities, dead-lettering.
 
-use crate::cluster::{scenario, secs, spec, CANCEL_S};
-use corkfield_fakes::Plan;
+use crate::cluster::{job_spec, scenario, sleep_s, CANCEL_S};
+use corkfield_fakes::JobPlan;
 use corkfield_wire::records::final_key;
 use corkfield_wire::user::PATH_JOBS;
 use corkfield_wire::{JobStatus, Priority};
@@ -9,19 +9,19 @@
 #[test]
 fn jobs_are_run_and_done_and_stay_done() {
     scenario(2, |cluster| async move {
-        let jobs = [spec(1, 20), spec(2, 3)];
+        let jobs = [job_spec(1, 20), job_spec(2, 3)];
         for job in &jobs {
             assert_eq!(cluster.submit(job, 3.0).await, 201);
             assert_eq!(cluster.submit(job, 3.0).await, 200, "a repeat is known");
         }
         for job in &jobs {
-            cluster.until_done(&job.id, 60.0).await;
+            cluster.wait_until_done(&job.id, 60.0).await;
             assert_eq!(cluster.submit(job, 3.0).await, 200);
-            assert!(cluster.record(&job.id).is_none(), "only a small final record is kept");
-            assert!(cluster.store.get(&final_key(&job.id)).is_some());
+            assert!(cluster.job_record(&job.id).is_none(), "only a small final record is kept");
+            assert!(cluster.store.value(&final_key(&job.id)).is_some());
         }
         // Machines that nobody needs are returned in the end.
-        secs(120.0).await;
+        sleep_s(120.0).await;
         assert!(cluster.cloud.workers().is_empty());
     });
 }
@@ -29,10 +29,10 @@
 #[test]
 fn bad_input_is_refused_and_known_ids_are_recognised_first() {
     scenario(1, |cluster| async move {
-        let good = spec(1, 2);
+        let good = job_spec(1, 2);
         cluster.submit(&good, 2.0).await;
         let as_json = |f: &dyn Fn(&mut serde_json::Value)| {
-            let mut value = serde_json::to_value(spec(2, 2)).expect("serializable");
+            let mut value = serde_json::to_value(job_spec(2, 2)).expect("serializable");
             f(&mut value);
             serde_json::to_vec(&value).expect("serializable")
         };
@@ -58,18 +58,32 @@
         ];
         for (body, expected) in cases {
             let text = String::from_utf8_lossy(&body).into_owned();
-            let answer = cluster.ask(1, "POST", PATH_JOBS, &body).await.map(|r| r.0);
+            let answer =
+                cluster.request(1, "POST", PATH_JOBS, &body).await.map(|(status, _)| status);
             assert_eq!(answer, Some(expected), "{text}");
         }
         // S2: an accepted job's id is never refused, whatever comes with it.
         let bad = format!("{{\"name_id\":\"{}\"}}", good.id);
-        assert_eq!(cluster.ask(2, "POST", PATH_JOBS, bad.as_bytes()).await.map(|r| r.0), Some(200));
+        assert_eq!(
+            cluster.request(2, "POST", PATH_JOBS, bad.as_bytes()).await.map(|(status, _)| status),
+            Some(200)
+        );
         for path in ["/submissions/j-777777", "/submissions/nonsense", "/nowhere"] {
-            assert_eq!(cluster.ask(0, "GET", path, b"").await.map(|r| r.0), Some(404), "{path}");
+            assert_eq!(
+                cluster.request(0, "GET", path, b"").await.map(|(status, _)| status),
+                Some(404),
+                "{path}"
+            );
         }
-        assert_eq!(cluster.ask(0, "DELETE", PATH_JOBS, b"").await.map(|r| r.0), Some(405));
         assert_eq!(
-            cluster.ask(0, "POST", "/agent/beat", b"{\"host\":1}").await.map(|r| r.0),
+            cluster.request(0, "DELETE", PATH_JOBS, b"").await.map(|(status, _)| status),
+            Some(405)
+        );
+        assert_eq!(
+            cluster
+                .request(0, "POST", "/agent/beat", b"{\"host\":1}")
+                .await
+                .map(|(status, _)| status),
             Some(400)
         );
     });
@@ -78,45 +92,48 @@
 #[test]
 fn a_job_of_a_hundred_thousand_tasks_stays_within_the_limits_and_survives_a_failover() {
     scenario(4, |cluster| async move {
-        let mut job = spec(1, 100_000);
+        let mut job = job_spec(1, 100_000);
         job.cpus = 0.1;
         job.memory_gb = 0.1;
         assert_eq!(cluster.submit(&job, 0.4).await, 201);
-        secs(40.0).await;
-        let before = cluster.record(&job.id).expect("unfinished").done;
-        let scheduler = cluster.planner_node();
-        cluster.restart(scheduler, 0.3).await;
-        secs(20.0).await;
-        let after = cluster.record(&job.id).expect("unfinished").done;
+        sleep_s(40.0).await;
+        let before = cluster.job_record(&job.id).expect("unfinished").done;
+        let leader = cluster.leader();
+        cluster.restart(leader, 0.3).await;
+        sleep_s(20.0).await;
+        let after = cluster.job_record(&job.id).expect("unfinished").done;
         assert!(before > 500 && after > before, "{before} then {after}");
         assert!(cluster.store.largest_value() < 16 * 1024);
-        assert!(cluster.store.most_ops() <= 12);
+        assert!(cluster.store.most_changes() <= 12);
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
-        secs(CANCEL_S).await;
+        sleep_s(CANCEL_S).await;
     });
 }
 
 #[test]
 fn a_job_at_the_claim_limit_is_dead_lettered_and_can_be_released_or_cancelled() {
     scenario(2, |cluster| async move {
-        let broken = spec(1, 2);
-        cluster.submit_plan(Plan { spec: broken.clone(), run_s: 1.0, broken: true }).await;
+        let broken = job_spec(1, 2);
+        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, fails: true }).await;
         let mut waited = 0;
-        while !cluster.record(&broken.id).is_some_and(|r| r.dead_lettered) {
-            secs(20.0).await;
+        while !cluster.job_record(&broken.id).is_some_and(|r| r.dead_lettered) {
+            sleep_s(20.0).await;
             waited += 1;
-            assert!(waited < 120, "never set aside: {:?}", cluster.record(&broken.id));
+            assert!(waited < 120, "never set aside: {:?}", cluster.job_record(&broken.id));
         }
-        assert_eq!(cluster.record(&broken.id).expect("kept").claims, 13);
+        assert_eq!(cluster.job_record(&broken.id).expect("kept").claims, 13);
         assert_eq!(
             cluster.status(&broken.id).await,
             Some(JobStatus::Queued),
             "never a final state"
         );
         let release = format!("/operator/release/{}", broken.id);
-        assert_eq!(cluster.ask(0, "POST", &release, b"").await.map(|r| r.0), Some(200));
-        secs(5.0).await;
-        assert!(!cluster.record(&broken.id).expect("kept").dead_lettered);
+        assert_eq!(
+            cluster.request(0, "POST", &release, b"").await.map(|(status, _)| status),
+            Some(200)
+        );
+        sleep_s(5.0).await;
+        assert!(!cluster.job_record(&broken.id).expect("kept").dead_lettered);
         assert_eq!(cluster.cancel(&broken.id).await, Some(JobStatus::Cancelled));
     });
 }
@@ -125,16 +142,16 @@
 fn urgent_work_takes_room_from_idle_work() {
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(1);
-        let mut low = spec(1, 8);
+        let mut low = job_spec(1, 8);
         low.priority = Priority::Low;
         cluster.submit(&low, 300.0).await;
-        secs(5.0).await;
-        assert_eq!(cluster.history.running(&low.id), 8);
-        let mut urgent = spec(2, 2);
+        sleep_s(5.0).await;
+        assert_eq!(cluster.history.running_tasks(&low.id), 8);
+        let mut urgent = job_spec(2, 2);
         urgent.priority = Priority::High;
         urgent.cpus = 4.0;
         cluster.submit(&urgent, 5.0).await;
-        cluster.until_done(&urgent.id, 40.0).await;
+        cluster.wait_until_done(&urgent.id, 40.0).await;
     });
 }
 
@@ -143,19 +160,19 @@
     scenario(3, |cluster| async move {
         let mut jobs = Vec::new();
         for number in 1..4 {
-            let mut job = spec(number, 5);
+            let mut job = job_spec(number, 5);
             job.team = "capped".to_owned();
             cluster.submit(&job, 9.0).await;
             jobs.push(job);
         }
-        secs(4.0).await;
+        sleep_s(4.0).await;
         for _ in 0..2 {
-            let scheduler = cluster.planner_node();
-            cluster.restart(scheduler, 0.5).await;
-            secs(7.0).await;
+            let leader = cluster.leader();
+            cluster.restart(leader, 0.5).await;
+            sleep_s(7.0).await;
         }
         for job in &jobs {
-            cluster.until_done(&job.id, 150.0).await;
+            cluster.wait_until_done(&job.id, 150.0).await;
         }
     });
 }
--- a/crates/corkfield/tests/scenarios/machines.rs
+++ b/crates/corkfield/tests/scenarios/machines.rs
@@ -1,49 +1,49 @@
 //! Machines that hang, fail, disappear or are rented without an answer.
 
-use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
-use corkfield_fakes::Plan;
+use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
+use corkfield_fakes::JobPlan;
 use corkfield_wire::records::machine_key;
 use corkfield_wire::JobStatus;
 
 #[test]
 fn a_failover_waits_for_a_hung_machine_until_its_lease_has_surely_expired() {
     scenario(2, |cluster| async move {
-        let job = spec(1, 16);
+        let job = job_spec(1, 16);
         cluster.submit(&job, 15.0).await;
-        secs(5.0).await;
-        let hung = cluster.history.machine_of(&task(&job, 0)).expect("running");
+        sleep_s(5.0).await;
+        let hung = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
         let worker = cluster.cloud.worker(&hung).expect("a worker");
         worker.set_hung(true);
         // Otherwise the machine would be returned after a while, which settles it as well.
         cluster.cloud.down.set(true);
-        secs(1.0).await;
-        let scheduler = cluster.planner_node();
-        cluster.restart(scheduler, 1.0).await;
-        secs(LEASE_S - 4.0).await;
+        sleep_s(1.0).await;
+        let leader = cluster.leader();
+        cluster.restart(leader, 1.0).await;
+        sleep_s(LEASE_S - 4.0).await;
         assert_eq!(
-            cluster.history.machine_of(&task(&job, 0)),
+            cluster.history.machine_of(&task_id(&job, 0)),
             Some(hung),
             "still there, for all we know"
         );
         // It resumes within its lease, and goes on.
         worker.set_hung(false);
-        cluster.until_done(&job.id, 90.0).await;
+        cluster.wait_until_done(&job.id, 90.0).await;
     });
 }
 
 #[test]
 fn a_machine_that_hangs_for_long_loses_its_tasks_to_another() {
     scenario(2, |cluster| async move {
-        let job = spec(1, 10);
+        let job = job_spec(1, 10);
         cluster.submit(&job, 20.0).await;
-        secs(5.0).await;
-        let hung = cluster.history.machine_of(&task(&job, 0)).expect("running");
+        sleep_s(5.0).await;
+        let hung = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
         let worker = cluster.cloud.worker(&hung).expect("a worker");
         worker.set_hung(true);
-        secs(LEASE_S + 1.0).await;
+        sleep_s(LEASE_S + 1.0).await;
         // Its worker still holds the tasks, but its lease is over: it forgets them when it wakes.
         worker.set_hung(false);
-        cluster.until_done(&job.id, 120.0).await;
+        cluster.wait_until_done(&job.id, 120.0).await;
         assert!(worker.agent_epoch() > 1);
     });
 }
@@ -51,41 +51,41 @@
 #[test]
 fn a_machine_that_went_while_the_store_was_down_holds_up_no_failover() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 60);
+        let job = job_spec(1, 60);
         cluster.submit(&job, 4.0).await;
-        secs(4.0).await;
+        sleep_s(4.0).await;
         cluster.store.set_down(true);
         let victim = cluster.cloud.workers()[0].settings.name.clone();
-        cluster.cloud.take(&victim);
-        secs(11.0).await;
+        cluster.cloud.reclaim(&victim);
+        sleep_s(11.0).await;
         cluster.store.set_down(false);
-        secs(2.5).await;
+        sleep_s(2.5).await;
         assert!(
-            cluster.store.get(&machine_key(&victim)).is_none(),
+            cluster.store.value(&machine_key(&victim)).is_none(),
             "its record is dropped after all"
         );
-        let scheduler = cluster.planner_node();
-        cluster.restart(scheduler, 0.3).await;
-        cluster.until_done(&job.id, 60.0).await;
+        let leader = cluster.leader();
+        cluster.restart(leader, 0.3).await;
+        cluster.wait_until_done(&job.id, 60.0).await;
     });
 }
 
 #[test]
 fn a_worker_that_does_not_reach_the_leader_heartbeats_by_way_of_another_controller() {
     scenario(2, |cluster| async move {
-        let job = spec(1, 160);
+        let job = job_spec(1, 160);
         cluster.submit(&job, 5.0).await;
-        secs(4.0).await;
-        let scheduler = cluster.planner_node();
+        sleep_s(4.0).await;
+        let leader = cluster.leader();
         let cut_off = cluster.cloud.workers()[0].clone();
-        cluster.net.cut(NODES[scheduler], &cut_off.settings.name);
-        secs(12.0).await;
+        cluster.net.cut(CONTROLLERS[leader], &cut_off.settings.name);
+        sleep_s(12.0).await;
         let before = cluster.history.starts_on(&cut_off.settings.name);
-        secs(12.0).await;
+        sleep_s(12.0).await;
         assert!(cluster.history.starts_on(&cut_off.settings.name) > before, "it is given work");
         assert_eq!(cut_off.agent_epoch(), 1, "its lease never ran out");
-        assert_eq!(cluster.planner_node(), scheduler, "others reach the planner, so it stays");
-        cluster.until_done(&job.id, 120.0).await;
+        assert_eq!(cluster.leader(), leader, "others reach the leader, so it stays");
+        cluster.wait_until_done(&job.id, 120.0).await;
     });
 }
 
@@ -94,29 +94,34 @@
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(4);
         cluster.cloud.lose_answers.set(true);
-        let mut job = spec(1, 32);
+        let mut job = job_spec(1, 32);
         job.estimate_s = 60.0;
         cluster.submit(&job, 60.0).await;
-        secs(25.0).await;
+        sleep_s(25.0).await;
         cluster.cloud.lose_answers.set(false);
         assert!(cluster.cloud.workers().len() > 1, "machines came up all the same");
-        assert!(cluster.history.running(&job.id) > 8, "and are used");
-        cluster.until_done(&job.id, 150.0).await;
+        assert!(cluster.history.running_tasks(&job.id) > 8, "and are used");
+        cluster.wait_until_done(&job.id, 150.0).await;
     });
 }
 
 #[test]
 fn machines_taken_without_notice_lose_no_job() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 24);
+        let job = job_spec(1, 24);
         cluster.submit(&job, 12.0).await;
-        secs(6.0).await;
-        let victims: Vec<String> =
-            cluster.cloud.workers().iter().take(2).map(|w| w.settings.name.clone()).collect();
+        sleep_s(6.0).await;
+        let victims: Vec<String> = cluster
+            .cloud
+            .workers()
+            .iter()
+            .take(2)
+            .map(|worker| worker.settings.name.clone())
+            .collect();
         for name in &victims {
-            cluster.cloud.take(name);
+            cluster.cloud.reclaim(name);
         }
-        cluster.until_done(&job.id, 120.0).await;
+        cluster.wait_until_done(&job.id, 120.0).await;
     });
 }
 
@@ -124,23 +129,23 @@
 fn a_sick_machine_is_returned_and_a_broken_job_is_dead_lettered_without_blaming_machines() {
     scenario(3, |cluster| async move {
         let workers = cluster.cloud.workers();
-        workers[0].sick.set(true);
-        let jobs = [spec(1, 20), spec(2, 20)];
+        workers[0].fails_all_tasks.set(true);
+        let jobs = [job_spec(1, 20), job_spec(2, 20)];
         for job in &jobs {
             cluster.submit(job, 4.0).await;
         }
         for job in &jobs {
-            cluster.until_done(&job.id, 90.0).await;
+            cluster.wait_until_done(&job.id, 90.0).await;
         }
         assert!(workers[0].dead.get(), "the sick machine was returned");
-        let broken = spec(3, 4);
-        cluster.submit_plan(Plan { spec: broken.clone(), run_s: 1.0, broken: true }).await;
-        let good = spec(4, 400);
+        let broken = job_spec(3, 4);
+        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, fails: true }).await;
+        let good = job_spec(4, 400);
         cluster.submit(&good, 4.0).await;
-        secs(30.0).await;
+        sleep_s(30.0).await;
         assert_eq!(cluster.status(&broken.id).await, Some(JobStatus::Queued));
-        let claims = cluster.record(&broken.id).expect("unfinished").claims;
+        let claims = cluster.job_record(&broken.id).expect("unfinished").claims;
         assert!(claims >= 2, "failing claims are counted: {claims}");
-        cluster.until_done(&good.id, 300.0).await;
+        cluster.wait_until_done(&good.id, 300.0).await;
     });
 }
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -1,8 +1,8 @@
 //! Hundreds of machines; machines that hear nothing, copies of old messages, and workers or controllers that are back at
 //! once.
 
-use crate::cluster::{scenario, secs, spec, task, LEASE_S, NODES};
-use corkfield_fakes::{Fault, Plan};
+use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
+use corkfield_fakes::{Fault, JobPlan};
 use corkfield_wire::records::MACHINE_RECORDS_PREFIX;
 use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::{JobView, PATH_CANCEL, PATH_JOBS};
@@ -14,21 +14,21 @@
 #[test]
 fn a_machine_that_hears_nothing_is_no_supply_until_it_obeys_again() {
     scenario(3, |cluster| async move {
-        let deaf = cluster.cloud.workers()[0].clone();
-        let name = deaf.settings.name.clone();
-        deaf.deaf.set(true);
-        secs(1.0).await;
-        let jobs: Vec<_> = (1..=12).map(|n| spec(n, 32)).collect();
+        let unreachable = cluster.cloud.workers()[0].clone();
+        let name = unreachable.settings.name.clone();
+        unreachable.receives_nothing.set(true);
+        sleep_s(1.0).await;
+        let jobs: Vec<_> = (1..=12).map(|number| job_spec(number, 32)).collect();
         for job in &jobs {
             cluster.submit(job, 4.0).await;
         }
-        secs(45.0).await;
+        sleep_s(45.0).await;
         assert_eq!(cluster.history.starts_on(&name), 0);
-        let in_vain = cluster.lost_starts(&name);
+        let in_vain = cluster.undelivered_starts(&name);
         assert!(in_vain <= 2 * 8, "{in_vain} starts were sent in vain");
-        deaf.deaf.set(false);
+        unreachable.receives_nothing.set(false);
         for job in &jobs {
-            cluster.until_done(&job.id, 200.0).await;
+            cluster.wait_until_done(&job.id, 200.0).await;
         }
         assert!(cluster.history.starts_on(&name) > 0, "it is used again");
     });
@@ -37,50 +37,50 @@
 #[test]
 fn a_machine_that_hears_nothing_holds_up_no_failover_for_good() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 48);
+        let job = job_spec(1, 48);
         cluster.submit(&job, 15.0).await;
-        secs(5.0).await;
-        let deaf = cluster.cloud.workers()[0].clone();
-        deaf.deaf.set(true);
+        sleep_s(5.0).await;
+        let unreachable = cluster.cloud.workers()[0].clone();
+        unreachable.receives_nothing.set(true);
         // It can't be returned either.
         cluster.cloud.down.set(true);
-        let scheduler = cluster.planner_node();
-        cluster.restart(scheduler, 0.2).await;
+        let leader = cluster.leader();
+        cluster.restart(leader, 0.2).await;
         // The answer limit, a worker's lease, and the rest of the work.
-        cluster.until_done(&job.id, 100.0).await;
+        cluster.wait_until_done(&job.id, 100.0).await;
     });
 }
 
 #[test]
 fn late_copies_of_heartbeats_prove_nothing_and_bring_nothing_back() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 24);
+        let job = job_spec(1, 24);
         cluster.submit(&job, 4.0).await;
-        cluster.until_done(&job.id, 40.0).await;
+        cluster.wait_until_done(&job.id, 40.0).await;
         let gone = cluster.cloud.workers()[0].clone();
         let name = gone.settings.name.clone();
-        cluster.cloud.take(&name);
+        cluster.cloud.reclaim(&name);
         // Long enough for the list to tell.
-        secs(20.0).await;
+        sleep_s(20.0).await;
         let copies = gone.sent_heartbeats();
         let record = format!("{MACHINE_RECORDS_PREFIX}{name}");
         for restart in [false, true] {
             if restart {
                 // A leader that never saw the machine.
-                let scheduler = cluster.planner_node();
-                cluster.restart(scheduler, 0.1).await;
-                secs(5.0).await;
+                let leader = cluster.leader();
+                cluster.restart(leader, 0.1).await;
+                sleep_s(5.0).await;
             }
             for copy in &copies {
-                for node in 0..NODES.len() {
-                    cluster.ask(node, "POST", PATH_HEARTBEAT, copy).await;
+                for node in 0..CONTROLLERS.len() {
+                    cluster.request(node, "POST", PATH_HEARTBEAT, copy).await;
                 }
             }
-            let next = spec(if restart { 3 } else { 2 }, 32);
+            let next = job_spec(if restart { 3 } else { 2 }, 32);
             cluster.submit(&next, 2.0).await;
-            cluster.until_done(&next.id, 40.0).await;
-            secs(15.0).await;
-            assert!(cluster.store.get(&record).is_none(), "no record is left behind");
+            cluster.wait_until_done(&next.id, 40.0).await;
+            sleep_s(15.0).await;
+            assert!(cluster.store.value(&record).is_none(), "no record is left behind");
         }
     });
 }
@@ -88,20 +88,20 @@
 #[test]
 fn a_worker_that_counts_anew_is_neither_silenced_for_good_nor_believed() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 30);
+        let job = job_spec(1, 30);
         cluster.submit(&job, 20.0).await;
-        secs(6.0).await;
-        let lost = cluster.history.machine_of(&task(&job, 0)).expect("running");
+        sleep_s(6.0).await;
+        let lost = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
         let worker = cluster.cloud.worker(&lost).expect("a worker");
         let old = worker.sent_heartbeats();
         worker.restart();
-        secs(0.5).await;
+        sleep_s(0.5).await;
         for copy in &old {
-            cluster.ask(cluster.planner_node(), "POST", PATH_HEARTBEAT, copy).await;
+            cluster.request(cluster.leader(), "POST", PATH_HEARTBEAT, copy).await;
         }
-        cluster.until_done(&job.id, LEASE_S + 60.0).await;
+        cluster.wait_until_done(&job.id, LEASE_S + 60.0).await;
         // Its tasks did not wait for a lease to lapse.
-        let starts = cluster.history.starts_in_all();
+        let starts = cluster.history.total_starts();
         assert!(starts <= 30 + 8, "{starts} starts");
         let there = cluster.cloud.worker(&lost);
         assert!(there.is_none(), "the machine was returned");
@@ -111,15 +111,15 @@
 #[test]
 fn controllers_back_at_once_in_the_middle_of_an_election_lose_nothing() {
     scenario(3, |cluster| async move {
-        let job = spec(1, 60);
+        let job = job_spec(1, 60);
         cluster.submit(&job, 4.0).await;
         for round in 0..6 {
-            for n in 0..NODES.len() {
-                cluster.restart(n, 0.05 * f64::from(round % 3)).await;
-                secs(0.07 * f64::from(round)).await;
+            for controller in 0..CONTROLLERS.len() {
+                cluster.restart(controller, 0.05 * f64::from(round % 3)).await;
+                sleep_s(0.07 * f64::from(round)).await;
             }
         }
-        cluster.until_done(&job.id, 90.0).await;
+        cluster.wait_until_done(&job.id, 90.0).await;
         assert_eq!(cluster.status(&job.id).await, Some(JobStatus::Done));
     });
 }
@@ -142,20 +142,18 @@
             Fault::None
         });
         let passes = || async {
-            let node = cluster.planner_node();
-            let view = cluster.ask(node, "GET", "/operator/overview", b"").await;
-            let view: serde_json::Value =
-                serde_json::from_slice(&view.expect("an answer").1).expect("an overview");
-            view["planning"]["passes"].as_u64().expect("it plans")
+            let view = cluster.overview(cluster.leader()).await;
+
+            view["planning"]["passes"].as_u64().expect("it is the leader")
         };
         let before = passes().await;
         let started = tokio::time::Instant::now();
-        let jobs: Vec<_> = (1..=3).map(|n| spec(n, 3000)).collect();
+        let jobs: Vec<_> = (1..=3).map(|number| job_spec(number, 3000)).collect();
         for job in &jobs {
             cluster.submit(job, 6.0).await;
         }
         for job in &jobs {
-            cluster.until_done(&job.id, 90.0).await;
+            cluster.wait_until_done(&job.id, 90.0).await;
         }
         let seconds = started.elapsed().as_secs_f64();
         let (passes, requests, writes) = (passes().await - before, requests.get(), writes.get());
@@ -165,7 +163,7 @@
         assert!(requests < 700, "{requests} requests");
         // Settling is written by job, not by task.
         assert!(writes < 300, "{writes} writes");
-        assert_eq!(cluster.history.starts_in_all(), 9000);
+        assert_eq!(cluster.history.total_starts(), 9000);
     });
 }
 
@@ -173,43 +171,43 @@
 fn after_all_troubles_every_job_is_answered_in_time_under_a_burst_of_polls() {
     scenario(3, |cluster| async move {
         // One far larger than the fleet, one that fails everywhere, and many that wait.
-        let largest = spec(1, 20_000);
-        let broken = spec(2, 4);
+        let largest = job_spec(1, 20_000);
+        let broken = job_spec(2, 4);
         cluster.submit(&largest, 5.0).await;
-        cluster.submit_plan(Plan { spec: broken.clone(), run_s: 1.0, broken: true }).await;
-        let waiting: Vec<_> = (3..40).map(|n| spec(n, 50)).collect();
+        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, fails: true }).await;
+        let waiting: Vec<_> = (3..40).map(|number| job_spec(number, 50)).collect();
         for job in &waiting {
             cluster.submit(job, 5.0).await;
         }
         cluster.store.set_down(true);
-        for n in 0..NODES.len() {
-            cluster.restart(n, 0.1).await;
+        for controller in 0..CONTROLLERS.len() {
+            cluster.restart(controller, 0.1).await;
         }
-        secs(20.0).await;
+        sleep_s(20.0).await;
         cluster.store.set_down(false);
         for round in 0..3 {
-            cluster.restart(round % NODES.len(), 0.3).await;
-            secs(1.0).await;
+            cluster.restart(round % CONTROLLERS.len(), 0.3).await;
+            sleep_s(1.0).await;
         }
-        secs(6.0).await;
+        sleep_s(6.0).await;
         let (in_time, asked) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         for poll in 0..20 {
             for job in waiting.iter().chain([&largest, &broken]) {
                 let (cluster, path) = (cluster.clone(), format!("{PATH_JOBS}/{}", job.id));
-                let (in_time, node) = (in_time.clone(), poll % NODES.len());
+                let (in_time, node) = (in_time.clone(), poll % CONTROLLERS.len());
                 asked.set(asked.get() + 1);
                 tokio::task::spawn_local(async move {
                     let started = tokio::time::Instant::now();
-                    let answer = cluster.ask(node, "GET", &path, b"").await;
+                    let answer = cluster.request(node, "GET", &path, b"").await;
                     let ok = answer.is_some_and(|(status, _)| status == 200);
                     if ok && started.elapsed().as_secs_f64() < 2.0 {
                         in_time.set(in_time.get() + 1);
                     }
                 });
             }
-            secs(0.25).await;
+            sleep_s(0.25).await;
         }
-        secs(5.0).await;
+        sleep_s(5.0).await;
         assert_eq!(in_time.get(), asked.get());
     });
 }
@@ -217,28 +215,28 @@
 #[test]
 fn late_copies_of_users_requests_change_nothing() {
     scenario(2, |cluster| async move {
-        let (done, cancelled) = (spec(1, 4), spec(2, 40));
+        let (done, cancelled) = (job_spec(1, 4), job_spec(2, 40));
         let bodies = [&done, &cancelled].map(|job| serde_json::to_vec(job).expect("serializable"));
         cluster.submit(&done, 1.0).await;
         cluster.submit(&cancelled, 30.0).await;
-        cluster.until_done(&done.id, 30.0).await;
+        cluster.wait_until_done(&done.id, 30.0).await;
         assert_eq!(cluster.cancel(&cancelled.id).await, Some(JobStatus::Cancelled));
-        let starts = cluster.history.starts_in_all();
-        for node in 0..NODES.len() {
+        let starts = cluster.history.total_starts();
+        for node in 0..CONTROLLERS.len() {
             for body in &bodies {
-                let answer = cluster.ask(node, "POST", PATH_JOBS, body).await;
+                let answer = cluster.request(node, "POST", PATH_JOBS, body).await;
                 assert_eq!(answer.map(|(status, _)| status), Some(200), "known, and over");
             }
             let withdraw = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", done.id);
             let (status, body) =
-                cluster.ask(node, "POST", &withdraw, b"").await.expect("an answer");
+                cluster.request(node, "POST", &withdraw, b"").await.expect("an answer");
             let view: JobView = serde_json::from_slice(&body).expect("a view");
             assert_eq!((status, view.status), (200, JobStatus::Done));
         }
-        secs(10.0).await;
+        sleep_s(10.0).await;
         assert_eq!(cluster.status(&cancelled.id).await, Some(JobStatus::Cancelled));
         assert_eq!(cluster.status(&done.id).await, Some(JobStatus::Done));
-        assert_eq!(cluster.history.starts_in_all(), starts, "nothing starts for a copy");
+        assert_eq!(cluster.history.total_starts(), starts, "nothing starts for a copy");
     });
 }
 
@@ -246,41 +244,41 @@
 fn a_controller_with_nothing_but_workers_is_replaced_in_time_and_guesses_nothing() {
     for planning in [true, false] {
         scenario(3, |cluster| async move {
-            let job = spec(1, 60);
+            let job = job_spec(1, 60);
             cluster.submit(&job, 6.0).await;
-            secs(4.0).await;
-            let scheduler = cluster.planner_node();
-            let alone = if planning { scheduler } else { (scheduler + 1) % NODES.len() };
-            for other in ["state", "cloud"].into_iter().chain(NODES) {
-                if other != NODES[alone] {
-                    cluster.net.cut(NODES[alone], other);
+            sleep_s(4.0).await;
+            let leader = cluster.leader();
+            let alone = if planning { leader } else { (leader + 1) % CONTROLLERS.len() };
+            for other in ["state", "cloud"].into_iter().chain(CONTROLLERS) {
+                if other != CONTROLLERS[alone] {
+                    cluster.net.cut(CONTROLLERS[alone], other);
                 }
             }
             // Users who still come to it are told to come back, in time and without a guess.
-            secs(6.0).await;
-            let body = serde_json::to_vec(&spec(2, 3)).expect("serializable");
-            let answer = cluster.ask(alone, "POST", PATH_JOBS, &body).await;
+            sleep_s(6.0).await;
+            let body = serde_json::to_vec(&job_spec(2, 3)).expect("serializable");
+            let answer = cluster.request(alone, "POST", PATH_JOBS, &body).await;
             assert_eq!(answer.map(|(status, _)| status), Some(503));
             let path = format!("{PATH_JOBS}/{}", job.id);
-            let answer = cluster.ask(alone, "GET", &path, b"").await;
+            let answer = cluster.request(alone, "GET", &path, b"").await;
             assert_eq!(answer.map(|(status, _)| status), Some(503));
             // Its workers are heard by the others: the new leader's fence reaches them (S7), and
             // even if it didn't, it may not answer them for long (S6). Either is enough here.
-            let others = (0..NODES.len()).filter(|n| *n != alone).collect::<Vec<_>>();
+            let others = cluster.other_controllers(alone);
             let mut done = false;
             for _ in 0..100 {
-                secs(1.0).await;
-                let answer = cluster.ask(others[0], "GET", &path, b"").await;
+                sleep_s(1.0).await;
+                let answer = cluster.request(others[0], "GET", &path, b"").await;
                 let view = answer.and_then(|(_, body)| serde_json::from_slice(&body).ok());
                 done |= view.is_some_and(|view: JobView| view.status == JobStatus::Done);
             }
             assert!(done, "done by way of the others");
-            assert!(others.contains(&cluster.planner_node()));
-            for other in ["state", "cloud"].into_iter().chain(NODES) {
-                cluster.net.heal(NODES[alone], other);
+            assert!(others.contains(&cluster.leader()));
+            for other in ["state", "cloud"].into_iter().chain(CONTROLLERS) {
+                cluster.net.heal(CONTROLLERS[alone], other);
             }
-            cluster.submit(&spec(2, 3), 1.0).await;
-            cluster.until_done(&spec(2, 3).id, 60.0).await;
+            cluster.submit(&job_spec(2, 3), 1.0).await;
+            cluster.wait_until_done(&job_spec(2, 3).id, 60.0).await;
         });
     }
 }
@@ -289,17 +287,17 @@
 fn many_jobs_are_stored_side_by_side_while_the_store_is_slow() {
     scenario(60, |cluster| async move {
         cluster.store.set_faults(|request| match request.path() {
-            PATH_TXN => Fault::Slow(0.9),
+            PATH_TXN => Fault::Delay(0.9),
             _ => Fault::None,
         });
         // Their first 128 tasks may begin at once; the others wait for a write of each record.
-        let jobs: Vec<_> = (1..=40).map(|n| spec(n, 200)).collect();
+        let jobs: Vec<_> = (1..=40).map(|number| job_spec(number, 200)).collect();
         let started = tokio::time::Instant::now();
         for job in &jobs {
             cluster.submit(job, 2.0).await;
         }
         for job in &jobs {
-            cluster.until_done(&job.id, 200.0).await;
+            cluster.wait_until_done(&job.id, 200.0).await;
         }
         let seconds = started.elapsed().as_secs_f64();
         // 8,000 tasks of 2 s on 480 CPUs, claims of 0.9 s; 90 s with one write after another.
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,9 +1,9 @@
-//! The cloud.
+//! A stand-in for the cloud: machines are rented, boot, are listed and deleted.
 
 use crate::history::ExecutionHistory;
 use crate::net::Hosts;
 use crate::worker::{FakeWorker, WorkerSettings};
-use crate::{json, now, param, sleep};
+use crate::{empty_response, json_response, now, numeric_parameter, query_parameter, sleep};
 use corkfield_http::{serve, Limits, Network, Request, Response};
 use corkfield_wire::cloud::{
     ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
@@ -15,29 +15,44 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-struct Rented {
+/// How long the cloud takes for an answer, in seconds.
+const ANSWER_DELAY_S: f64 = 0.05;
+/// How many machines one page of the list holds, if the request does not say.
+const DEFAULT_PAGE: usize = 500;
+/// How many machines share the first three numbers of their addresses.
+const MACHINES_PER_SUBNET: u32 = 250;
+
+struct RentedMachine {
     machine_type: String,
     zone: String,
     spot: bool,
-    at: Instant,
+    rented: Instant,
+    /// There is none while the machine boots.
     worker: Option<Rc<FakeWorker>>,
 }
 
+/// The cloud. All machines are of its first type.
 pub struct FakeCloud {
     hosts: Rc<dyn Hosts>,
     history: Rc<ExecutionHistory>,
-    template: WorkerSettings,
+    worker_template: WorkerSettings,
+    /// The machine types that it lists.
     pub types: Vec<MachineType>,
+    /// How many machines there can be at once.
     pub capacity: Cell<usize>,
+    /// Every request is answered with 503.
     pub down: Cell<bool>,
-    /// How long machines take to come up.
+    /// How long rented machines take to come up, in seconds.
     pub boot_s: Cell<f64>,
     /// The answers to rentals are lost.
     pub lose_answers: Cell<bool>,
-    machines: RefCell<BTreeMap<String, Rented>>,
-    bookings: RefCell<BTreeMap<String, Vec<String>>>,
-    next: Cell<u32>,
+    machines: RefCell<BTreeMap<String, RentedMachine>>,
+    /// What each rental request was answered with: a repeated one gets the same machines.
+    answered_rentals: RefCell<BTreeMap<String, Vec<String>>>,
+    next_machine: Cell<u32>,
+    /// Rentals that were carried out.
     pub rentals: Cell<u32>,
+    /// Requests that reached the cloud.
     pub calls: Cell<u32>,
 }
 
@@ -46,7 +61,7 @@
     pub fn new(
         hosts: Rc<dyn Hosts>,
         history: Rc<ExecutionHistory>,
-        template: WorkerSettings,
+        worker_template: WorkerSettings,
         types: Vec<MachineType>,
         capacity: usize,
     ) -> Rc<Self> {
@@ -54,20 +69,21 @@
         Rc::new(Self {
             hosts,
             history,
-            template,
+            worker_template,
             types,
             capacity: Cell::new(capacity),
             down: Cell::new(false),
             boot_s,
             lose_answers: Cell::new(false),
             machines: RefCell::default(),
-            bookings: RefCell::default(),
-            next: Cell::new(0),
+            answered_rentals: RefCell::default(),
+            next_machine: Cell::new(0),
             rentals: Cell::new(0),
             calls: Cell::new(0),
         })
     }
 
+    /// Serves at an address.
     pub fn start(self: &Rc<Self>, network: Rc<dyn Network>, addr: SocketAddr) {
         let cloud = self.clone();
         tokio::task::spawn_local(async move {
@@ -77,97 +93,105 @@
         });
     }
 
-    /// Rents a machine whose worker starts after a while.
-    pub fn add(self: &Rc<Self>, zone: &str, spot: bool, boot_s: f64) -> String {
-        let n = self.next.get();
-        self.next.set(n + 1);
-        let name = format!("host-{n:06}");
-        let kind = &self.types[0];
-        let rental_answered = Rented {
-            machine_type: kind.name.clone(),
+    /// Rents a machine whose worker starts after `boot_s` seconds; returns the machine's name.
+    pub fn add_machine(self: &Rc<Self>, zone: &str, spot: bool, boot_s: f64) -> String {
+        let number = self.next_machine.get();
+        self.next_machine.set(number + 1);
+        let name = format!("host-{number:06}");
+        let machine = RentedMachine {
+            machine_type: self.types[0].name.clone(),
             zone: zone.to_owned(),
             spot,
-            at: now(),
+            rented: now(),
             worker: None,
         };
-        self.machines.borrow_mut().insert(name.clone(), rental_answered);
-        let network = match self.template.addr {
-            SocketAddr::V4(addr) => addr.ip().octets()[0],
-            SocketAddr::V6(_) => 10,
-        };
-        let addr = SocketAddr::from(([network, 9, (n / 250) as u8, (n % 250) as u8 + 1], 9000));
-        let settings = WorkerSettings {
-            name: name.clone(),
-            addr,
-            machine_type: kind.name.clone(),
-            zone: zone.to_owned(),
-            spot,
-            cpus: kind.cpus,
-            ..self.template.clone()
-        };
-        let (cloud, booted) = (self.clone(), name.clone());
+        self.machines.borrow_mut().insert(name.clone(), machine);
+        let settings = self.worker_settings(number, &name, zone, spot);
+        let cloud = self.clone();
         self.hosts.spawn(Box::pin(async move {
             sleep(boot_s).await;
-            if let Some(rental_answered) = cloud.machines.borrow_mut().get_mut(&booted) {
-                let host = cloud.hosts.host(&booted);
-                rental_answered.worker =
-                    Some(FakeWorker::start(settings, host, cloud.history.clone()));
-            }
+            cloud.start_worker(settings);
         }));
         name
     }
 
+    fn worker_settings(&self, number: u32, name: &str, zone: &str, spot: bool) -> WorkerSettings {
+        let machine_type = &self.types[0];
+        WorkerSettings {
+            name: name.to_owned(),
+            addr: self.machine_addr(number),
+            machine_type: machine_type.name.clone(),
+            zone: zone.to_owned(),
+            spot,
+            cpus: machine_type.cpus,
+            ..self.worker_template.clone()
+        }
+    }
+
+    fn machine_addr(&self, number: u32) -> SocketAddr {
+        let network = match self.worker_template.addr {
+            SocketAddr::V4(addr) => addr.ip().octets()[0],
+            SocketAddr::V6(_) => 10,
+        };
+        let subnet = (number / MACHINES_PER_SUBNET) as u8;
+        let host = (number % MACHINES_PER_SUBNET) as u8 + 1;
+        SocketAddr::from(([network, 9, subnet, host], 9000))
+    }
+
+    /// Starts the worker of a machine that has booted, unless the machine is gone by now.
+    fn start_worker(&self, settings: WorkerSettings) {
+        if let Some(machine) = self.machines.borrow_mut().get_mut(&settings.name) {
+            let network = self.hosts.host(&settings.name);
+            machine.worker = Some(FakeWorker::start(settings, network, self.history.clone()));
+        }
+    }
+
+    /// The worker of a machine that is up.
     pub fn worker(&self, name: &str) -> Option<Rc<FakeWorker>> {
-        self.machines.borrow().get(name).and_then(|m| m.worker.clone())
+        self.machines.borrow().get(name).and_then(|machine| machine.worker.clone())
     }
 
+    /// The workers of all machines that are up, by name.
     pub fn workers(&self) -> Vec<Rc<FakeWorker>> {
-        self.machines.borrow().values().filter_map(|m| m.worker.clone()).collect()
+        self.machines.borrow().values().filter_map(|machine| machine.worker.clone()).collect()
     }
 
-    /// Takes a machine without a notice.
-    pub fn take(&self, name: &str) {
-        if let Some(rental_answered) = self.machines.borrow_mut().remove(name) {
-            if let Some(worker) = rental_answered.worker {
+    /// Takes a machine back without a notice.
+    pub fn reclaim(&self, name: &str) {
+        if let Some(machine) = self.machines.borrow_mut().remove(name) {
+            if let Some(worker) = machine.worker {
                 worker.kill();
             }
         }
     }
 
     async fn handle(self: Rc<Self>, request: Request) -> Response {
-        sleep(0.05).await;
+        sleep(ANSWER_DELAY_S).await;
         self.calls.set(self.calls.get() + 1);
         if self.down.get() {
             return Response::new(503, b"{\"error\":\"trouble\"}".to_vec());
         }
         match (request.method.as_str(), request.path()) {
-            ("GET", PATH_TYPES) => json(200, &MachineTypes { types: self.types.clone() }),
+            ("GET", PATH_TYPES) => json_response(200, &MachineTypes { types: self.types.clone() }),
             ("GET", PATH_MACHINES) => self.list(&request.target),
-            ("POST", PATH_MACHINES) => match serde_json::from_slice(&request.body) {
-                Ok(rent) => {
-                    let answer = self.rent(&rent);
-                    if self.lose_answers.get() {
-                        return std::future::pending().await;
-                    }
-                    answer
-                }
-                Err(_) => Response::new(400, b"{}".to_vec()),
-            },
-            ("POST", PATH_DELETE) => {
-                let names: MachineNames = serde_json::from_slice(&request.body)
-                    .unwrap_or(MachineNames { machines: Vec::new() });
-                for name in names.machines {
-                    self.take(&name);
-                }
-                Response::new(200, b"{}".to_vec())
-            }
-            _ => Response::new(404, b"{}".to_vec()),
+            ("POST", PATH_MACHINES) => self.answer_rental(&request.body).await,
+            ("POST", PATH_DELETE) => self.delete(&request.body),
+            _ => empty_response(404),
+        }
+    }
+
+    async fn answer_rental(self: &Rc<Self>, body: &[u8]) -> Response {
+        let Ok(request) = serde_json::from_slice(body) else { return empty_response(400) };
+        let answer = self.rent(&request);
+        if self.lose_answers.get() {
+            return std::future::pending().await;
         }
+        answer
     }
 
     fn rent(self: &Rc<Self>, request: &RentRequest) -> Response {
-        if let Some(machines) = self.bookings.borrow().get(&request.request) {
-            return json(200, &MachineNames { machines: machines.clone() });
+        if let Some(machines) = self.answered_rentals.borrow().get(&request.request) {
+            return json_response(200, &MachineNames { machines: machines.clone() });
         }
         let free = self.capacity.get().saturating_sub(self.machines.borrow().len());
         let count = (request.count as usize).min(free);
@@ -177,33 +201,46 @@
         self.rentals.set(self.rentals.get() + 1);
         let boot_s = self.boot_s.get();
         let machines: Vec<String> =
-            (0..count).map(|_| self.add(&request.zone, request.spot, boot_s)).collect();
-        self.bookings.borrow_mut().insert(request.request.clone(), machines.clone());
-        json(200, &MachineNames { machines })
+            (0..count).map(|_| self.add_machine(&request.zone, request.spot, boot_s)).collect();
+        self.answered_rentals.borrow_mut().insert(request.request.clone(), machines.clone());
+        json_response(200, &MachineNames { machines })
+    }
+
+    fn delete(&self, body: &[u8]) -> Response {
+        let names: MachineNames =
+            serde_json::from_slice(body).unwrap_or(MachineNames { machines: Vec::new() });
+        for name in names.machines {
+            self.reclaim(&name);
+        }
+        empty_response(200)
     }
 
     fn list(&self, target: &str) -> Response {
-        let after = param(target, "after").unwrap_or("");
-        let limit: usize = param(target, "limit").and_then(|l| l.parse().ok()).unwrap_or(500);
+        let after = query_parameter(target, "after").unwrap_or("");
+        let limit = numeric_parameter(target, "limit").unwrap_or(DEFAULT_PAGE);
         let machines = self.machines.borrow();
         let mut listed: Vec<ListedMachine> = machines
             .iter()
             .filter(|(name, _)| name.as_str() > after)
-            .map(|(name, rental_answered)| ListedMachine {
-                name: name.clone(),
-                addr: String::new(),
-                machine_type: rental_answered.machine_type.clone(),
-                zone: rental_answered.zone.clone(),
-                spot: rental_answered.spot,
-                state: match rental_answered.worker {
-                    Some(_) => ListedState::Running,
-                    None => ListedState::Booting,
-                },
-                age_s: now().saturating_duration_since(rental_answered.at).as_secs_f64(),
-            })
+            .map(|(name, machine)| machine.listed(name))
             .collect();
         let more = listed.len() > limit;
         listed.truncate(limit);
-        json(200, &MachineList { machines: listed, more })
+        json_response(200, &MachineList { machines: listed, more })
+    }
+}
+
+impl RentedMachine {
+    fn listed(&self, name: &str) -> ListedMachine {
+        let state = if self.worker.is_some() { ListedState::Running } else { ListedState::Booting };
+        ListedMachine {
+            name: name.to_owned(),
+            addr: String::new(),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            state,
+            age_s: now().saturating_duration_since(self.rented).as_secs_f64(),
+        }
     }
 }
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -1,186 +1,294 @@
-//! What really runs where, and the rules.
+//! What really runs where, what users were answered, and the rules that a deployment must keep.
 
 use crate::now;
 use crate::worker::WorkerSettings;
 use corkfield_wire::settings::Team;
 use corkfield_wire::{JobId, JobSpec, JobStatus, TaskId};
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
+/// What rounding may add to the CPUs that a team uses.
+const CPU_TOLERANCE: f64 = 1e-6;
+
 /// How the tasks of a job really behave.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct JobPlan {
+    /// The job as it is submitted.
     pub spec: JobSpec,
+    /// How long each task runs, in seconds.
     pub run_s: f64,
-    /// Fails wherever it runs.
-    pub broken: bool,
+    /// Its tasks fail wherever they run.
+    pub fails: bool,
+}
+
+/// A rule of the deployment that was broken.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Violation {
+    /// A later answer contradicts a final state that a user was given before (S1).
+    AnswerWentBack {
+        /// The job that was asked about.
+        job: JobId,
+        /// The final state that was answered first.
+        from: JobStatus,
+        /// What was answered later.
+        to: JobStatus,
+    },
+    /// A job that was accepted is answered with 404 (S1).
+    AcceptedJobUnknown {
+        /// The job that was asked about.
+        job: JobId,
+    },
+    /// A job is reported done before all its tasks have ended well (S9).
+    DoneTooEarly {
+        /// The job that was asked about.
+        job: JobId,
+    },
+    /// A task runs in two places at once (S3, S5, S7).
+    RanTwice {
+        /// The task that was started again.
+        task: TaskId,
+        /// Where it was running.
+        on: String,
+        /// Where it was started as well.
+        and_on: String,
+    },
+    /// A team uses more CPUs than its quota allows (S8).
+    QuotaExceeded {
+        /// The team by name.
+        team: String,
+        /// The CPUs of all its running tasks.
+        cpus: f64,
+    },
+    /// A task runs in a zone or on a kind of machine that its job does not allow (S8).
+    WrongPlace {
+        /// The task that was started.
+        task: TaskId,
+        /// Where it was started.
+        machine: String,
+        /// The zone of that machine.
+        zone: String,
+        /// The zones of all running tasks of the job, this one's among them.
+        job_zones: Vec<String>,
+    },
+    /// A task runs longer after a confirmed cancellation than is allowed (S6, S11).
+    RanAfterCancellation {
+        /// The task that still runs.
+        task: TaskId,
+    },
+}
+
+/// A final state that a user was given, and when.
+struct FinalAnswer {
+    status: JobStatus,
+    answered: Instant,
 }
 
+/// Where a machine is, and of which kind.
+struct MachinePlace {
+    zone: String,
+    spot: bool,
+}
+
+/// Records what workers run and what users are answered, and notes each [`Violation`].
 #[derive(Default)]
 pub struct ExecutionHistory {
-    plans: RefCell<BTreeMap<JobId, Plan>>,
-    on: RefCell<BTreeMap<TaskId, String>>,
-    done: RefCell<BTreeMap<JobId, std::collections::BTreeSet<u32>>>,
+    plans: RefCell<BTreeMap<JobId, JobPlan>>,
+    machine_by_task: RefCell<BTreeMap<TaskId, String>>,
+    completed: RefCell<BTreeMap<JobId, BTreeSet<u32>>>,
+    /// When users were first told that a job is cancelled.
     cancelled: RefCell<BTreeMap<JobId, Instant>>,
     teams: RefCell<Vec<Team>>,
-    broken: RefCell<Vec<String>>,
-    starts: RefCell<BTreeMap<TaskId, u32>>,
-    starts_on: RefCell<BTreeMap<String, u32>>,
-    /// Zone of each machine, and whether it is a spot machine.
-    machines: RefCell<BTreeMap<String, (String, bool)>>,
-    /// What users were told last of jobs that are over.
-    told: RefCell<BTreeMap<JobId, (JobStatus, Instant)>>,
+    violations: RefCell<Vec<Violation>>,
+    starts_by_task: RefCell<BTreeMap<TaskId, u32>>,
+    starts_by_machine: RefCell<BTreeMap<String, u32>>,
+    machines: RefCell<BTreeMap<String, MachinePlace>>,
+    final_answers: RefCell<BTreeMap<JobId, FinalAnswer>>,
     /// When users were first told that a job is accepted.
     accepted: RefCell<BTreeMap<JobId, Instant>>,
-    late_starts: Cell<u32>,
-    pub cancel_after: std::cell::Cell<Duration>,
+    starts_after_cancellation: Cell<u32>,
+    /// How long tasks may run on after a user was told that their job is cancelled.
+    pub cancel_limit: Cell<Duration>,
 }
 
 impl ExecutionHistory {
+    /// Sets the teams, whose quotas are checked at every start.
     pub fn set_teams(&self, teams: Vec<Team>) {
         *self.teams.borrow_mut() = teams;
     }
 
-    pub(crate) fn machine_up(&self, settings: &WorkerSettings) {
-        let place = (settings.zone.clone(), settings.spot);
+    pub(crate) fn on_machine_up(&self, settings: &WorkerSettings) {
+        let place = MachinePlace { zone: settings.zone.clone(), spot: settings.spot };
         self.machines.borrow_mut().insert(settings.name.clone(), place);
     }
 
-    pub fn submitted(&self, plan: Plan) {
+    /// Adds a job that is about to be submitted; workers know no others.
+    pub fn add_plan(&self, plan: JobPlan) {
         self.plans.borrow_mut().insert(plan.spec.id.clone(), plan);
     }
 
-    pub fn plan(&self, id: &JobId) -> Option<Plan> {
+    /// How the tasks of a job behave.
+    pub fn plan(&self, id: &JobId) -> Option<JobPlan> {
         self.plans.borrow().get(id).cloned()
     }
 
-    /// A user who asked at that moment was told this of a job: a final state stays.
-    pub fn told(&self, id: &JobId, status: JobStatus, asked: Instant) {
-        if let Some((before, at)) = self.told.borrow().get(id) {
-            if *before != status && (status.is_final() || *at <= asked) {
-                self.note(format!("went_back: {id} from {before:?} to {status:?}"));
-            }
-        }
+    /// A user who asked at that moment was answered with this status: a final state stays.
+    pub fn on_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
+        self.check_final_answer(id, status, asked);
         if status.is_final() {
-            self.told.borrow_mut().entry(id.clone()).or_insert((status, now()));
+            let answer = FinalAnswer { status, answered: now() };
+            self.final_answers.borrow_mut().entry(id.clone()).or_insert(answer);
         }
         self.accepted.borrow_mut().entry(id.clone()).or_insert_with(now);
         match status {
-            JobStatus::Done => self.told_done(id),
-            JobStatus::Cancelled => self.told_cancelled(id),
+            JobStatus::Done => self.check_done(id),
+            JobStatus::Cancelled => {
+                self.cancelled.borrow_mut().entry(id.clone()).or_insert_with(now);
+            }
             JobStatus::Queued | JobStatus::Running => {}
         }
     }
 
-    /// A user who asked at that moment was told that there is no such job.
-    pub fn told_unknown(&self, id: &JobId, asked: Instant) {
-        if self.accepted.borrow().get(id).is_some_and(|at| *at <= asked) {
-            self.note(format!("forgotten: {id} is answered with 404"));
+    fn check_final_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
+        let answers = self.final_answers.borrow();
+        let Some(before) = answers.get(id).filter(|before| before.status != status) else { return };
+        if status.is_final() || before.answered <= asked {
+            let (from, to) = (before.status, status);
+            self.note(Violation::AnswerWentBack { job: id.clone(), from, to });
         }
     }
 
-    fn told_cancelled(&self, id: &JobId) {
-        self.cancelled.borrow_mut().entry(id.clone()).or_insert_with(now);
+    /// A user who asked at that moment was answered that there is no such job.
+    pub fn on_unknown_answer(&self, id: &JobId, asked: Instant) {
+        if self.accepted.borrow().get(id).is_some_and(|accepted| *accepted <= asked) {
+            self.note(Violation::AcceptedJobUnknown { job: id.clone() });
+        }
     }
 
-    fn told_done(&self, id: &JobId) {
-        let all = self.plan(id).map_or(0, |p| p.spec.tasks as usize);
-        if self.done.borrow().get(id).map_or(0, |d| d.len()) < all {
-            self.note(format!("not_done: {id}"));
+    fn check_done(&self, id: &JobId) {
+        let tasks = self.plan(id).map_or(0, |plan| plan.spec.tasks as usize);
+        if self.completed.borrow().get(id).map_or(0, BTreeSet::len) < tasks {
+            self.note(Violation::DoneTooEarly { job: id.clone() });
         }
     }
 
-    fn note(&self, rule: String) {
-        self.broken.borrow_mut().push(rule);
+    fn note(&self, violation: Violation) {
+        self.violations.borrow_mut().push(violation);
     }
 
-    /// A task has its image and starts.
-    pub fn starts(&self, task: &TaskId, machine: &str) {
-        if let Some(other) = self.on.borrow_mut().insert(task.clone(), machine.to_owned()) {
-            self.note(format!("ran_twice: {task} on {other} and {machine}"));
-        }
-        *self.starts.borrow_mut().entry(task.clone()).or_default() += 1;
-        *self.starts_on.borrow_mut().entry(machine.to_owned()).or_default() += 1;
+    /// A task has its image and starts on a machine.
+    pub(crate) fn on_start(&self, task: &TaskId, machine: &str) {
+        self.record_start(task, machine);
         self.check_cancelled(task);
         if self.cancelled.borrow().contains_key(&task.job) {
-            self.late_starts.set(self.late_starts.get() + 1);
+            self.starts_after_cancellation.set(self.starts_after_cancellation.get() + 1);
         }
         let Some(plan) = self.plan(&task.job) else { return };
         self.check_place(task, machine, &plan.spec);
-        let team = self.teams.borrow().iter().find(|t| t.name == plan.spec.team).cloned();
-        let Some(team) = team.filter(|t| t.cpus_max > 0.0) else { return };
-        let on = self.on.borrow();
-        let plans = self.plans.borrow();
-        let of_team = on.keys().filter_map(|t| plans.get(&t.job));
-        let used: f64 = of_team.filter(|p| p.spec.team == team.name).map(|p| p.spec.cpus).sum();
-        if used > team.cpus_max + 1e-6 {
-            self.note(format!("quota: {} uses {used}", team.name));
+        self.check_quota(&plan.spec.team);
+    }
+
+    fn record_start(&self, task: &TaskId, machine: &str) {
+        let before = self.machine_by_task.borrow_mut().insert(task.clone(), machine.to_owned());
+        if let Some(on) = before {
+            let and_on = machine.to_owned();
+            self.note(Violation::RanTwice { task: task.clone(), on, and_on });
+        }
+        *self.starts_by_task.borrow_mut().entry(task.clone()).or_default() += 1;
+        *self.starts_by_machine.borrow_mut().entry(machine.to_owned()).or_default() += 1;
+    }
+
+    fn check_quota(&self, team: &str) {
+        let teams = self.teams.borrow();
+        let Some(team) = teams.iter().find(|known| known.name == team) else { return };
+        if team.cpus_max <= 0.0 {
+            return;
+        }
+        let (running, plans) = (self.machine_by_task.borrow(), self.plans.borrow());
+        let cpus: f64 = running
+            .keys()
+            .filter_map(|task| plans.get(&task.job))
+            .filter(|plan| plan.spec.team == team.name)
+            .map(|plan| plan.spec.cpus)
+            .sum();
+        if cpus > team.cpus_max + CPU_TOLERANCE {
+            self.note(Violation::QuotaExceeded { team: team.name.clone(), cpus });
         }
     }
 
     /// Zone and kind of machine, given where the job's other tasks are at this moment.
     fn check_place(&self, task: &TaskId, machine: &str, spec: &JobSpec) {
         let machines = self.machines.borrow();
-        let Some((zone, spot)) = machines.get(machine) else { return };
-        let on = self.on.borrow();
-        let of_job = on.iter().filter(|(other, _)| other.job == task.job);
-        let zones: Vec<&String> =
-            of_job.filter_map(|(_, machine)| machines.get(machine).map(|(zone, _)| zone)).collect();
-        let here = zones.iter().filter(|other| **other == zone).count();
+        let Some(MachinePlace { zone, spot }) = machines.get(machine) else { return };
+        let running = self.machine_by_task.borrow();
+        let job_zones: Vec<String> = running
+            .iter()
+            .filter(|(other, _)| other.job == task.job)
+            .filter_map(|(_, machine)| machines.get(machine).map(|place| place.zone.clone()))
+            .collect();
+        let in_zone = job_zones.iter().filter(|other| *other == zone).count();
         let wrong = spec.zone.as_ref().is_some_and(|only| only != zone)
             || *spot && !spec.spot
-            || spec.one_zone && here < zones.len()
-            || here > spec.zone_cap() as usize;
+            || spec.one_zone && in_zone < job_zones.len()
+            || in_zone > spec.zone_cap() as usize;
         if wrong {
-            self.note(format!("wrong_place: {task} in {zone} on {machine}, others in {zones:?}"));
+            let (machine, zone) = (machine.to_owned(), zone.clone());
+            self.note(Violation::WrongPlace { task: task.clone(), machine, zone, job_zones });
         }
     }
 
     /// Starts of jobs whose users had been told that they are cancelled.
-    pub fn late_starts(&self) -> u32 {
-        self.late_starts.get()
+    pub fn starts_after_cancellation(&self) -> u32 {
+        self.starts_after_cancellation.get()
     }
 
-    pub fn check_cancelled(&self, task: &TaskId) {
-        let told = self.cancelled.borrow().get(&task.job).copied();
-        if told.is_some_and(|at| now() > at + self.cancel_after.get()) {
-            self.note(format!("ran_cancelled: {task}"));
+    pub(crate) fn check_cancelled(&self, task: &TaskId) {
+        let cancelled = self.cancelled.borrow().get(&task.job).copied();
+        if cancelled.is_some_and(|cancelled| now() > cancelled + self.cancel_limit.get()) {
+            self.note(Violation::RanAfterCancellation { task: task.clone() });
         }
     }
 
-    pub fn ends(&self, task: &TaskId, machine: &str) {
-        let mut on = self.on.borrow_mut();
-        if on.get(task).is_some_and(|m| m == machine) {
-            on.remove(task);
+    /// A task no longer runs on a machine.
+    pub(crate) fn on_end(&self, task: &TaskId, machine: &str) {
+        let mut running = self.machine_by_task.borrow_mut();
+        if running.get(task).is_some_and(|on| on == machine) {
+            running.remove(task);
         }
     }
 
-    pub fn completes(&self, task: &TaskId) {
-        self.done.borrow_mut().entry(task.job.clone()).or_default().insert(task.index);
+    /// A task has ended well.
+    pub(crate) fn on_completion(&self, task: &TaskId) {
+        self.completed.borrow_mut().entry(task.job.clone()).or_default().insert(task.index);
     }
 
+    /// The machine that a task runs on.
     pub fn machine_of(&self, task: &TaskId) -> Option<String> {
-        self.on.borrow().get(task).cloned()
+        self.machine_by_task.borrow().get(task).cloned()
     }
 
-    pub fn running(&self, id: &JobId) -> usize {
-        self.on.borrow().keys().filter(|t| t.job == *id).count()
+    /// How many tasks of a job run.
+    pub fn running_tasks(&self, id: &JobId) -> usize {
+        self.machine_by_task.borrow().keys().filter(|task| task.job == *id).count()
     }
 
-    pub fn started(&self, task: &TaskId) -> u32 {
-        self.starts.borrow().get(task).copied().unwrap_or(0)
+    /// How often a task was started.
+    pub fn starts_of(&self, task: &TaskId) -> u32 {
+        self.starts_by_task.borrow().get(task).copied().unwrap_or(0)
     }
 
+    /// How many tasks were started on a machine.
     pub fn starts_on(&self, machine: &str) -> u32 {
-        self.starts_on.borrow().get(machine).copied().unwrap_or(0)
+        self.starts_by_machine.borrow().get(machine).copied().unwrap_or(0)
     }
 
-    pub fn starts_in_all(&self) -> u32 {
-        self.starts.borrow().values().sum()
+    /// How many tasks were started on all machines.
+    pub fn total_starts(&self) -> u32 {
+        self.starts_by_task.borrow().values().sum()
     }
 
-    pub fn broken_rules(&self) -> Vec<String> {
-        self.broken.borrow().clone()
+    /// The rules that were broken, the first one first.
+    pub fn violations(&self) -> Vec<Violation> {
+        self.violations.borrow().clone()
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,10 @@
 //! Stand-ins for the network, the state service, the cloud and the workers, in memory and in
-//! simulated time. They follow the published protocol; the ledger checks the rules.
+//! simulated time. They follow the published protocol; the execution history checks the rules.
+//!
+//! Architecture invariant: this crate knows the protocol (`corkfield-wire`, `corkfield-http`) and
+//! nothing of the controllers that are tested with it.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod cloud;
 mod history;
@@ -10,7 +14,7 @@
 mod worker;
 
 pub use cloud::FakeCloud;
-pub use history::{ExecutionHistory, Plan};
+pub use history::{ExecutionHistory, JobPlan, Violation};
 pub use net::{Host, Hosts, Loopback, MemoryNet};
 pub use process::{Freezer, Process};
 pub use store::{FakeStore, Fault};
@@ -20,20 +24,31 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
+/// The simulated time.
 pub(crate) fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-pub(crate) fn json(status: u16, body: &impl Serialize) -> Response {
+pub(crate) fn json_response(status: u16, body: &impl Serialize) -> Response {
     Response::new(status, serde_json::to_vec(body).unwrap_or_default())
 }
 
+/// A response without content: an empty JSON object.
+pub(crate) fn empty_response(status: u16) -> Response {
+    Response::new(status, b"{}".to_vec())
+}
+
 /// A parameter of a request's query.
-pub(crate) fn param<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+pub(crate) fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
+/// A parameter of a request's query that is a number.
+pub(crate) fn numeric_parameter<T: std::str::FromStr>(target: &str, name: &str) -> Option<T> {
+    query_parameter(target, name)?.parse().ok()
+}
+
 pub(crate) async fn sleep(seconds: f64) {
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
--- a/crates/fakes/src/net.rs
+++ b/crates/fakes/src/net.rs
@@ -11,57 +11,65 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 use tokio::sync::{mpsc, Mutex, Notify};
 
+/// How many bytes a connection holds on each side.
+const PIPE_BYTES: usize = 64 * 1024;
+/// How many bytes are forwarded as one message.
+const MESSAGE_BYTES: usize = 16 * 1024;
+const DEFAULT_LATENCY: Duration = Duration::from_millis(1);
+/// Stands for all other hosts in a cut.
+const ANY_HOST: &str = "*";
+
 type Task = LocalFuture<'static, ()>;
-type Incoming = mpsc::UnboundedSender<Stream>;
+type IncomingStreams = mpsc::UnboundedSender<Stream>;
 
-struct Inner {
-    listeners: RefCell<BTreeMap<SocketAddr, (String, Incoming)>>,
-    cuts: RefCell<BTreeSet<(String, String)>>,
-    healed: Notify,
-    /// How long each message is under way.
-    latency: Cell<Duration>,
-    spawn: mpsc::UnboundedSender<Task>,
-    /// Connections that each host has open, and the most it had.
-    open: RefCell<BTreeMap<String, (usize, usize)>>,
+/// An address that a host listens on.
+struct Bound {
+    host: String,
+    incoming: IncomingStreams,
 }
 
-/// A connection, as long as its client keeps it.
-struct Counted(Rc<Inner>, [String; 2]);
+/// The hosts at the two ends of a connection, or of a cut.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: String,
+    to: String,
+}
 
-impl Counted {
-    fn new(net: Rc<Inner>, a: &str, b: &str) -> Self {
-        let ends = [a.to_owned(), b.to_owned()];
-        for end in &ends {
-            let mut open = net.open.borrow_mut();
-            let count = open.entry(end.clone()).or_default();
-            count.0 += 1;
-            count.1 = count.1.max(count.0);
-        }
-        Self(net, ends)
+impl Link {
+    fn new(from: &str, to: &str) -> Self {
+        Self { from: from.to_owned(), to: to.to_owned() }
     }
 }
 
-impl Drop for Counted {
-    fn drop(&mut self) {
-        for end in &self.1 {
-            if let Some(count) = self.0.open.borrow_mut().get_mut(end) {
-                count.0 -= 1;
-            }
-        }
-    }
+/// Connections that a host has open, and the most it had at once.
+#[derive(Default)]
+struct ConnectionCount {
+    open: usize,
+    peak: usize,
 }
 
-impl Inner {
-    fn is_cut(&self, a: &str, b: &str) -> bool {
+struct NetworkState {
+    listeners: RefCell<BTreeMap<SocketAddr, Bound>>,
+    cuts: RefCell<BTreeSet<Link>>,
+    healed: Notify,
+    /// How long each message is under way.
+    latency: Cell<Duration>,
+    spawn: mpsc::UnboundedSender<Task>,
+    connections: RefCell<BTreeMap<String, ConnectionCount>>,
+}
+
+impl NetworkState {
+    fn is_cut(&self, link: &Link) -> bool {
         let cuts = self.cuts.borrow();
-        let pairs = [(a, b), (b, a), (a, "*"), (b, "*")];
-        pairs.iter().any(|(x, y)| cuts.contains(&((*x).to_owned(), (*y).to_owned())))
+        let Link { from, to } = link;
+        let pairs = [(from, to.as_str()), (to, from.as_str()), (from, ANY_HOST), (to, ANY_HOST)];
+        pairs.iter().any(|(from, to)| cuts.contains(&Link::new(from, to)))
     }
 
-    async fn until_open(&self, a: &str, b: &str) {
+    async fn wait_until_open(&self, link: &Link) {
         loop {
             let healed = self.healed.notified();
-            if !self.is_cut(a, b) {
+            if !self.is_cut(link) {
                 return;
             }
             healed.await;
@@ -69,6 +77,34 @@
     }
 }
 
+/// A connection counts at both of its ends, as long as its client keeps it.
+struct CountedConnection {
+    net: Rc<NetworkState>,
+    link: Link,
+}
+
+impl CountedConnection {
+    fn new(net: Rc<NetworkState>, link: Link) -> Self {
+        for host in [&link.from, &link.to] {
+            let mut connections = net.connections.borrow_mut();
+            let count = connections.entry(host.clone()).or_default();
+            count.open += 1;
+            count.peak = count.peak.max(count.open);
+        }
+        Self { net, link }
+    }
+}
+
+impl Drop for CountedConnection {
+    fn drop(&mut self) {
+        for host in [&self.link.from, &self.link.to] {
+            if let Some(count) = self.net.connections.borrow_mut().get_mut(host) {
+                count.open -= 1;
+            }
+        }
+    }
+}
+
 /// Networks of hosts that come up while a deployment is played.
 pub trait Hosts {
     /// The network as a host of this name sees it.
@@ -91,6 +127,11 @@
     }
 }
 
+/// A network in memory, in simulated time. Each host gets its own view of it from
+/// [`MemoryNet::host`].
+#[derive(Clone)]
+pub struct MemoryNet(Rc<NetworkState>);
+
 impl Hosts for MemoryNet {
     fn host(&self, name: &str) -> Rc<dyn Network> {
         Self::host(self, name)
@@ -101,9 +142,6 @@
     }
 }
 
-#[derive(Clone)]
-pub struct MemoryNet(Rc<Inner>);
-
 impl Default for MemoryNet {
     /// Must be called on a local task set: messages under way outlive their senders.
     fn default() -> Self {
@@ -113,97 +151,128 @@
                 tokio::task::spawn_local(task);
             }
         });
-        Self(Rc::new(Inner {
+        Self(Rc::new(NetworkState {
             listeners: RefCell::default(),
             cuts: RefCell::default(),
             healed: Notify::new(),
-            latency: Cell::new(Duration::from_millis(1)),
+            latency: Cell::new(DEFAULT_LATENCY),
             spawn,
-            open: RefCell::default(),
+            connections: RefCell::default(),
         }))
     }
 }
 
 impl MemoryNet {
+    /// The network as a host of this name sees it.
     pub fn host(&self, name: &str) -> Rc<Host> {
         Rc::new(Host { name: name.to_owned(), net: self.0.clone() })
     }
 
     /// Holds back everything between two hosts (`*`: all others) until it is healed.
-    pub fn cut(&self, a: &str, b: &str) {
-        self.0.cuts.borrow_mut().insert((a.to_owned(), b.to_owned()));
+    pub fn cut(&self, from: &str, to: &str) {
+        self.0.cuts.borrow_mut().insert(Link::new(from, to));
     }
 
-    pub fn heal(&self, a: &str, b: &str) {
-        self.0.cuts.borrow_mut().remove(&(a.to_owned(), b.to_owned()));
+    /// Ends a cut: what it held back arrives. The hosts must be named as they were for the cut.
+    pub fn heal(&self, from: &str, to: &str) {
+        self.0.cuts.borrow_mut().remove(&Link::new(from, to));
         self.0.healed.notify_waiters();
     }
 
+    /// Sets how long each message is under way.
     pub fn set_latency(&self, latency: Duration) {
         self.0.latency.set(latency);
     }
 
     /// The most connections that a host had open at once.
-    pub fn most_open(&self, host: &str) -> usize {
-        self.0.open.borrow().get(host).map_or(0, |(_, most)| *most)
+    pub fn peak_connections(&self, host: &str) -> usize {
+        self.0.connections.borrow().get(host).map_or(0, |count| count.peak)
     }
 
     /// Counts the most open connections anew, from those that are open now.
-    pub fn reset_most_open(&self) {
-        for (now_open, most) in self.0.open.borrow_mut().values_mut() {
-            *most = *now_open;
+    pub fn reset_peak_connections(&self) {
+        for count in self.0.connections.borrow_mut().values_mut() {
+            count.peak = count.open;
         }
     }
 
     /// Connections that a host has open now.
-    pub fn open_now(&self, host: &str) -> usize {
-        self.0.open.borrow().get(host).map_or(0, |(now_open, _)| *now_open)
+    pub fn open_connections(&self, host: &str) -> usize {
+        self.0.connections.borrow().get(host).map_or(0, |count| count.open)
     }
 }
 
 /// One host's view of the network.
 pub struct Host {
     name: String,
-    net: Rc<Inner>,
+    net: Rc<NetworkState>,
+}
+
+impl Host {
+    /// The host that listens on an address.
+    fn listening_host(&self, addr: SocketAddr) -> Result<String> {
+        let listeners = self.net.listeners.borrow();
+        listeners.get(&addr).map(|bound| bound.host.clone()).ok_or_else(connection_refused)
+    }
+
+    fn incoming_streams(&self, addr: SocketAddr) -> Result<IncomingStreams> {
+        let listeners = self.net.listeners.borrow();
+        listeners.get(&addr).map(|bound| bound.incoming.clone()).ok_or_else(connection_refused)
+    }
+
+    /// A connection over a link: the stream of this host, and that of the other one.
+    fn open_connection(&self, link: Link) -> (DuplexStream, DuplexStream) {
+        let (mine, near) = tokio::io::duplex(PIPE_BYTES);
+        let (far, theirs) = tokio::io::duplex(PIPE_BYTES);
+        let (near_read, near_write) = tokio::io::split(near);
+        let (far_read, far_write) = tokio::io::split(far);
+        let counted = CountedConnection::new(self.net.clone(), link.clone());
+        self.spawn_forwarding(link.clone(), near_read, far_write, Some(counted));
+        self.spawn_forwarding(link, far_read, near_write, None);
+        (mine, theirs)
+    }
+
+    /// Forwards one direction of a connection, which counts as long as its client sends.
+    fn spawn_forwarding(
+        &self,
+        link: Link,
+        from: ReadHalf<DuplexStream>,
+        to: WriteHalf<DuplexStream>,
+        counted: Option<CountedConnection>,
+    ) {
+        let net = self.net.clone();
+        let _ = self.net.spawn.send(Box::pin(async move {
+            forward(net, link, from, to).await;
+            drop(counted);
+        }));
+    }
+}
+
+fn connection_refused() -> Error {
+    Error::from(ErrorKind::ConnectionRefused)
 }
 
 impl Network for Host {
     fn connect(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Stream>> {
         Box::pin(async move {
-            let refused = || Error::from(ErrorKind::ConnectionRefused);
             tokio::time::sleep(self.net.latency.get()).await;
-            let other = self.net.listeners.borrow().get(&addr).map(|l| l.0.clone());
-            let other = other.ok_or_else(refused)?;
-            self.net.until_open(&self.name, &other).await;
-            let incoming = self.net.listeners.borrow().get(&addr).map(|l| l.1.clone());
-            let incoming = incoming.ok_or_else(refused)?;
-            let (mine, near) = tokio::io::duplex(64 * 1024);
-            let (far, theirs) = tokio::io::duplex(64 * 1024);
-            let (near_read, near_write) = tokio::io::split(near);
-            let (far_read, far_write) = tokio::io::split(far);
-            let counted = Counted::new(self.net.clone(), &self.name, &other);
-            let forward = |read, write, counted| {
-                let (net, a, b) = (self.net.clone(), self.name.clone(), other.clone());
-                let _ = self.net.spawn.send(Box::pin(async move {
-                    forward(net, a, b, read, write).await;
-                    drop(counted);
-                }));
-            };
-            forward(near_read, far_write, Some(counted));
-            forward(far_read, near_write, None);
-            incoming.send(Box::new(theirs)).map_err(|_| refused())?;
+            let link = Link::new(&self.name, &self.listening_host(addr)?);
+            self.net.wait_until_open(&link).await;
+            let incoming = self.incoming_streams(addr)?;
+            let (mine, theirs) = self.open_connection(link);
+            incoming.send(Box::new(theirs)).map_err(|_| connection_refused())?;
             Ok(Box::new(mine) as Stream)
         })
     }
 
     fn listen(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Box<dyn Listener>>> {
         Box::pin(async move {
-            let (sender, receiver) = mpsc::unbounded_channel();
+            let (incoming, receiver) = mpsc::unbounded_channel();
             let mut listeners = self.net.listeners.borrow_mut();
             if listeners.contains_key(&addr) {
                 return Err(ErrorKind::AddrInUse.into());
             }
-            listeners.insert(addr, (self.name.clone(), sender));
+            listeners.insert(addr, Bound { host: self.name.clone(), incoming });
             let net = self.net.clone();
             let receiver = Mutex::new(receiver);
             Ok(Box::new(MemoryListener { addr, net, receiver }) as Box<dyn Listener>)
@@ -213,7 +282,7 @@
 
 struct MemoryListener {
     addr: SocketAddr,
-    net: Rc<Inner>,
+    net: Rc<NetworkState>,
     receiver: Mutex<mpsc::UnboundedReceiver<Stream>>,
 }
 
@@ -232,19 +301,19 @@
     }
 }
 
+/// Carries bytes one way until the sender closes, or the receiver is gone.
 async fn forward(
-    net: Rc<Inner>,
-    a: String,
-    b: String,
+    net: Rc<NetworkState>,
+    link: Link,
     mut from: ReadHalf<DuplexStream>,
     mut to: WriteHalf<DuplexStream>,
 ) {
-    let mut buffer = vec![0; 16 * 1024];
-    while let Ok(n) = from.read(&mut buffer).await {
+    let mut buffer = vec![0; MESSAGE_BYTES];
+    while let Ok(length) = from.read(&mut buffer).await {
         tokio::time::sleep(net.latency.get()).await;
         // What was sent before or during a cut arrives after it, even if its sender gave up.
-        net.until_open(&a, &b).await;
-        if n == 0 || to.write_all(&buffer[..n]).await.is_err() {
+        net.wait_until_open(&link).await;
+        if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
             break;
         }
     }
