--- a/crates/corkfield/tests/scenarios/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/cancellations.rs
@@ -1,23 +1,14 @@
 //! Cancellations that meet claims, orders in flight and controllers that are cut off.
 
-use crate::cluster::{job_spec, scenario, sleep_s, CANCEL_S, CONTROLLERS};
+use crate::cluster::{claims_jobs, job_spec, scenario, sleep_s, CANCEL_S, CONTROLLERS};
 use corkfield_fakes::Fault;
-use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::{JobView, PATH_JOBS};
 use corkfield_wire::JobStatus;
 
 #[test]
 fn a_late_claim_does_not_bring_back_a_cancelled_job() {
     scenario(1, |cluster| async move {
-        cluster.store.set_faults(|request| {
-            let body = String::from_utf8_lossy(&request.body);
-            let claims = request.path() == PATH_TXN && body.contains("\"owner\":\"n");
-            if claims {
-                Fault::DelayAndLoseAnswer(6.0)
-            } else {
-                Fault::None
-            }
-        });
+        cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(6.0), claims_jobs);
         let job = job_spec(1, 4);
         cluster.submit(&job, 5.0).await;
         sleep_s(1.0).await;
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -1,9 +1,11 @@
 //! A deployment in memory: three controllers, the stand-ins, and a user.
 
 mod settings;
+mod store_load;
 mod users;
 
 pub use settings::Grants;
+pub use store_load::{cancels_job, claims_jobs, is_transaction, is_transaction_with, StoreLoad};
 
 use corkfield::node;
 use corkfield::settings::Operator;
--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -14,7 +14,7 @@
     Hung,
     /// Everything between it and the controllers is held back.
     CutOff,
-    /// Its reports arrive; nothing reaches it.
+    /// Its heartbeats arrive; nothing reaches it.
     ReceivesNothing,
 }
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn team_limit_counts_cancelled_tasks_on_silent_machines_while_the_leader_changes() {
+fn a_quota_counts_cancelled_tasks_on_silent_machines_while_the_leader_changes() {
     for silence in [Silence::Hung, Silence::CutOff, Silence::ReceivesNothing] {
         // The leader ends before the cancellation, with it, or after it.
         for leader_ends_s in [-1.0, 0.0, 1.5, 6.0] {
--- a/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands that are held up and carried out after newer ones, and copies of reports that
+//! Direct commands that are held up and carried out after newer ones, and copies of heartbeats that
 //! reach a leader as it begins.
 
 use crate::cluster::{job_spec, scenario, sleep_s, Cluster, CONTROLLERS, LEASE_S};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 #[test]
-fn held_up_commands_of_a_replaced_leader_stop_nothing_that_its_successor_started() {
+fn delayed_commands_of_a_replaced_leader_stop_nothing_that_its_successor_started() {
     for delay_s in [2.0, 5.0, 9.0, 16.0] {
         for restart_s in [0.1, 2.5, 4.0] {
             scenario(3, |cluster| async move {
@@ -40,13 +40,13 @@
     }
 }
 
-/// Sends copies of the reports that workers sent before to every controller.
+/// Sends copies of the heartbeats that workers sent before to every controller.
 async fn send_copies(cluster: &Rc<Cluster>, copies: &[Vec<u8>]) {
     for copy in copies {
-        for node in 0..CONTROLLERS.len() {
+        for controller in 0..CONTROLLERS.len() {
             let (sender, copy) = (cluster.clone(), copy.clone());
             tokio::task::spawn_local(async move {
-                sender.request(node, "POST", PATH_HEARTBEAT, &copy).await;
+                sender.request(controller, "POST", PATH_HEARTBEAT, &copy).await;
             });
         }
     }
--- a/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_leader_alone_with_its_workers_tells_no_user_anything_old() {
+fn a_leader_cut_off_from_all_but_workers_gives_users_no_stale_answer() {
     for hung in [false, true] {
         scenario(3, |cluster| async move {
             let (kept, to_cancel) = (job_spec(1, 8), job_spec(2, 8));
@@ -96,8 +96,8 @@
             }
             cluster.cancel_through(new, &to_cancel.id).await;
             for _ in 0..20 {
-                let told = cluster.request_about_job(old, &to_cancel.id, None).await;
-                assert_eq!(told, None, "no answer without the store");
+                let answer = cluster.request_about_job(old, &to_cancel.id, None).await;
+                assert_eq!(answer, None, "no answer without the store");
                 sleep_s(1.0).await;
             }
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_leader_that_stands_still_while_clocks_run_on_does_no_harm_when_it_goes_on() {
+fn a_leader_paused_while_clocks_run_on_does_no_harm_when_it_resumes() {
     for still in [3.0, 9.5, 11.0, LEASE_S + 2.0, 70.0] {
         scenario(3, |cluster| async move {
             let (job, stream, to_cancel) = (job_spec(1, 10), job_spec(2, 200), job_spec(3, 4));
@@ -157,7 +157,7 @@
             };
             cluster.freeze(leader, still).await;
             cancelling.await.expect("it is cancelled");
-            // It wakes to orders, transactions and reports that are long over.
+            // It wakes to orders, transactions and heartbeats that are long over.
             sleep_s(LEASE_S + 6.0).await;
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
             for job in [&job, &stream] {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_leader_that_wakes_returns_no_machine_that_another_one_uses() {
+fn a_leader_that_resumes_deletes_no_machine_that_its_successor_uses() {
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(4);
         cluster.cloud.boot_s.set(20.0);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_leader_that_was_cut_off_from_all_returns_no_machine_when_the_cut_ends() {
+fn a_leader_that_was_cut_off_from_all_deletes_no_machine_when_the_partition_ends() {
     for cut_s in [20.0, 45.0] {
         scenario(4, |cluster| async move {
             let mut job = job_spec(1, 30);
@@ -207,13 +207,8 @@
             assert_ne!(cluster.leader(), leader);
             // It learns at once that its jobs are another's, so that nothing seems to need the
             // machines, and only seconds later that another one leads and its lease is lost.
-            cluster.store.set_faults(|request| {
-                let path = request.path();
-                if path == PATH_WATCH || path.ends_with(PATH_RENEW) {
-                    Fault::Drop
-                } else {
-                    Fault::None
-                }
+            cluster.store.set_fault_where(Fault::Drop, |request| {
+                request.path() == PATH_WATCH || request.path().ends_with(PATH_RENEW)
             });
             cluster.net.heal(CONTROLLERS[leader], "*");
             sleep_s(3.0).await;
@@ -299,7 +294,7 @@
                 .into_iter()
                 .for_each(|controller| cluster.start(controller));
             cluster.wait_until_done(&job.id, 150.0).await;
-            cluster.assert_started_once(&job, "no lease ran out");
+            cluster.assert_started_once(&job, "no lease expired");
         });
     }
 }
--- a/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
@@ -146,10 +146,10 @@
             first.request_about_job(0, &id, Some(PATH_CANCEL)).await;
         });
         sleep_s(0.1).await;
-        let told = cluster.request_about_job(1, &job.id, Some(PATH_CANCEL)).await;
-        assert_eq!(told, Some(JobStatus::Cancelled));
-        for node in 0..CONTROLLERS.len() {
-            assert_eq!(cluster.request_about_job(node, &job.id, None).await, told);
+        let answer = cluster.request_about_job(1, &job.id, Some(PATH_CANCEL)).await;
+        assert_eq!(answer, Some(JobStatus::Cancelled));
+        for controller in 0..CONTROLLERS.len() {
+            assert_eq!(cluster.request_about_job(controller, &job.id, None).await, answer);
         }
         sleep_s(4.0).await;
         assert_eq!(cluster.history.running_tasks(&job.id), 0);
--- a/crates/corkfield/tests/scenarios/combined_faults/machines.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/machines.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_limit_is_kept_while_leaders_change_machines_are_silent_and_a_job_is_cancelled() {
+fn a_quota_is_kept_while_leaders_change_machines_are_silent_and_a_job_is_cancelled() {
     for (hung_s, when) in [(4.0, 0.5), (9.0, 2.0), (LEASE_S + 3.0, 0.0), (LEASE_S - 1.0, 5.0)] {
         scenario(4, |cluster| async move {
             let capped = |number: u32, tasks: u32, cpus: f64| {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn work_bound_to_a_zone_waits_for_no_machines_elsewhere() {
+fn a_job_bound_to_a_zone_waits_for_no_machines_in_other_zones() {
     for (tasks, busy) in [(3, false), (3, true), (24, true)] {
         scenario(4, |cluster| async move {
             let mut bound = job_spec(1, tasks);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn work_that_nobody_began_waits_for_no_silent_machine_after_a_failover() {
+fn a_job_that_was_never_started_waits_for_no_silent_machine_after_a_failover() {
     scenario(4, |cluster| async move {
         let (long, next) = (job_spec(1, 32), job_spec(2, 10));
         cluster.submit(&long, 300.0).await;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn jobs_that_must_stay_together_or_apart_do_so_through_take_overs_and_losses() {
+fn one_zone_and_spread_constraints_are_kept_through_failovers_and_lost_machines() {
     for seed in 0..3u32 {
         scenario(4, |cluster| async move {
             let (mut together, mut apart) = (job_spec(1, 150), job_spec(2, 9));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn more_work_than_room_over_slow_links_is_done_in_the_end_and_urgent_work_first() {
+fn more_work_than_capacity_over_slow_links_is_done_in_the_end_and_urgent_jobs_first() {
     scenario(2, |cluster| async move {
         cluster.net.set_latency(std::time::Duration::from_millis(120));
         let mut urgent = Vec::new();
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn commands_and_answers_that_are_held_up_for_seconds_are_carried_out_or_void() {
+fn commands_and_replies_delayed_by_seconds_are_executed_or_void() {
     for held_s in [0.7, 2.0, 3.8, 4.5, 8.0] {
         scenario(2, |cluster| async move {
             let stream = job_spec(1, 120);
--- a/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
@@ -1,13 +1,13 @@
 //! One-task jobs in quick succession, and machines that are up at once.
 
-use crate::cluster::{job_spec, scenario, sleep_s, Cluster};
+use crate::cluster::{job_spec, scenario, sleep_s, Cluster, StoreLoad};
 use corkfield_fakes::{Fault, JobPlan};
 use corkfield_wire::records::{machine_key, JOBS_PREFIX};
-use corkfield_wire::store::{Transaction, PATH_TXN};
+use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::{JobSpec, JobStatus};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::rc::Rc;
 
 /// Jobs a second, and for how long they come.
@@ -27,16 +27,7 @@
 #[test]
 fn one_task_jobs_at_four_a_second_cost_few_changes_and_starve_no_array() {
     scenario(4, |cluster| async move {
-        let changes = Rc::new(Cell::new(0usize));
-        let counter = changes.clone();
-        cluster.store.set_faults(move |request| {
-            if request.path() == PATH_TXN {
-                let transaction: Transaction =
-                    serde_json::from_slice(&request.body).unwrap_or_default();
-                counter.set(counter.get() + transaction.changes.len());
-            }
-            Fault::None
-        });
+        let store_load = StoreLoad::count(&cluster.store);
         let array = JobSpec { cpus: 4.0, ..job_spec(1, 30) };
         cluster.submit(&array, 8.0).await;
         let mut followed = Vec::new();
@@ -57,7 +48,7 @@
         }
         cluster.wait_until_done(&array.id, 60.0).await;
         // Accepted, claimed, running, and over (two changes): five, and the array's own.
-        let per_job = changes.get() as f64 / f64::from(JOBS_IN_ALL);
+        let per_job = f64::from(store_load.changes()) / f64::from(JOBS_IN_ALL);
         assert!(per_job < 5.9, "{per_job} changes a job");
         sleep_s(2.0).await;
         assert_eq!(
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that arrive late: reports, transactions.
+//! Messages that arrive late: heartbeats, transactions.
 
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
@@ -9,7 +9,7 @@
 use std::cell::RefCell;
 
 #[test]
-fn a_heartbeat_held_back_until_a_new_leader_has_acted_proves_nothing() {
+fn a_heartbeat_delayed_until_a_new_leader_has_acted_proves_nothing() {
     for held_s in [3.0, 9.0, 16.0, 30.0, 45.0] {
         scenario(3, |cluster| async move {
             let job = job_spec(1, 20);
@@ -18,16 +18,16 @@
             let worker = cluster.worker_of(&task_id(&job, 0));
             let name = worker.settings.name.clone();
             cluster.cloud.down.set(true);
-            // Its reports to each controller are under way when the leader ends.
-            for node in CONTROLLERS {
-                cluster.net.cut(&name, node);
+            // Its heartbeats to each controller are under way when the leader ends.
+            for controller in CONTROLLERS {
+                cluster.net.cut(&name, controller);
             }
             sleep_s(1.0).await;
             let leader = cluster.leader();
             cluster.restart(leader, 0.4).await;
             sleep_s(held_s).await;
-            for node in CONTROLLERS {
-                cluster.net.heal(&name, node);
+            for controller in CONTROLLERS {
+                cluster.net.heal(&name, controller);
             }
             cluster.cloud.down.set(false);
             cluster.wait_until_done(&job.id, 150.0).await;
@@ -51,7 +51,7 @@
                     // All was done sooner, and the machines were returned.
                     continue;
                 };
-                // Of this session, of an earlier one, of an earlier attempt.
+                // Of this agent epoch, of an earlier one, of an earlier attempt.
                 let sent = worker.sent_heartbeats();
                 if let Some(copy) = sent.get(rng.random_range(0..sent.len().max(1))) {
                     let controller = rng.random_range(0..CONTROLLERS.len());
@@ -59,7 +59,7 @@
                 }
                 match round {
                     40 => {
-                        // A session ends: its machine stands still for too long.
+                        // An agent epoch ends: its machine stands still for too long.
                         let hung = worker.clone();
                         hung.set_hung(true);
                         tokio::task::spawn_local(async move {
--- a/crates/corkfield/tests/scenarios/combined_faults/mod.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/mod.rs
@@ -1,12 +1,13 @@
-//! Two troubles at once. `docs/fault-combinations.md` lists the combinations and their scenarios.
+//! Two faults at once. `docs/fault-combinations.md` lists the combinations and their scenarios.
 
 mod cancellations;
-mod close_questions;
-mod gap;
 mod late_commands;
 mod leaders;
 mod lost_answers;
 mod machines;
 mod many_small_jobs;
 mod messages;
+mod read_consistency;
+mod store_outages;
+mod unread_cancellations;
 mod users;
--- a/crates/corkfield/tests/scenarios/combined_faults/close_questions.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
@@ -14,11 +14,11 @@
     let mut asked = Vec::new();
     for wait_ms in [0, 1, 3, 10, 40] {
         tokio::time::sleep(std::time::Duration::from_millis(wait_ms)).await;
-        for node in 0..CONTROLLERS.len() {
+        for controller in 0..CONTROLLERS.len() {
             let (asker, job) = (cluster.clone(), job.clone());
             asked.push(tokio::task::spawn_local(async move {
-                asker.request_about_job(node, &job.id, None).await;
-                asker.submit_again(node, &job).await;
+                asker.request_about_job(controller, &job.id, None).await;
+                asker.submit_again(controller, &job).await;
             }));
         }
     }
@@ -42,20 +42,20 @@
             });
             for number in 1..=18u32 {
                 let job = job_spec(number, 1 + number % 2);
-                let node = number as usize % CONTROLLERS.len();
+                let controller = number as usize % CONTROLLERS.len();
                 // The execution history has to know the job before its worker does.
                 cluster.history.add_plan(corkfield_fakes::JobPlan {
                     spec: job.clone(),
                     run_s: if number % 3 == 0 { 120.0 } else { 1.0 },
                     fails: false,
                 });
-                while !matches!(cluster.submit_again(node, &job).await, Some(200 | 201)) {
+                while !matches!(cluster.submit_again(controller, &job).await, Some(200 | 201)) {
                     sleep_s(0.2).await;
                 }
                 ask_all(&cluster, &job).await;
                 match number % 3 {
                     0 => {
-                        cluster.cancel_through((node + 1) % CONTROLLERS.len(), &job.id).await;
+                        cluster.cancel_through((controller + 1) % CONTROLLERS.len(), &job.id).await;
                         ask_all(&cluster, &job).await;
                     }
                     1 => {
@@ -71,7 +71,7 @@
                         }
                         ask_all(&cluster, &job).await;
                         let after =
-                            cluster.request_about_job(node, &job.id, Some(PATH_CANCEL)).await;
+                            cluster.request_about_job(controller, &job.id, Some(PATH_CANCEL)).await;
                         assert!(after.is_none_or(|status| status == JobStatus::Done));
                     }
                     _ => {}
--- a/crates/corkfield/tests/scenarios/combined_faults/users.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/users.rs
@@ -1,8 +1,9 @@
 //! What users ask meets the end of a job.
 
-use crate::cluster::{job_spec, scenario, sleep_s, CONTROLLERS};
+use crate::cluster::{
+    cancels_job, is_transaction, job_spec, scenario, sleep_s, StoreLoad, CONTROLLERS,
+};
 use corkfield_fakes::Fault;
-use corkfield_wire::store::{Transaction, PATH_TXN};
 use corkfield_wire::user::PATH_CANCEL;
 use corkfield_wire::{JobSpec, Priority};
 use std::cell::Cell;
@@ -13,9 +14,8 @@
     for (leader_ends, slow_s) in [(false, 0.0), (true, 0.0), (false, 0.12), (true, 0.3)] {
         scenario(4, |cluster| async move {
             // Between a read of the job and the write that ends it another one may come.
-            cluster.store.set_faults(move |request| match request.path() {
-                PATH_TXN if slow_s > 0.0 => Fault::Delay(slow_s),
-                _ => Fault::None,
+            cluster.store.set_fault_where(Fault::Delay(slow_s), move |request| {
+                is_transaction(request) && slow_s > 0.0
             });
             let mut asking = Vec::new();
             for number in 0..24u32 {
@@ -69,15 +69,7 @@
 #[test]
 fn a_cancellation_that_is_carried_out_after_the_end_is_answered_with_the_end() {
     scenario(2, |cluster| async move {
-        cluster.store.set_faults(|request| {
-            let cancels = request.path() == PATH_TXN
-                && String::from_utf8_lossy(&request.body).contains("aborted");
-            if cancels {
-                Fault::Delay(1.2)
-            } else {
-                Fault::None
-            }
-        });
+        cluster.store.set_fault_where(Fault::Delay(1.2), cancels_job);
         for number in 1..=8u32 {
             let job = job_spec(number, 2);
             cluster.submit(&job, 2.0).await;
@@ -104,18 +96,9 @@
 /// Guests bring a swarm of tiny jobs, one huge array and spare-time work of minutes, and everybody
 /// asks many times as often as usual.
 #[test]
-fn a_swarm_a_huge_array_and_spare_time_work_starve_nobody_under_a_storm_of_polls() {
+fn many_small_jobs_a_huge_array_and_low_priority_work_starve_nobody_under_frequent_polls() {
     scenario(4, |cluster| async move {
-        let writes = Rc::new(Cell::new(0usize));
-        let counted = writes.clone();
-        cluster.store.set_faults(move |request| {
-            if request.path() == PATH_TXN {
-                let transaction: Transaction =
-                    serde_json::from_slice(&request.body).unwrap_or_default();
-                counted.set(counted.get() + transaction.changes.len());
-            }
-            Fault::None
-        });
+        let store_load = StoreLoad::count(&cluster.store);
         let mut huge = job_spec(1, 2000);
         (huge.cpus, huge.memory_gb) = (0.25, 0.2);
         cluster.submit(&huge, 1.0).await;
@@ -138,9 +121,10 @@
                 let (asked, late) = (asked.clone(), late.clone());
                 tokio::task::spawn_local(async move {
                     let asked_at = tokio::time::Instant::now();
-                    let told = asker.request_about_job(round % CONTROLLERS.len(), &id, None).await;
+                    let answer =
+                        asker.request_about_job(round % CONTROLLERS.len(), &id, None).await;
                     asked.set(asked.get() + 1);
-                    if told.is_none() || asked_at.elapsed().as_secs_f64() > 2.0 {
+                    if answer.is_none() || asked_at.elapsed().as_secs_f64() > 2.0 {
                         late.set(late.get() + 1);
                     }
                 });
@@ -155,7 +139,7 @@
         assert!(seconds < 240.0, "{seconds} s");
         assert!(late.get() * 50 < asked.get(), "{} of {} in vain", late.get(), asked.get());
         // A tiny job is accepted, claimed and ended; what else it costs is less than that.
-        let per_job = writes.get() as f64 / (swarm.len() + usual.len() + 3) as f64;
+        let per_job = f64::from(store_load.changes()) / (swarm.len() + usual.len() + 3) as f64;
         assert!(per_job < 7.0, "{per_job} changes a job");
     });
 }
--- a/crates/corkfield/tests/scenarios/fleet/large.rs
+++ b/crates/corkfield/tests/scenarios/fleet/large.rs
@@ -1,14 +1,16 @@
 //! Fleets above the size that the service was first built for. Bounds are counts.
 
-use crate::cluster::{job_spec, scenario_with_grants, sleep_s, Cluster, Grants, CANCEL_S};
+use super::wait_until_started;
+use crate::cluster::{
+    is_transaction_with, job_spec, scenario_with_grants, sleep_s, Grants, CANCEL_S,
+};
 use corkfield_fakes::Fault;
-use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::JobSpec;
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// What a platform grants for so many machines.
-fn grants(machines: usize) -> Grants {
+fn grants_for(machines: usize) -> Grants {
     let size = machines as f64 / 1700.0;
     Grants {
         state_rps: 500.0 * size,
@@ -18,20 +20,10 @@
     }
 }
 
-/// Waits until so many tasks were started.
-async fn until_started(cluster: &Cluster, starts: u32, limit_s: f64) {
-    let started = tokio::time::Instant::now();
-    while cluster.history.total_starts() < starts {
-        let waited = started.elapsed().as_secs_f64();
-        assert!(waited < limit_s, "{} of {starts} starts", cluster.history.total_starts());
-        sleep_s(0.5).await;
-    }
-}
-
-/// Machines come up, jobs are called off, the leader ends while a part of the machines is silent,
+/// Machines come up, jobs are cancelled, the leader ends while a part of the machines is silent,
 /// and all other jobs are done: no worker loses its lease, and nothing is started twice.
-fn comes_up_and_is_taken_over(machines: usize) {
-    scenario_with_grants(grants(machines), 16, |cluster| async move {
+fn comes_up_and_fails_over(machines: usize) {
+    scenario_with_grants(grants_for(machines), 16, |cluster| async move {
         cluster.cloud.capacity.set(machines);
         let count = u32::try_from(machines * 8 / 2500).expect("not that many");
         let jobs: Vec<_> = (0..count)
@@ -40,39 +32,39 @@
         for job in &jobs {
             cluster.submit(job, 22.0).await;
         }
-        let (called_off, others) = jobs.split_at(2);
-        until_started(&cluster, count * 2500 * 9 / 10, 40.0).await;
+        let (cancelled, others) = jobs.split_at(2);
+        wait_until_started(&cluster, count * 2500 * 9 / 10, 40.0).await;
         let hung: Vec<_> = cluster.cloud.workers().into_iter().step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
         cluster.restart(cluster.leader(), 0.3).await;
-        for job in called_off {
+        for job in cancelled {
             cluster.cancel(&job.id).await;
         }
         sleep_s(6.0).await;
         hung.iter().for_each(|worker| worker.set_hung(false));
         for job in others {
             cluster.wait_until_done(&job.id, 60.0).await;
-            cluster.assert_started_once(job, "no lease ran out");
+            cluster.assert_started_once(job, "no lease expired");
         }
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
-        assert_eq!(agent_epochs, Some(1), "no lease ran out");
+        assert_eq!(agent_epochs, Some(1), "no lease expired");
         sleep_s(CANCEL_S).await;
     });
 }
 
 #[test]
-fn four_thousand_machines_come_up_and_are_taken_over() {
-    comes_up_and_is_taken_over(4000);
+fn four_thousand_machines_come_up_and_survive_a_failover() {
+    comes_up_and_fails_over(4000);
 }
 
 #[test]
-fn six_thousand_machines_come_up_and_are_taken_over() {
-    comes_up_and_is_taken_over(6000);
+fn six_thousand_machines_come_up_and_survive_a_failover() {
+    comes_up_and_fails_over(6000);
 }
 
 #[test]
 fn hundreds_of_jobs_are_claimed_in_few_transactions_after_a_failover() {
-    let grants = Grants { state_rps: 300.0, write_rps: 120.0, ..grants(1700) };
+    let grants = Grants { state_rps: 300.0, write_rps: 120.0, ..grants_for(1700) };
     scenario_with_grants(grants, 20, |cluster| async move {
         // More than the machines can do: nearly all of them wait.
         let jobs: Vec<_> = (0..800).map(|number| job_spec(number, 2)).collect();
@@ -88,9 +80,9 @@
         let claims = Rc::new(Cell::new(0));
         let counted = claims.clone();
         cluster.store.set_faults(move |request| {
-            let body = String::from_utf8_lossy(&request.body);
-            let is_claim = request.path() == PATH_TXN && body.contains("\"c/planner\"");
-            counted.set(counted.get() + u32::from(is_claim && body.contains("\"put\":\"c/jobs/")));
+            let is_claim = is_transaction_with(request, "\"c/planner\"")
+                && is_transaction_with(request, "\"put\":\"c/jobs/");
+            counted.set(counted.get() + u32::from(is_claim));
             Fault::None
         });
         let leader = cluster.leader();
@@ -104,8 +96,8 @@
         }
         // The changes that may be written a second set the time; four records at a time would
         // take 200 transactions besides.
-        let took = started.elapsed().as_secs_f64();
-        assert!(took < 12.0, "{took}");
+        let elapsed_s = started.elapsed().as_secs_f64();
+        assert!(elapsed_s < 12.0, "{elapsed_s}");
         assert!(claims.get() < 120, "{}", claims.get());
     });
 }
--- a/crates/corkfield/tests/scenarios/fleet/mod.rs
+++ b/crates/corkfield/tests/scenarios/fleet/mod.rs
@@ -2,13 +2,12 @@
 
 mod large;
 
-use crate::cluster::{job_spec, scenario_with_grants, sleep_s, Cluster, Grants, CONTROLLERS};
-use corkfield_fakes::Fault;
+use crate::cluster::{
+    job_spec, scenario_with_grants, sleep_s, Cluster, Grants, StoreLoad, CONTROLLERS,
+};
 use corkfield_http::Network;
-use corkfield_wire::store::{Transaction, PATH_TXN};
 use corkfield_wire::user::PATH_JOBS;
 use corkfield_wire::JobSpec;
-use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
@@ -20,69 +19,56 @@
 /// Requests to the state service and changes in them, calls of the cloud, machines and tasks
 /// looked at in placement passes.
 #[derive(Debug, Clone, Copy)]
-struct Counts {
+struct LoadCounts {
     requests: u32,
     changes: u32,
     calls: u32,
     steps: u64,
 }
 
-struct Counter {
+struct LoadCounter {
     cluster: Rc<Cluster>,
-    requests: Rc<Cell<u32>>,
-    changes: Rc<Cell<u32>>,
+    store_load: StoreLoad,
 }
 
-impl Counter {
+impl LoadCounter {
     fn new(cluster: &Rc<Cluster>) -> Self {
-        let (requests, changes) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-        let counted = (requests.clone(), changes.clone());
-        cluster.store.set_faults(move |request| {
-            counted.0.set(counted.0.get() + 1);
-            if request.path() == PATH_TXN {
-                let transaction: Transaction =
-                    serde_json::from_slice(&request.body).unwrap_or_default();
-                counted
-                    .1
-                    .set(counted.1.get() + u32::try_from(transaction.changes.len()).unwrap_or(0));
-            }
-            Fault::None
-        });
-        Self { cluster: cluster.clone(), requests, changes }
+        Self { cluster: cluster.clone(), store_load: StoreLoad::count(&cluster.store) }
     }
 
     /// Counts since the last call; steps since the leader took over.
-    async fn take(&self) -> Counts {
+    async fn take(&self) -> LoadCounts {
         let view = self.cluster.overview(self.cluster.leader()).await;
-
-        Counts {
-            requests: self.requests.take(),
-            changes: self.changes.take(),
+        LoadCounts {
+            requests: self.store_load.take_requests(),
+            changes: self.store_load.take_changes(),
             calls: self.cluster.cloud.calls.take(),
             steps: view["planning"]["steps"].as_u64().expect("it is the leader"),
         }
     }
 }
 
+/// Waits until so many tasks were started.
+async fn wait_until_started(cluster: &Cluster, starts: u32, limit_s: f64) {
+    let began = tokio::time::Instant::now();
+    while cluster.history.total_starts() < starts {
+        sleep_s(0.5).await;
+        let waited = began.elapsed().as_secs_f64();
+        assert!(waited < limit_s, "{} of {starts} starts", cluster.history.total_starts());
+    }
+}
+
 #[test]
-fn a_fleet_comes_up_is_taken_over_and_loses_a_third_within_its_limits() {
+fn a_fleet_comes_up_fails_over_and_loses_a_third_of_its_machines_within_its_limits() {
     scenario_with_grants(GRANTS, 16, |cluster| async move {
         cluster.cloud.capacity.set(MACHINES);
-        let counter = Counter::new(&cluster);
+        let counter = LoadCounter::new(&cluster);
         let jobs: Vec<_> =
             (1..=6).map(|number| JobSpec { estimate_s: 20.0, ..job_spec(number, 3000) }).collect();
         for job in &jobs {
             cluster.submit(job, 20.0).await;
         }
-        let started = tokio::time::Instant::now();
-        while cluster.history.total_starts() < 12_000 {
-            sleep_s(0.5).await;
-            assert!(
-                started.elapsed().as_secs_f64() < 30.0,
-                "{} starts",
-                cluster.history.total_starts()
-            );
-        }
+        wait_until_started(&cluster, 12_000, 30.0).await;
         // 34 rentals, a record for each machine, a write for each job's next first starts.
         let ramp = counter.take().await;
         assert!(ramp.calls < 120 && ramp.requests < 500 && ramp.changes < 2500, "{ramp:?}");
@@ -112,9 +98,9 @@
         assert!(wave.calls < 250 && wave.requests < 1200 && wave.changes < 4000, "{wave:?}");
         assert!(wave.steps < 1_500_000, "{wave:?}");
         // Every worker's, a share for direct orders, and few besides.
-        for node in CONTROLLERS {
-            let most = cluster.net.peak_connections(node);
-            assert!(most < MACHINES + GRANTS.sockets as usize * 24 / 100, "{node}: {most}");
+        for controller in CONTROLLERS {
+            let most = cluster.net.peak_connections(controller);
+            assert!(most < MACHINES + GRANTS.sockets as usize * 24 / 100, "{controller}: {most}");
         }
     });
 }
@@ -129,9 +115,9 @@
         cluster.cloud.workers().iter().for_each(|worker| worker.set_hung(true));
         let old = cluster.leader();
         cluster.kill(old);
-        // What the controllers had open before, to workers too, depends on which planned first.
+        // What the controllers had open before, to workers too, depends on which led first.
         cluster.net.reset_peak_connections();
-        let open_before = CONTROLLERS.map(|node| cluster.net.open_connections(node));
+        let open_before = CONTROLLERS.map(|name| cluster.net.open_connections(name));
         sleep_s(14.0).await;
         let leader = cluster.leader();
         assert_ne!(leader, old);
@@ -150,7 +136,7 @@
         cluster.submit(&job, 40.0).await;
         sleep_s(30.0).await;
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
-        assert_eq!(agent_epochs, Some(1), "no lease ran out");
+        assert_eq!(agent_epochs, Some(1), "no lease expired");
         cluster.wait_until_done(&job.id, 60.0).await;
         assert_eq!(cluster.history.total_starts(), job.tasks, "nothing is started again");
     });
@@ -166,10 +152,10 @@
         cluster.restart(cluster.leader(), 0.3).await;
         // Far more connections of users than their share, malformed and oversized bodies, halves.
         let misbehaving = cluster.net.host("misbehaving");
-        let mut held = Vec::new();
+        let mut open_streams = Vec::new();
         for round in 0..260u32 {
-            for node in 0..CONTROLLERS.len() {
-                let addr = SocketAddr::from(([10, 0, 0, node as u8 + 1], 8080));
+            for controller in 0..CONTROLLERS.len() {
+                let addr = SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8080));
                 let Ok(mut stream) = misbehaving.connect(addr).await else { continue };
                 let large = format!("POST {PATH_JOBS} HTTP/1.1\r\nContent-Length: 70000\r\n\r\n");
                 let bytes: &[u8] = match round % 8 {
@@ -179,19 +165,20 @@
                     _ => b"GET /ready HTTP/1.1\r\n\r\n",
                 };
                 let _ = stream.write_all(bytes).await;
-                held.push(stream);
+                open_streams.push(stream);
             }
         }
         sleep_s(2.0).await;
         let path = format!("{PATH_JOBS}/{}", job.id);
-        for node in 0..CONTROLLERS.len() {
+        for controller in 0..CONTROLLERS.len() {
             let started = tokio::time::Instant::now();
-            let answer = cluster.request(node, "GET", &path, b"").await.map(|(status, _)| status);
-            assert!(matches!(answer, Some(200 | 503)), "node {node}: {answer:?}");
+            let answer =
+                cluster.request(controller, "GET", &path, b"").await.map(|(status, _)| status);
+            assert!(matches!(answer, Some(200 | 503)), "controller {controller}: {answer:?}");
             assert!(started.elapsed().as_secs_f64() < 2.0, "never held back");
         }
         cluster.wait_until_done(&job.id, 60.0).await;
         assert_eq!(cluster.history.total_starts(), 300, "no worker lost its lease");
-        drop(held);
+        drop(open_streams);
     });
 }
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -26,37 +26,41 @@
     });
 }
 
+/// Submissions at the edge of what is accepted and beyond, each with the status of its answer.
+fn invalid_submissions() -> Vec<(Vec<u8>, u16)> {
+    let as_json = |change: &dyn Fn(&mut serde_json::Value)| {
+        let mut value = serde_json::to_value(job_spec(2, 2)).expect("serializable");
+        change(&mut value);
+        serde_json::to_vec(&value).expect("serializable")
+    };
+    vec![
+        (b"{".to_vec(), 400),
+        (b"[1]".to_vec(), 400),
+        (b"\xff\xfe".to_vec(), 400),
+        (as_json(&|v| v["name_id"] = "x-1".into()), 400),
+        (as_json(&|v| v["pieces"] = 0.into()), 400),
+        (as_json(&|v| v["pieces"] = 100_001.into()), 400),
+        (as_json(&|v| v["pieces"] = "3".into()), 400),
+        (as_json(&|v| v["vcpus"] = (-1.0).into()), 400),
+        (as_json(&|v| v["shape"] = "standing".into()), 400),
+        (as_json(&|v| v["rank"] = "highest".into()), 400),
+        (as_json(&|v| v["flavours"] = serde_json::json!([])), 400),
+        (as_json(&|v| drop(v.as_object_mut().map(|o| o.remove("guess_s")))), 400),
+        (as_json(&|v| v["owner"] = "nobody".into()), 422),
+        (as_json(&|v| v["vcpus"] = 9.0.into()), 422),
+        (as_json(&|v| v["site"] = "z9".into()), 422),
+        (as_json(&|v| v["flavours"] = serde_json::json!(["huge"])), 422),
+        (as_json(&|v| (v["owner"], v["vcpus"]) = ("capped".into(), 7.0.into())), 422),
+        (as_json(&|v| v["unknown_field"] = 1.into()), 201),
+    ]
+}
+
 #[test]
 fn bad_input_is_refused_and_known_ids_are_recognised_first() {
     scenario(1, |cluster| async move {
         let good = job_spec(1, 2);
         cluster.submit(&good, 2.0).await;
-        let as_json = |f: &dyn Fn(&mut serde_json::Value)| {
-            let mut value = serde_json::to_value(job_spec(2, 2)).expect("serializable");
-            f(&mut value);
-            serde_json::to_vec(&value).expect("serializable")
-        };
-        let cases: Vec<(Vec<u8>, u16)> = vec![
-            (b"{".to_vec(), 400),
-            (b"[1]".to_vec(), 400),
-            (b"\xff\xfe".to_vec(), 400),
-            (as_json(&|v| v["name_id"] = "x-1".into()), 400),
-            (as_json(&|v| v["pieces"] = 0.into()), 400),
-            (as_json(&|v| v["pieces"] = 100_001.into()), 400),
-            (as_json(&|v| v["pieces"] = "3".into()), 400),
-            (as_json(&|v| v["vcpus"] = (-1.0).into()), 400),
-            (as_json(&|v| v["shape"] = "standing".into()), 400),
-            (as_json(&|v| v["rank"] = "highest".into()), 400),
-            (as_json(&|v| v["flavours"] = serde_json::json!([])), 400),
-            (as_json(&|v| drop(v.as_object_mut().map(|o| o.remove("guess_s")))), 400),
-            (as_json(&|v| v["owner"] = "nobody".into()), 422),
-            (as_json(&|v| v["vcpus"] = 9.0.into()), 422),
-            (as_json(&|v| v["site"] = "z9".into()), 422),
-            (as_json(&|v| v["flavours"] = serde_json::json!(["huge"])), 422),
-            (as_json(&|v| (v["owner"], v["vcpus"]) = ("capped".into(), 7.0.into())), 422),
-            (as_json(&|v| v["unknown_field"] = 1.into()), 201),
-        ];
-        for (body, expected) in cases {
+        for (body, expected) in invalid_submissions() {
             let text = String::from_utf8_lossy(&body).into_owned();
             let answer =
                 cluster.request(1, "POST", PATH_JOBS, &body).await.map(|(status, _)| status);
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn urgent_work_takes_room_from_idle_work() {
+fn an_urgent_job_preempts_a_low_priority_job() {
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(1);
         let mut low = job_spec(1, 8);
@@ -156,7 +160,7 @@
 }
 
 #[test]
-fn a_limit_is_held_through_a_failover() {
+fn a_quota_is_kept_through_a_failover() {
     scenario(3, |cluster| async move {
         let mut jobs = Vec::new();
         for number in 1..4 {
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -1,13 +1,12 @@
 //! Election of the leader, and what its successor does with claims, tasks and machines.
 
 use crate::cluster::{
-    job_spec, scenario, scenario_with_operator, sleep_s, task_id, ElectedLeader, CONTROLLERS,
-    LEASE_S,
+    is_transaction, is_transaction_with, job_spec, scenario, scenario_with_operator, sleep_s,
+    task_id, ElectedLeader, CONTROLLERS, LEASE_S,
 };
 use corkfield::settings::Operator;
 use corkfield_fakes::Fault;
 use corkfield_wire::records::job_key;
-use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::PATH_READY;
 use corkfield_wire::{JobSpec, JobStatus, Priority};
 use std::cell::Cell;
@@ -32,17 +31,12 @@
 }
 
 #[test]
-fn a_claim_of_the_leader_record_whose_answer_is_lost_leaves_no_gap() {
+fn a_lost_answer_to_a_claim_of_the_leader_record_leaves_no_gap_in_leadership() {
     scenario(1, |cluster| async move {
         let lost = Cell::new(0);
-        cluster.store.set_faults(move |request| {
-            let claims = request.path() == PATH_TXN
-                && String::from_utf8_lossy(&request.body).contains("\"put\":\"c/planner\"");
-            if claims && lost.replace(lost.get() + 1) < 2 {
-                Fault::LoseAnswer
-            } else {
-                Fault::None
-            }
+        cluster.store.set_fault_where(Fault::LoseAnswer, move |request| {
+            let claims = is_transaction_with(request, "\"put\":\"c/planner\"");
+            claims && lost.replace(lost.get() + 1) < 2
         });
         let leader = cluster.leader();
         cluster.restart(leader, 0.5).await;
@@ -67,10 +61,7 @@
         }
         sleep_s(2.0).await;
         // Claims take their time.
-        cluster.store.set_faults(|request| match request.path() {
-            PATH_TXN => Fault::Delay(0.8),
-            _ => Fault::None,
-        });
+        cluster.store.set_fault_where(Fault::Delay(0.8), is_transaction);
         for controller in 0..CONTROLLERS.len() {
             cluster.start(controller);
         }
@@ -82,23 +73,17 @@
 }
 
 #[test]
-fn a_restarted_owner_is_fenced_and_its_late_settling_writes_are_refused() {
+fn a_restarted_owner_is_fenced_and_its_late_completion_commits_are_refused() {
     scenario(2, |cluster| async move {
         let job = job_spec(1, 40);
         cluster.submit(&job, 5.0).await;
         sleep_s(3.0).await;
         let ElectedLeader { controller: leader, term } =
             cluster.elected_leader().expect("there is a leader");
-        // Settling writes are under way when their writer dies; they arrive much later.
+        // Completion commits are under way when their writer dies; they arrive much later.
         let key = job_key(&job.id);
-        cluster.store.set_faults(move |request| {
-            let settles =
-                request.path() == PATH_TXN && String::from_utf8_lossy(&request.body).contains(&key);
-            if settles {
-                Fault::DelayAndLoseAnswer(40.0)
-            } else {
-                Fault::None
-            }
+        cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(40.0), move |request| {
+            is_transaction_with(request, &key)
         });
         sleep_s(7.0).await;
         cluster.store.clear_faults();
@@ -169,7 +154,7 @@
 }
 
 #[test]
-fn a_leader_that_no_worker_reaches_hands_over() {
+fn a_leader_that_no_worker_reaches_hands_over_to_another_controller() {
     scenario(2, |cluster| async move {
         let job = job_spec(1, 10);
         cluster.submit(&job, 25.0).await;
@@ -183,7 +168,7 @@
         sleep_s(LEASE_S).await;
         assert_ne!(cluster.leader(), old);
         cluster.wait_until_done(&job.id, 60.0).await;
-        cluster.assert_started_once(&job, "no lease ran out");
+        cluster.assert_started_once(&job, "no lease expired");
         // What the cut held back arrives now, and does no harm.
         for machine in &machines {
             cluster.net.heal(CONTROLLERS[old], machine);
--- a/crates/corkfield/tests/scenarios/machines.rs
+++ b/crates/corkfield/tests/scenarios/machines.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_machine_that_went_while_the_store_was_down_holds_up_no_failover() {
+fn a_machine_lost_in_an_outage_of_the_store_does_not_hold_up_a_failover() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 60);
         cluster.submit(&job, 4.0).await;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn machines_taken_without_notice_lose_no_job() {
+fn machines_reclaimed_without_notice_lose_no_job() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 24);
         cluster.submit(&job, 12.0).await;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_sick_machine_is_returned_and_a_broken_job_is_dead_lettered_without_blaming_machines() {
+fn a_failing_machine_is_deleted_and_a_failing_job_stays_queued_without_blaming_machines() {
     scenario(3, |cluster| async move {
         let workers = cluster.cloud.workers();
         workers[0].fails_all_tasks.set(true);
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -1,10 +1,11 @@
-//! Hundreds of machines; machines that hear nothing, copies of old messages, and workers or controllers that are back at
-//! once.
+//! Hundreds of machines, machines that receive nothing, late copies of messages, and workers or
+//! controllers that are back at once.
 
-use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
+use crate::cluster::{
+    is_transaction, job_spec, scenario, sleep_s, task_id, StoreLoad, CONTROLLERS, LEASE_S,
+};
 use corkfield_fakes::{Fault, JobPlan};
 use corkfield_wire::records::MACHINE_RECORDS_PREFIX;
-use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::{JobView, PATH_CANCEL, PATH_JOBS};
 use corkfield_wire::worker::PATH_HEARTBEAT;
 use corkfield_wire::JobStatus;
@@ -12,7 +13,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_machine_that_hears_nothing_is_no_supply_until_it_obeys_again() {
+fn a_machine_that_receives_nothing_gets_no_work_until_it_executes_orders_again() {
     scenario(3, |cluster| async move {
         let unreachable = cluster.cloud.workers()[0].clone();
         let name = unreachable.settings.name.clone();
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_machine_that_hears_nothing_holds_up_no_failover_for_good() {
+fn a_machine_that_receives_nothing_does_not_hold_up_a_failover_for_ever() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 48);
         cluster.submit(&job, 15.0).await;
@@ -72,8 +73,8 @@
                 sleep_s(5.0).await;
             }
             for copy in &copies {
-                for node in 0..CONTROLLERS.len() {
-                    cluster.request(node, "POST", PATH_HEARTBEAT, copy).await;
+                for controller in 0..CONTROLLERS.len() {
+                    cluster.request(controller, "POST", PATH_HEARTBEAT, copy).await;
                 }
             }
             let next = job_spec(if restart { 3 } else { 2 }, 32);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_worker_that_counts_anew_is_neither_silenced_for_good_nor_believed() {
+fn a_worker_that_restarts_its_sequence_is_neither_ignored_for_ever_nor_believed() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 30);
         cluster.submit(&job, 20.0).await;
@@ -124,23 +125,12 @@
     });
 }
 
-/// Bounds are counts, so that they hold on any machine: what grows with the number of reports
+/// Bounds are counts, so that they hold on any machine: what grows with the number of heartbeats
 /// times that of machines, or writes for each task, shows here.
 #[test]
 fn hundreds_of_machines_and_jobs_of_thousands_of_tasks_cost_few_passes_and_requests() {
     scenario(300, |cluster| async move {
-        let (requests, writes) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(0u32)));
-        let counted = (requests.clone(), writes.clone());
-        cluster.store.set_faults(move |request| {
-            counted.0.set(counted.0.get() + 1);
-            if request.target == PATH_TXN {
-                let transaction: serde_json::Value =
-                    serde_json::from_slice(&request.body).unwrap_or_default();
-                let changes = transaction["then"].as_array().map_or(0, Vec::len);
-                counted.1.set(counted.1.get() + u32::try_from(changes).unwrap_or(0));
-            }
-            Fault::None
-        });
+        let store_load = StoreLoad::count(&cluster.store);
         let passes = || async {
             let view = cluster.overview(cluster.leader()).await;
 
@@ -156,19 +146,20 @@
             cluster.wait_until_done(&job.id, 90.0).await;
         }
         let seconds = started.elapsed().as_secs_f64();
-        let (passes, requests, writes) = (passes().await - before, requests.get(), writes.get());
+        let passes = passes().await - before;
+        let (requests, writes) = (store_load.requests(), store_load.changes());
         // 9,000 tasks on 2,400 CPUs, 6 s each, on machines that report twice a second.
         assert!(seconds < 60.0, "{seconds} s");
         assert!(passes < 400, "{passes} passes");
         assert!(requests < 700, "{requests} requests");
-        // Settling is written by job, not by task.
+        // Completion is written by job, not by task.
         assert!(writes < 300, "{writes} writes");
         assert_eq!(cluster.history.total_starts(), 9000);
     });
 }
 
 #[test]
-fn after_all_troubles_every_job_is_answered_in_time_under_a_burst_of_polls() {
+fn after_an_outage_and_failovers_every_job_is_answered_in_time_under_a_burst_of_polls() {
     scenario(3, |cluster| async move {
         // One far larger than the fleet, one that fails everywhere, and many that wait.
         let largest = job_spec(1, 20_000);
@@ -194,11 +185,11 @@
         for poll in 0..20 {
             for job in waiting.iter().chain([&largest, &broken]) {
                 let (cluster, path) = (cluster.clone(), format!("{PATH_JOBS}/{}", job.id));
-                let (in_time, node) = (in_time.clone(), poll % CONTROLLERS.len());
+                let (in_time, controller) = (in_time.clone(), poll % CONTROLLERS.len());
                 asked.set(asked.get() + 1);
                 tokio::task::spawn_local(async move {
                     let started = tokio::time::Instant::now();
-                    let answer = cluster.request(node, "GET", &path, b"").await;
+                    let answer = cluster.request(controller, "GET", &path, b"").await;
                     let ok = answer.is_some_and(|(status, _)| status == 200);
                     if ok && started.elapsed().as_secs_f64() < 2.0 {
                         in_time.set(in_time.get() + 1);
@@ -222,14 +213,14 @@
         cluster.wait_until_done(&done.id, 30.0).await;
         assert_eq!(cluster.cancel(&cancelled.id).await, Some(JobStatus::Cancelled));
         let starts = cluster.history.total_starts();
-        for node in 0..CONTROLLERS.len() {
+        for controller in 0..CONTROLLERS.len() {
             for body in &bodies {
-                let answer = cluster.request(node, "POST", PATH_JOBS, body).await;
+                let answer = cluster.request(controller, "POST", PATH_JOBS, body).await;
                 assert_eq!(answer.map(|(status, _)| status), Some(200), "known, and over");
             }
             let withdraw = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", done.id);
             let (status, body) =
-                cluster.request(node, "POST", &withdraw, b"").await.expect("an answer");
+                cluster.request(controller, "POST", &withdraw, b"").await.expect("an answer");
             let view: JobView = serde_json::from_slice(&body).expect("a view");
             assert_eq!((status, view.status), (200, JobStatus::Done));
         }
@@ -286,10 +277,7 @@
 #[test]
 fn many_jobs_are_stored_side_by_side_while_the_store_is_slow() {
     scenario(60, |cluster| async move {
-        cluster.store.set_faults(|request| match request.path() {
-            PATH_TXN => Fault::Delay(0.9),
-            _ => Fault::None,
-        });
+        cluster.store.set_fault_where(Fault::Delay(0.9), is_transaction);
         // Their first 128 tasks may begin at once; the others wait for a write of each record.
         let jobs: Vec<_> = (1..=40).map(|number| job_spec(number, 200)).collect();
         let started = tokio::time::Instant::now();
--- a/crates/corkfield/tests/scenarios/store_faults.rs
+++ b/crates/corkfield/tests/scenarios/store_faults.rs
@@ -1,8 +1,7 @@
 //! Outages of the store, lost answers, and transactions that are executed late.
 
-use crate::cluster::{job_spec, scenario, sleep_s, CONTROLLERS};
+use crate::cluster::{is_transaction, job_spec, scenario, sleep_s, CONTROLLERS};
 use corkfield_fakes::Fault;
-use corkfield_wire::store::PATH_TXN;
 use corkfield_wire::user::{PATH_JOBS, PATH_READY};
 use std::cell::Cell;
 
@@ -40,14 +39,9 @@
 fn lost_answers_to_commits_neither_lose_nor_double_anything() {
     scenario(2, |cluster| async move {
         let count = Cell::new(0);
-        cluster.store.set_faults(move |request| {
+        cluster.store.set_fault_where(Fault::LoseAnswer, move |request| {
             count.set(count.get() + 1);
-            let lost = request.path() == PATH_TXN && count.get() % 4 == 0;
-            if lost {
-                Fault::LoseAnswer
-            } else {
-                Fault::None
-            }
+            is_transaction(request) && count.get() % 4 == 0
         });
         let jobs: Vec<_> = (1..6).map(|number| job_spec(number, 6)).collect();
         for job in &jobs {
@@ -64,14 +58,9 @@
 fn transactions_that_are_carried_out_late_do_no_harm() {
     scenario(2, |cluster| async move {
         let count = Cell::new(0);
-        cluster.store.set_faults(move |request| {
+        cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(7.0), move |request| {
             count.set(count.get() + 1);
-            let late = request.path() == PATH_TXN && count.get() % 5 == 0;
-            if late {
-                Fault::DelayAndLoseAnswer(7.0)
-            } else {
-                Fault::None
-            }
+            is_transaction(request) && count.get() % 5 == 0
         });
         let jobs: Vec<_> = (1..6).map(|number| job_spec(number, 6)).collect();
         for job in &jobs {
@@ -135,9 +124,9 @@
         // Nothing changes in the store: proofs of fresh state come from watches that run out.
         for _ in 0..300 {
             sleep_s(0.1).await;
-            for node in 0..CONTROLLERS.len() {
-                let answer = cluster.request(node, "GET", PATH_READY, b"").await;
-                assert_eq!(answer.map(|(status, _)| status), Some(200), "node {node}");
+            for controller in 0..CONTROLLERS.len() {
+                let answer = cluster.request(controller, "GET", PATH_READY, b"").await;
+                assert_eq!(answer.map(|(status, _)| status), Some(200), "controller {controller}");
             }
         }
     });
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -96,6 +96,11 @@
         *self.fault_chooser.borrow_mut() = Some(Box::new(chooser));
     }
 
+    /// Lets a fault meet the requests that the predicate names, and no others.
+    pub fn set_fault_where(&self, fault: Fault, is_met: impl Fn(&Request) -> bool + 'static) {
+        self.set_faults(move |request| if is_met(request) { fault } else { Fault::None });
+    }
+
     /// Executes and answers all requests from now on.
     pub fn clear_faults(&self) {
         *self.fault_chooser.borrow_mut() = None;
