--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -83,7 +83,7 @@
     }
 
     /// After this a machine that is missing in a list, and existed before, is surely gone.
-    pub fn list_settles_after(&self) -> Duration {
+    pub fn missing_machine_gone_after(&self) -> Duration {
         self.list_lag.mul_f64(LIST_LAGS_UNTIL_SETTLED) + LIST_SETTLES_MARGIN
     }
 
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -17,7 +17,7 @@
     record
 }
 
-fn claimed(record: JobRecord, now: Instant) -> Job {
+fn claimed_job(record: JobRecord, now: Instant) -> Job {
     Job::new(record, TaskSet::default(), 1, 0, Duration::ZERO, now)
 }
 
@@ -31,7 +31,7 @@
 #[test]
 fn attempts_of_a_later_claim_are_higher() {
     let now = Instant::now();
-    let mut job = claimed(record(4), now);
+    let mut job = claimed_job(record(4), now);
     let first = job.next_attempt();
     let second = job.next_attempt();
     let mut again = job.record.clone();
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_task_that_came_off_its_machine_is_started_before_new_ones() {
-    let mut job = claimed(record(4), Instant::now());
+    let mut job = claimed_job(record(4), Instant::now());
     let first = job.take_waiting(false).expect("a waiting task");
     job.place(first, "host-1", 1);
     assert_eq!(job.startable(false), 3);
@@ -57,7 +57,7 @@
 fn only_tasks_from_the_start_watermark_on_were_never_started() {
     let mut record = record(6);
     record.previous_start_watermark = 4;
-    let mut job = claimed(record, Instant::now());
+    let mut job = claimed_job(record, Instant::now());
     assert_eq!(job.startable(true), 2);
     assert_eq!(job.take_waiting(true), Some(4));
     assert_eq!(job.take_waiting(false), Some(0));
@@ -66,7 +66,7 @@
 #[test]
 fn the_start_watermark_is_raised_before_first_starts_run_out() {
     let now = Instant::now();
-    let mut job = claimed(record(1000), now);
+    let mut job = claimed_job(record(1000), now);
     let watermark = job.record.start_watermark;
     for index in 0..watermark - watermark / 4 {
         assert_eq!(job.commit_due(now), None, "at {index}");
@@ -80,7 +80,7 @@
 #[test]
 fn a_closing_job_never_leaves_that_state() {
     let now = Instant::now();
-    let mut job = claimed(record(1), now);
+    let mut job = claimed_job(record(1), now);
     job.back_off(now);
     assert!(matches!(job.state(), JobState::BackingOff(until) if until > now));
     job.enter(JobState::NeedsReclaim);
@@ -95,11 +95,11 @@
 fn a_claim_is_refunded_once_and_only_without_failures() {
     let now = Instant::now();
     let later = now + Duration::from_secs(11);
-    let mut job = claimed(record(1), now);
+    let mut job = claimed_job(record(1), now);
     assert!(!job.take_refund(now));
     job.failures.add("host-1");
     assert!(!job.take_refund(later));
-    let mut job = claimed(record(1), now);
+    let mut job = claimed_job(record(1), now);
     assert!(job.take_refund(later));
     assert!(!job.take_refund(later));
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -20,4 +20,4 @@
 pub use job::{AttemptNumber, Job, JobState, Placed};
 pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
 pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
-pub use team::{fits_some_type, Unschedulable};
+pub use team::{check_schedulable, Unschedulable};
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -314,7 +314,7 @@
     /// Takes a task of the job that was chosen for it; no order has left yet.
     pub(crate) fn assign(&mut self, task: TaskId, attempt: u64, job: &Job, now: Instant) {
         let spec = job.spec();
-        let assigned = MachineTask::assigned(TaskDemand::of(spec, job.team), now);
+        let assigned = MachineTask::assigned(TaskDemand::per_task(spec, job.team), now);
         self.tasks.insert(TaskAttempt { task, attempt }, assigned);
         self.touch_image(&spec.image, spec.image_gb);
     }
--- a/crates/core/src/machine/resources.rs
+++ b/crates/core/src/machine/resources.rs
@@ -17,7 +17,7 @@
 
 impl Need {
     /// What one task of a job needs.
-    pub fn of(spec: &JobSpec) -> Self {
+    pub fn per_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -69,8 +69,8 @@
 
 impl TaskDemand {
     /// The demand of one task of a job of that team.
-    pub(crate) fn of(spec: &JobSpec, team: usize) -> Self {
-        Self { need: Need::of(spec), team, priority: spec.priority }
+    pub(crate) fn per_task(spec: &JobSpec, team: usize) -> Self {
+        Self { need: Need::per_task(spec), team, priority: spec.priority }
     }
 }
 
@@ -126,7 +126,7 @@
 
     /// The job that it is of has become known.
     pub(crate) fn belongs_to(&mut self, spec: &JobSpec, team: usize) {
-        self.demand = Some(TaskDemand::of(spec, team));
+        self.demand = Some(TaskDemand::per_task(spec, team));
     }
 
     /// Whether its start was sent, and nothing was heard of it since.
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -133,7 +133,7 @@
 
     /// Takes a job into account that is to be placed in this pass.
     fn expect_job(&mut self, spec: &JobSpec) {
-        self.smallest_need = self.smallest_need.minimum(&Need::of(spec));
+        self.smallest_need = self.smallest_need.minimum(&Need::per_task(spec));
         let highest = self.highest_priority.map_or(spec.priority, |p| p.min(spec.priority));
         self.highest_priority = Some(highest);
         if !self.image_holders.contains_key(&spec.image) {
@@ -176,7 +176,7 @@
         machines: &BTreeMap<String, Machine>,
     ) -> Vec<usize> {
         let Self { machines: capacity, open, smallest_need, .. } = self;
-        let need = Need::of(job.spec());
+        let need = Need::per_task(job.spec());
         let eligible = |position: &usize| {
             let machine = &capacity[*position];
             machine.has_room_for(&need, scope) && allows(job, machine, machines)
@@ -201,7 +201,7 @@
             let machine = &capacity[*position];
             !machine.probing && machine.room_above(highest_priority).holds(smallest_need)
         });
-        let need = Need::of(spec);
+        let need = Need::per_task(spec);
         let slots = reservable.iter().filter_map(|&position| {
             let machine = &capacity[position];
             let count = tasks_that_fit(&machine.room_above(spec.priority), &need);
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -26,7 +26,7 @@
 }
 
 /// Whether a job that is claimed now may be expected to begin soon.
-pub(super) fn may_begin_soon(cluster: &Cluster, spec: &JobSpec, now: Instant) -> bool {
+pub(super) fn may_start_soon(cluster: &Cluster, spec: &JobSpec, now: Instant) -> bool {
     if may_preempt_for(cluster, spec, &cluster.usage_by_team()) {
         return true;
     }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -65,8 +65,8 @@
     }
 
     /// Whether a job that is claimed now may be expected to begin soon.
-    pub fn may_begin_soon(&self, spec: &JobSpec, now: Instant) -> bool {
-        first_starts::may_begin_soon(&self.cluster, spec, now)
+    pub fn may_start_soon(&self, spec: &JobSpec, now: Instant) -> bool {
+        first_starts::may_start_soon(&self.cluster, spec, now)
     }
 
     /// The most that tasks not known yet can use (S8): all of each machine that has not shown
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -123,7 +123,7 @@
     /// Places tasks of a job on eligible machines until tasks, room or the team's share run out.
     fn place_tasks(&mut self, id: &JobId, scope: PlacementScope, eligible: Vec<usize>) {
         let job = &self.cluster.jobs[id];
-        let need = Need::of(job.spec());
+        let need = Need::per_task(job.spec());
         let machines = &self.capacity.machines;
         let image_holders = self.capacity.image_holders(&job.spec().image);
         let mut candidates = Candidates::new(eligible, machines, image_holders, scope);
@@ -184,7 +184,7 @@
         job.place(index, &machine.name, attempt);
         let usage = &mut self.usage[job.team];
         *usage = usage.plus(Usage::of_tasks(job.spec(), 1));
-        capacity.place(&Need::of(job.spec()), job.spec().priority);
+        capacity.place(&Need::per_task(job.spec()), job.spec().priority);
         Some(())
     }
 }
--- a/crates/core/src/placement/preemption/victims.rs
+++ b/crates/core/src/placement/preemption/victims.rs
@@ -74,7 +74,7 @@
         let mut selection = Self {
             cluster,
             job,
-            need: Need::of(job.spec()),
+            need: Need::per_task(job.spec()),
             task_usage: Usage::of_tasks(job.spec(), 1),
             free: machine.free()?,
             candidates: Vec::new().into_iter(),
@@ -147,7 +147,7 @@
         let spec = candidate.owner.spec();
         let usage = &mut self.usage[candidate.owner.team];
         *usage = usage.minus(Usage::of_tasks(spec, 1));
-        self.free.add(&Need::of(spec));
+        self.free.add(&Need::per_task(spec));
         self.tasks.push(candidate.key.clone());
     }
 }
--- a/crates/core/src/placement/reservation.rs
+++ b/crates/core/src/placement/reservation.rs
@@ -14,7 +14,7 @@
         if !job.is_urgent() || job.spec().cpus <= 0.0 || unreserved_tasks == 0 {
             return;
         }
-        let need = Need::of(job.spec());
+        let need = Need::per_task(job.spec());
         self.steps += self.capacity.reservable.len() as u64;
         let mut slots = self.capacity.task_slots(job.spec(), &self.cluster.machines);
         slots.sort_by(|left, right| compare(right.free_cpus, left.free_cpus));
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -37,7 +37,7 @@
             if binds_zones(spec) { zones_in_use(machines, job) } else { BTreeMap::new() };
         let required = spec.one_zone.then(|| match tasks_by_zone.keys().next() {
             Some(zone) => zone.clone(),
-            None => roomiest_zone(capacity, candidates, &Need::of(spec)),
+            None => roomiest_zone(capacity, candidates, &Need::per_task(spec)),
         });
         Self { tasks_by_zone, required, max_tasks_per_zone: spec.zone_cap() }
     }
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -23,7 +23,7 @@
     }
 
     /// A job that was claimed, with its finished tasks.
-    pub fn claimed(
+    pub fn on_job_claimed(
         &mut self,
         record: JobRecord,
         finished: TaskSet,
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -55,7 +55,7 @@
 
     /// The newest message known of a machine, as agent epoch and sequence: what it says in answer
     /// to a question asked after this is newer.
-    pub fn known_order(&self, name: &str) -> (u64, u64) {
+    pub fn newest_message(&self, name: &str) -> (u64, u64) {
         let newest = self.cluster.machines.get(name).map(|machine| machine.messages.newest());
         let MessageNumber { agent_epoch, sequence } = newest.unwrap_or_default();
         (agent_epoch, sequence)
@@ -63,7 +63,7 @@
 
     /// A machine's answer to direct orders that were sent when `known` was the newest message
     /// known of it, as agent epoch and sequence.
-    pub fn on_answer(
+    pub fn on_direct_orders_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         known: (u64, u64),
@@ -130,7 +130,7 @@
     }
 
     /// A machine did not answer direct orders in time.
-    pub fn unanswered(&mut self, name: &str) {
+    pub fn direct_orders_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.note_unanswered();
         }
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -28,7 +28,7 @@
 
 impl LiveTask {
     /// What the attempt on that machine is to its job.
-    fn of(job: &Job, machine: &str, key: &TaskAttempt) -> Self {
+    fn classify(job: &Job, machine: &str, key: &TaskAttempt) -> Self {
         let index = key.task.index;
         if !job.is_live() || job.state() == JobState::DeadLettered || job.finished().contains(index)
         {
@@ -111,7 +111,7 @@
                     self.on_task_exit(name, status, receipt.now);
                 }
             }
-            _ => match LiveTask::of(job, name, &key) {
+            _ => match LiveTask::classify(job, name, &key) {
                 LiveTask::Known => {}
                 LiveTask::Found => {
                     job.place(key.task.index, name, key.attempt);
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -26,7 +26,7 @@
     }
 
     /// The write of the machine's record was answered: it is `stored`, or the write failed.
-    pub fn machine_recorded(&mut self, name: &str, stored: bool) {
+    pub fn on_machine_record_written(&mut self, name: &str, stored: bool) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.finish_recording(stored);
         }
@@ -80,19 +80,19 @@
     }
 
     /// A deletion was answered with 200.
-    pub fn deleted(&mut self, names: &[String]) {
+    pub fn on_machines_deleted(&mut self, names: &[String]) {
         for name in names {
             self.machine_gone(name);
         }
     }
 
     /// A whole list of the cloud, asked for at `asked`.
-    pub fn on_list(&mut self, list: &[ListedMachine], asked: Instant, now: Instant) {
+    pub fn on_machine_list(&mut self, list: &[ListedMachine], asked: Instant, now: Instant) {
         for entry in list {
             self.take_listed_machine(entry, now);
         }
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
-        let settles_after = self.cluster.config.list_settles_after();
+        let settles_after = self.cluster.config.missing_machine_gone_after();
         let machines = self.cluster.machines.values();
         // It existed when we came to know it, and this list describes a later moment.
         let missing = machines.filter(|machine| {
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -29,7 +29,7 @@
 
     /// Whether the answer to a heartbeat may wait for tasks to start: the machine has nothing to
     /// report.
-    pub fn may_hold(&self, name: &str) -> bool {
+    pub fn may_delay_answer(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
             m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
         })
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// The first reason found why it does not: no such team, the team's limit, the machine types.
-pub fn fits_some_type(
+pub fn check_schedulable(
     spec: &JobSpec,
     teams: &[Team],
     types: &[MachineType],
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -33,7 +33,7 @@
     let mut now = Instant::now();
     let mut scheduler = scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
-    scheduler.claimed(job_record(100_000, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job_record(100_000, 1), TaskSet::default(), 5, Duration::ZERO, now);
     let mut sequence = 1;
     let mut version = 5;
     let mut stored = 0;
@@ -82,7 +82,7 @@
     let mut announcing = JobRecord { start_watermark: 4, ..job_record(400, 1) };
     announcing.spec.id = JobId::parse("j-000099").expect("an id");
     announcing.spec.priority = Priority::High;
-    scheduler.claimed(announcing, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.on_job_claimed(announcing, TaskSet::default(), 5, Duration::ZERO, start);
     scheduler.run_placement_pass(start);
     let first = scheduler.due_completion_commits(1, start);
     assert_eq!(first[0].job.to_string(), "j-000099", "its other tasks wait for this");
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -17,7 +17,7 @@
     let mut scheduler = scheduler(7);
     let machine = machine_record();
     scheduler.recorded_machine("host-1", &machine, Duration::ZERO, now);
-    scheduler.claimed(job_record(1, 2), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job_record(1, 2), TaskSet::default(), 5, Duration::ZERO, now);
     // A heartbeat made before the worker took our term, perhaps held back for minutes.
     scheduler.on_heartbeat(&heartbeat(8, 6, Vec::new()), true, now);
     scheduler.run_placement_pass(now);
@@ -54,14 +54,14 @@
     // A leader that has not come round to asking them twice doesn't know that they are silent.
     for (silent, asked, given_up) in [(2, 2, true), (2, 1, false), (12, 2, false)] {
         let mut scheduler = scheduler_with_recorded_machines(1..=24, now);
-        scheduler.claimed(job_record(4, 2), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job_record(4, 2), TaskSet::default(), 5, Duration::ZERO, now);
         for number in silent + 1..=24 {
             let mut heartbeat = heartbeat(9, 7, Vec::new());
             heartbeat.machine = format!("host-{number}");
             scheduler.on_heartbeat(&heartbeat, true, now);
         }
         for number in 1..=silent {
-            (0..asked).for_each(|_| scheduler.unanswered(&format!("host-{number}")));
+            (0..asked).for_each(|_| scheduler.direct_orders_unanswered(&format!("host-{number}")));
         }
         scheduler.tick(now + Duration::from_secs(3));
         scheduler.take_actions();
@@ -69,7 +69,7 @@
         let returned = take_deleted_machines(&mut scheduler);
         assert_eq!(returned.len(), if given_up { silent } else { 0 });
         assert!(!scheduler.is_reconciled(), "S7: only the answer proves them gone");
-        scheduler.deleted(&returned);
+        scheduler.on_machines_deleted(&returned);
         assert_eq!(scheduler.is_reconciled(), given_up);
     }
 }
@@ -79,7 +79,7 @@
     let start = Instant::now();
     let mut scheduler = scheduler_with_recorded_machines(0..=47, start);
     for number in 0..48 {
-        (0..3).for_each(|_| scheduler.unanswered(&format!("host-{number}")));
+        (0..3).for_each(|_| scheduler.direct_orders_unanswered(&format!("host-{number}")));
     }
     // Long after the time that a few are waited for, a network partition ends.
     for number in 0..47 {
@@ -132,8 +132,8 @@
         scheduler.on_heartbeat(&heartbeat(9, 7, Vec::new()), true, now);
         let mut old = job_record(10, 2);
         old.spec.id = second_job_id();
-        scheduler.claimed(old.clone(), TaskSet::default(), 5, Duration::ZERO, now);
-        scheduler.claimed(job_record(10, 1), TaskSet::default(), 6, Duration::ZERO, now);
+        scheduler.on_job_claimed(old.clone(), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job_record(10, 1), TaskSet::default(), 6, Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         let active = |id: &JobId| scheduler.job(id).expect("claimed").active().len();
         assert_eq!(active(&first_job_id()), placed, "S8: a job that nobody can have started");
@@ -153,11 +153,11 @@
     (job.start_watermark, job.previous_start_watermark) = (70, 0);
     job.claim("later owner".into());
     assert_eq!((job.generation, job.previous_start_watermark, job.start_watermark), (2, 70, 100));
-    scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
     scheduler.run_placement_pass(now);
     let active = active_tasks(&scheduler);
     assert_eq!(active.keys().copied().collect::<Vec<_>>(), [70, 71, 72, 73], "S7");
-    scheduler.deleted(&["host-2".into()]);
+    scheduler.on_machines_deleted(&["host-2".into()]);
     scheduler.on_heartbeat(&heartbeat(10, 7, Vec::new()), true, now);
     assert!(scheduler.is_reconciled());
 }
@@ -176,10 +176,10 @@
         (job.start_watermark, job.previous_start_watermark) = (70, 0);
         (job.spec.one_zone, job.spec.spread) = (one_zone, spread);
         job.claim("later owner".into());
-        scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         assert_eq!(active_task_count(&scheduler), 0, "S8: the others may be in another zone");
-        scheduler.deleted(&["host-2".into()]);
+        scheduler.on_machines_deleted(&["host-2".into()]);
         scheduler.run_placement_pass(now);
         assert_eq!(active_task_count(&scheduler), 4);
     }
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -45,15 +45,15 @@
     let mut scheduler = Scheduler::new(config, 1, 1);
     scheduler.set_types(vec![machine_type()]);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
-    scheduler.machine_recorded("host-1", true);
+    scheduler.on_machine_record_written("host-1", true);
     let mut low = job_record(30, 1);
     (low.spec.team, low.spec.priority) = ("g".into(), Priority::Low);
     low.spec.estimate_s = 300.0;
     let mut normal = job_record(30, 1);
     normal.spec.id = second_job_id();
     normal.spec.estimate_s = 300.0;
-    scheduler.claimed(low, TaskSet::default(), 5, Duration::ZERO, start);
-    scheduler.claimed(normal, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler.on_job_claimed(low, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.on_job_claimed(normal, TaskSet::default(), 6, Duration::ZERO, start);
     scheduler
 }
 
@@ -107,19 +107,19 @@
     let start = Instant::now();
     let mut scheduler = scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
-    scheduler.machine_recorded("host-1", true);
+    scheduler.on_machine_record_written("host-1", true);
     let largest = numbered_job(1, 3000, Priority::Normal);
     let low = numbered_job(2, 10, Priority::Low);
     let watched = [largest.spec.id.clone(), low.spec.id.clone()];
-    scheduler.claimed(largest, TaskSet::default(), 5, Duration::ZERO, start);
-    scheduler.claimed(low, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler.on_job_claimed(largest, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.on_job_claimed(low, TaskSet::default(), 6, Duration::ZERO, start);
     let mut tasks: Vec<TimedTask> = Vec::new();
     let mut first_starts = [None; 2];
     for second in 1..240 {
         let now = start + Duration::from_secs(second);
         // More small jobs than there is room for, all day long.
         let small = numbered_job(100 + second, 6, Priority::Normal);
-        scheduler.claimed(small, TaskSet::default(), 7, Duration::ZERO, now);
+        scheduler.on_job_claimed(small, TaskSet::default(), 7, Duration::ZERO, now);
         let statuses = tasks.iter().map(|task| task.status_in(second)).collect();
         scheduler.on_heartbeat(&heartbeat(second + 1, 1, statuses), true, now);
         for completion_commit in scheduler.due_completion_commits(100, now) {
@@ -153,7 +153,7 @@
         scheduler.on_heartbeat(&heartbeat(sequence, 1, Vec::new()), true, now);
     };
     send_heartbeat(&mut scheduler, 1, start);
-    scheduler.machine_recorded("host-1", true);
+    scheduler.on_machine_record_written("host-1", true);
     // Three of four CPUs are taken by work that is not urgent; an urgent task needs two.
     for (number, priority, tasks, cpus) in
         [(2, Priority::Normal, 3, 1.0), (3, Priority::High, 1, 2.0), (1, Priority::Normal, 5, 1.0)]
@@ -161,7 +161,7 @@
         let mut job = job_record(tasks, 1);
         job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
         (job.spec.priority, job.spec.cpus) = (priority, cpus);
-        scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, start);
+        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, start);
         if number == 2 {
             scheduler.run_placement_pass(start);
         }
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -42,7 +42,7 @@
     scheduler.tick(now + Duration::from_secs(1));
     let returned = Action::Delete(vec!["host-1".into()]);
     assert!(scheduler.take_actions().contains(&returned));
-    scheduler.deleted(&["host-1".into()]);
+    scheduler.on_machines_deleted(&["host-1".into()]);
     assert!(active_tasks(&scheduler).is_empty());
 }
 
@@ -86,10 +86,10 @@
     let (mut scheduler, _) = scheduler_with_start_sent(now);
     // Asked soon after the machine was known: it may describe the time before.
     let soon = now + Duration::from_secs(3);
-    scheduler.on_list(&[], soon, soon);
+    scheduler.on_machine_list(&[], soon, soon);
     assert!(scheduler.machine("host-1").is_some(), "S5");
     let later = now + Duration::from_secs(5);
-    scheduler.on_list(&[], later, later);
+    scheduler.on_machine_list(&[], later, later);
     assert!(scheduler.machine("host-1").is_none());
     assert!(active_tasks(&scheduler).is_empty());
     assert_eq!(scheduler.on_heartbeat(&heartbeat(9, 1, Vec::new()), true, later), Verdict::Stale);
@@ -108,7 +108,7 @@
 fn on_demand_machines_are_requested_only_once_spot_capacity_is_known_to_lack() {
     let now = Instant::now();
     let mut scheduler = scheduler(1);
-    scheduler.claimed(job_record(80, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job_record(80, 1), TaskSet::default(), 5, Duration::ZERO, now);
     scheduler.scale(now);
     let actions = scheduler.take_actions();
     let Some(Action::Rent(spot)) =
@@ -120,7 +120,7 @@
         spec: JobSpec { id: second_job_id(), ..job_record(400, 1).spec },
         ..job_record(400, 1)
     };
-    scheduler.claimed(more, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(more, TaskSet::default(), 5, Duration::ZERO, now);
     // The spot offer is under way, and so not open; that is no reason to take the expensive one.
     let soon = now + Duration::from_millis(200);
     scheduler.scale(soon);
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -19,11 +19,11 @@
             heartbeat.machine = format!("host-{number}");
             heartbeat.zone = zone.into();
             scheduler.on_heartbeat(&heartbeat, true, now);
-            scheduler.machine_recorded(&heartbeat.machine, true);
+            scheduler.on_machine_record_written(&heartbeat.machine, true);
         }
         let mut job = job_record(6, 1);
         (job.spec.one_zone, job.spec.spread, job.spec.cpus) = (one_zone, spread, 2.0);
-        scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
         let in_z = job.active().values().filter(|placed| {
@@ -129,9 +129,15 @@
     let mut now = start;
     for (name, run, delay) in machines {
         scheduler.on_heartbeat(&heartbeat_from(name, 1, Vec::new()), true, now);
-        scheduler.machine_recorded(name, true);
+        scheduler.on_machine_record_written(name, true);
         if name == "host-0" {
-            scheduler.claimed(job_record(400, 1), TaskSet::default(), 5, Duration::ZERO, now);
+            scheduler.on_job_claimed(
+                job_record(400, 1),
+                TaskSet::default(),
+                5,
+                Duration::ZERO,
+                now,
+            );
         }
         let mut worker = SimulatedWorker { name, sequence: 10 };
         let mut batch_start = now;
@@ -161,7 +167,7 @@
         assert_eq!(tasks_on(&scheduler, "host-0"), 4);
         assert_eq!(tasks_on(&scheduler, "host-1"), if slow { 0 } else { 4 }, "slow: {slow}");
         // Nothing else is left, and nothing of the job has run for a minute.
-        scheduler.deleted(&["host-0".into()]);
+        scheduler.on_machines_deleted(&["host-0".into()]);
         for wait in [0, 61] {
             send_idle_heartbeat(&mut scheduler, "host-1", 901 + wait, now + secs(wait));
             scheduler.tick(now + secs(wait));
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -32,8 +32,8 @@
     let now = Instant::now();
     let mut scheduler = scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
-    scheduler.machine_recorded("host-1", true);
-    scheduler.claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_machine_record_written("host-1", true);
+    scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
     scheduler.run_placement_pass(now);
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
     assert!(scheduler.orders("host-1", 1, 2, false, now).is_empty(), "S4");
@@ -90,8 +90,8 @@
     for notice in [true, false] {
         let mut scheduler = scheduler(1);
         scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
-        scheduler.machine_recorded("host-1", true);
-        scheduler.claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_machine_record_written("host-1", true);
+        scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         assert!(scheduler.has_starts_for("host-1"));
         // While no start may leave, say in an outage of the store, its machine has to go.
@@ -103,7 +103,7 @@
             scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, later);
         }
         scheduler.on_heartbeat(&second_machine_heartbeat("host-2", 1), true, later);
-        scheduler.machine_recorded("host-2", true);
+        scheduler.on_machine_record_written("host-2", true);
         scheduler.tick(later);
         scheduler.run_placement_pass(later);
         assert!(!scheduler.has_starts_for("host-1"), "notice: {notice}");
@@ -122,7 +122,7 @@
     let mut job = job_record(450, 1);
     (job.start_watermark, job.generation) = (0, 0);
     job.claim("owner".into());
-    scheduler.claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
     let mut announced = Vec::new();
     for version in 6..10 {
         scheduler.run_placement_pass(now);
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -118,8 +118,8 @@
 pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, u64) {
     let mut scheduler = scheduler(1);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now), Verdict::Accept);
-    scheduler.machine_recorded("host-1", true);
-    scheduler.claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_machine_record_written("host-1", true);
+    scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
     scheduler.run_placement_pass(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now), Verdict::Accept);
     let orders = scheduler.orders("host-1", 1, 2, true, now);
@@ -133,7 +133,7 @@
     for number in 0..machines {
         let name = format!("host-{number}");
         scheduler.on_heartbeat(&heartbeat_from(&name, 1, Vec::new()), true, now);
-        scheduler.machine_recorded(&name, true);
+        scheduler.on_machine_record_written(&name, true);
     }
     scheduler
 }
@@ -150,7 +150,7 @@
     record.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
     record.spec.priority = priority;
     record.spec.estimate_s = 300.0;
-    scheduler.claimed(record, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(record, TaskSet::default(), 5, Duration::ZERO, now);
 }
 
 /// The tasks of the first job that are placed, by index.
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -119,7 +119,13 @@
                 let spec = job_spec(self.counts.jobs, number, &mut self.rng)?;
                 self.owed_work[number] -= f64::from(spec.tasks) * class.cpus * class.run_s;
                 let record = claimed_record(spec);
-                self.scheduler.claimed(record, TaskSet::default(), 1, Duration::ZERO, now.instant);
+                self.scheduler.on_job_claimed(
+                    record,
+                    TaskSet::default(),
+                    1,
+                    Duration::ZERO,
+                    now.instant,
+                );
             }
         }
         Some(())
@@ -148,7 +154,7 @@
     fn carry_out_actions(&mut self, now: Moment) {
         for action in self.scheduler.take_actions() {
             match action {
-                Action::Record(name, _) => self.scheduler.machine_recorded(&name, true),
+                Action::Record(name, _) => self.scheduler.on_machine_record_written(&name, true),
                 Action::Direct { machine, orders, .. } => {
                     self.counts.stops += orders.len() as u64;
                     let worker = self.workers.iter_mut().find(|worker| worker.name == machine);
--- a/crates/corkfield/src/clock.rs
+++ b/crates/corkfield/src/clock.rs
@@ -8,7 +8,7 @@
 }
 
 /// The time of day, in milliseconds since 1970.
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -1,7 +1,7 @@
 //! What every part of a controller uses and none of them owns: settings, identity, clients of
 //! outside services, timers and random numbers.
 
-use crate::clock::wall_ms;
+use crate::clock::unix_time_ms;
 use crate::settings::Settings;
 use crate::timers::AlignedTimers;
 use corkfield_cloud::CloudClient;
@@ -63,9 +63,9 @@
     }
 
     /// How long ago another controller noted this time of day, at the least.
-    pub fn age_at_least(&self, noted_ms: u64) -> Duration {
+    pub fn min_age(&self, noted_ms: u64) -> Duration {
         let off_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
-        let age = Duration::from_millis(wall_ms().saturating_sub(noted_ms));
+        let age = Duration::from_millis(unix_time_ms().saturating_sub(noted_ms));
         age.saturating_sub(Duration::try_from_secs_f64(off_ms / 1000.0).unwrap_or_default())
     }
 
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -5,7 +5,7 @@
 use super::context::LeadershipContext;
 use super::state::SharedScheduler;
 use super::store_value::{serialized_bytes, store_value};
-use crate::clock::{now, wall_ms};
+use crate::clock::{now, unix_time_ms};
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
@@ -171,7 +171,7 @@
     /// The record as it stands after our claim.
     fn claimed_record(&self, mut record: JobRecord) -> JobRecord {
         let owner = self.claim.membership.incarnation.clone();
-        if record.start_watermark > 0 || self.scheduler.borrow().may_begin_soon(&record.spec, now())
+        if record.start_watermark > 0 || self.scheduler.borrow().may_start_soon(&record.spec, now())
         {
             record.claim(owner);
         } else {
@@ -234,13 +234,13 @@
 /// Gives the scheduler a job that was claimed.
 fn take_claimed(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
     let ClaimedJob { record, finished, version } = job;
-    let age = Duration::from_millis(wall_ms().saturating_sub(record.accepted_ms));
+    let age = Duration::from_millis(unix_time_ms().saturating_sub(record.accepted_ms));
     let id = record.spec.id.clone();
-    scheduler.borrow_mut().claimed(record, finished, version, age, now());
+    scheduler.borrow_mut().on_job_claimed(record, finished, version, age, now());
     // It may have been cancelled while the claim's answer was under way.
     let unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
     if !unfinished || context.leadership.is_cancelled(&id) {
         scheduler.borrow_mut().close_job(&id);
     }
-    context.leadership.want_pass();
+    context.leadership.request_pass();
 }
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -30,7 +30,7 @@
             let asked = now();
             match context.env.cloud.machines().await {
                 Ok(list) => {
-                    self.scheduler.borrow_mut().on_list(&list, asked, now());
+                    self.scheduler.borrow_mut().on_machine_list(&list, asked, now());
                     context.leadership.actions_pending.notify_one();
                 }
                 Err(error) => tracing::debug!(%error, "can't list machines"),
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -139,7 +139,7 @@
         for commit in commits {
             self.scheduler.borrow_mut().completion_committed(commit, version);
         }
-        self.context.leadership.want_pass();
+        self.context.leadership.request_pass();
         for commit in commits {
             if commit.finishes && commit.record.is_chunked() {
                 drop_chunks(&self.context, &commit.record).await;
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -106,7 +106,7 @@
             DirectOrderOutcome::Unusable => return,
         }
     }
-    context.leadership.want_pass();
+    context.leadership.request_pass();
 }
 
 async fn send_once(
@@ -118,12 +118,12 @@
 ) -> DirectOrderOutcome {
     let body = serde_json::to_vec(orders).expect("orders are plain structs with string keys");
     let client = Client::new(context.env.network.clone(), addr, 1, MAX_ANSWER_BYTES);
-    let known = scheduler.borrow().known_order(machine);
+    let known = scheduler.borrow().newest_message(machine);
     let reply = match client.request("POST", PATH_COMMANDS, &body, DIRECT_ORDER_TIMEOUT).await {
         Ok(reply) => reply,
         Err(error) => {
             tracing::debug!(machine, %error, "direct orders not answered");
-            scheduler.borrow_mut().unanswered(machine);
+            scheduler.borrow_mut().direct_orders_unanswered(machine);
             return DirectOrderOutcome::Unusable;
         }
     };
@@ -134,9 +134,9 @@
         tracing::debug!(machine, answered_by = %heartbeat.machine, "another machine answered");
         return DirectOrderOutcome::Unusable;
     }
-    let verdict = scheduler.borrow_mut().on_answer(&heartbeat, known, now());
+    let verdict = scheduler.borrow_mut().on_direct_orders_answer(&heartbeat, known, now());
     if let Verdict::HigherTerm(term) = verdict {
-        context.leadership.saw_higher_term(term);
+        context.leadership.note_higher_term(term);
         return DirectOrderOutcome::Unusable;
     }
     if reply.status == STATUS_OTHER_AGENT_EPOCH && heartbeat.agent_epoch != orders.agent_epoch {
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -81,7 +81,7 @@
     {
         return None;
     }
-    let (previous, version) = match &contents.scheduler {
+    let (previous, version) = match &contents.leader {
         Some((record, version)) => (Some(record.clone()), *version),
         None => (None, 0),
     };
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -87,7 +87,7 @@
 pub(super) async fn request_transfer(context: &LeadershipContext) {
     let Some(request) = context.leadership.take_transfer_request() else { return };
     let leader_version =
-        context.replica.contents.borrow().scheduler.as_ref().map_or(0, |(_, version)| *version);
+        context.replica.contents.borrow().leader.as_ref().map_or(0, |(_, version)| *version);
     // Carried out late, it must not drive out another leader than the one it is about.
     let transaction = Transaction::default()
         .when(LEADER_KEY, leader_version)
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -3,7 +3,7 @@
 use super::active_leader::ActiveLeader;
 use super::in_flight::{InFlight, InFlightGuard};
 use super::store_value::store_value;
-use crate::clock::{now, wall_ms};
+use crate::clock::{now, unix_time_ms};
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{machine_key, MachineRecord, LEADER_KEY, MACHINE_RECORDS_PREFIX};
 use corkfield_wire::store::{Item, Transaction};
@@ -72,7 +72,7 @@
         };
         match serde_json::from_value::<MachineRecord>(item.value) {
             Ok(record) => {
-                let age = self.context.env.age_at_least(record.recorded_ms);
+                let age = self.context.env.min_age(record.recorded_ms);
                 self.scheduler.borrow_mut().recorded_machine(machine, &record, age, now());
             }
             Err(error) => tracing::error!(machine, %error, "unreadable machine record"),
@@ -119,7 +119,7 @@
     /// can't add machines that its successor doesn't know.
     fn write_batch(&self, batch: Vec<MachineRecordWrite>, in_flight: InFlightGuard) {
         let mut transaction = self.when_leading();
-        let recorded_ms = wall_ms();
+        let recorded_ms = unix_time_ms();
         let mut machines = Vec::new();
         for MachineRecordWrite { machine, record } in batch {
             let record = MachineRecord { recorded_ms, ..record };
@@ -133,9 +133,9 @@
             let class = RequestClass::Completion;
             let stored = context.env.state.transaction(class, &transaction).await.is_ok();
             for machine in &machines {
-                scheduler.borrow_mut().machine_recorded(machine, stored);
+                scheduler.borrow_mut().on_machine_record_written(machine, stored);
             }
-            context.leadership.want_pass();
+            context.leadership.request_pass();
             drop(in_flight);
             queue.write_wanted.notify_one();
         });
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -78,7 +78,7 @@
 
 fn respond(env: &Environment, replica: &StoreReplica, leadership: &Leadership) -> Response {
     let contents = replica.contents.borrow();
-    let leader = contents.scheduler.as_ref().and_then(|(record, _)| record.node.as_deref());
+    let leader = contents.leader.as_ref().and_then(|(record, _)| record.node.as_deref());
     let dead_lettered = contents.jobs.iter().filter(|(_, (record, _))| record.dead_lettered);
     let dead_lettered: Vec<String> = dead_lettered.map(|(id, _)| id.to_string()).collect();
     let scheduler = leadership.scheduler();
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -72,7 +72,7 @@
                 self.scheduler.borrow_mut().scale(now());
             }
             self.context.leadership.actions_pending.notify_one();
-            self.context.leadership.want_pass();
+            self.context.leadership.request_pass();
         }
     }
 
@@ -115,7 +115,7 @@
         tokio::task::spawn_local(async move {
             match context.env.cloud.delete(machines.clone()).await {
                 Ok(()) => {
-                    scheduler.borrow_mut().deleted(&machines);
+                    scheduler.borrow_mut().on_machines_deleted(&machines);
                     context.leadership.actions_pending.notify_one();
                 }
                 Err(error) => tracing::debug!(%error, "can't return machines"),
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared.rs
@@ -88,7 +88,7 @@
     pub fn is_replaced(&self, contents: &ReplicaContents) -> bool {
         let state = self.state.borrow();
         state.claim().is_none_or(|claim| {
-            contents.scheduler.as_ref().is_some_and(|(record, version)| {
+            contents.leader.as_ref().is_some_and(|(record, version)| {
                 record.incarnation != claim.membership.incarnation
                     && *version > claim.record_version.get()
             })
@@ -118,7 +118,7 @@
 
     /// These jobs are no longer unfinished. Stopping what was cancelled waits for nothing: not
     /// for a claim under way, nor for a read that is repeated.
-    pub fn ended(&self, jobs: &[JobId]) {
+    pub fn close_jobs(&self, jobs: &[JobId]) {
         let Some(scheduler) = self.scheduler().filter(|_| !jobs.is_empty()) else { return };
         for id in jobs {
             scheduler.borrow_mut().close_job(id);
@@ -136,9 +136,9 @@
     /// The state service holds the job as cancelled: this controller committed that, or another
     /// one that did, or read it, said so. The replica may lag, or the service may refuse this
     /// controller.
-    pub fn cancelled(&self, id: &JobId) {
+    pub fn note_cancelled(&self, id: &JobId) {
         self.cancelled.borrow_mut().insert(id, now());
-        self.ended(std::slice::from_ref(id));
+        self.close_jobs(std::slice::from_ref(id));
     }
 
     /// Whether the job is known to be cancelled, whatever the replica still shows.
@@ -161,7 +161,7 @@
     }
 
     /// A worker's heartbeat was accepted; the scheduler may have decided something upon it.
-    pub fn wake_actions(&self) {
+    pub fn note_heartbeat(&self) {
         if let LeadershipState::Leading { last_heartbeat, .. } = &mut *self.state.borrow_mut() {
             *last_heartbeat = now();
         }
@@ -179,7 +179,7 @@
     }
 
     /// Asks for a placement pass.
-    pub fn want_pass(&self) {
+    pub fn request_pass(&self) {
         self.pass_wanted.notify_one();
     }
 
@@ -187,12 +187,12 @@
     /// for each heartbeat costs a leader with hundreds of machines more than its processor share.
     pub async fn wait_for_pass(&self) {
         let pass_done = self.pass_done.notified();
-        self.want_pass();
+        self.request_pass();
         let _ = tokio::time::timeout(MAX_PASS_WAIT, pass_done).await;
     }
 
     /// A worker has seen a term above ours: the next one has to lie above it.
-    pub fn saw_higher_term(&self, term: u64) {
+    pub fn note_higher_term(&self, term: u64) {
         self.highest_seen_term.set(self.highest_seen_term.get().max(term));
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Forgets a held answer that went, unless a later one of the machine took its place.
-    pub fn release(&self, machine: &str, answer_due: &Rc<Notify>) {
+    pub fn release_held_answer(&self, machine: &str, answer_due: &Rc<Notify>) {
         self.held_answers.release(machine, answer_due);
     }
 
--- a/crates/corkfield/src/leadership/shared/tests.rs
+++ b/crates/corkfield/src/leadership/shared/tests.rs
@@ -59,8 +59,8 @@
     {
         let incarnation = incarnation.to_owned();
         let record = LeaderRecord { node: None, incarnation, term: 4, successor: None };
-        contents.scheduler = Some((record, version));
-        assert_eq!(leadership.is_replaced(&contents), replaced, "{:?}", contents.scheduler);
+        contents.leader = Some((record, version));
+        assert_eq!(leadership.is_replaced(&contents), replaced, "{:?}", contents.leader);
     }
 }
 
@@ -84,7 +84,7 @@
     let leadership = Leadership::default();
     let earlier = leadership.hold_answer("m-1");
     let later = leadership.hold_answer("m-1");
-    leadership.release("m-1", &earlier);
+    leadership.release_held_answer("m-1", &earlier);
     leadership.held_answers.answer("m-1");
     assert!(is_woken(&later).await && !is_woken(&earlier).await);
 }
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -242,7 +242,7 @@
 /// A leader stops what a read shows as over before the read counts as proof of fresh state (S6).
 impl ReplicaObserver for Leadership {
     fn jobs_ended(&self, jobs: &[JobId]) {
-        self.ended(jobs);
+        self.close_jobs(jobs);
     }
 
     fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, (JobRecord, u64)>) {
@@ -266,6 +266,6 @@
     }
 
     fn job_cancelled(&self, id: &JobId) {
-        self.leadership.cancelled(id);
+        self.leadership.note_cancelled(id);
     }
 }
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -29,7 +29,7 @@
 
 /// Serves the links that other controllers open.
 pub struct IncomingLinks {
-    /// Surroundings: settings, and the process that heartbeats have to echo.
+    /// Surroundings: settings, and the process that heartbeats have to last_received_number.
     pub env: Rc<Environment>,
     /// Records the heartbeats.
     pub peers: Rc<Peers>,
@@ -90,7 +90,7 @@
         let echoed_sent = self.peers.echoed_sent(&heartbeat, self.env.process);
         // Its newest read was begun no longer ago than that.
         let read = echoed_sent
-            .filter(|_| heartbeat.store_ok)
+            .filter(|_| heartbeat.store_answers)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
         if let Some(read) = read {
             self.outbox.has_read(&heartbeat.node, read);
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -25,7 +25,7 @@
     pub session_lease: Rc<SessionLease>,
     /// Whether this controller leads.
     pub leadership: Rc<Leadership>,
-    /// The heartbeats of the others, which those of this controller echo.
+    /// The heartbeats of the others, which those of this controller last_received_number.
     pub peers: Rc<Peers>,
     /// The cancellations that are sent.
     pub outbox: Rc<CancellationOutbox>,
@@ -84,30 +84,30 @@
 
     fn heartbeat_to(&self, peer: &str) -> PeerHeartbeat {
         let contents = self.replica.contents.borrow();
-        let leader = contents.scheduler.as_ref().map(|(record, _)| record);
-        let echo = self.peers.echo_to(peer);
+        let leader = contents.leader.as_ref().map(|(record, _)| record);
+        let last_received_number = self.peers.echo_to(peer);
         let lease = self.session_lease.current();
         PeerHeartbeat {
             node: self.env.name.clone(),
             incarnation: lease.map(|lease| lease.incarnation).unwrap_or_default(),
             process: self.env.process,
             number: self.peers.record_sent(peer),
-            echo: echo.number,
-            echo_process: echo.process,
-            attests: self.attests_for(peer),
+            last_received_number: last_received_number.number,
+            last_received_process: last_received_number.process,
+            attests_outage: self.attests_for(peer),
             leading: self.leadership.is_leading(),
-            store_ok: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
-            scheduler: leader.and_then(|record| record.node.clone()),
+            store_answers: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
+            leader: leader.and_then(|record| record.node.clone()),
             term: leader.map_or(0, |record| record.term),
         }
     }
 
-    /// Whether this controller attests for the peer as the leader (S6, S11): it has had no answer
+    /// Whether this controller attests_outage for the peer as the leader (S6, S11): it has had no answer
     /// from the state service for a while, knows of no other leader, and all cancellations that
     /// its users were told of were acknowledged there.
     fn attests_for(&self, peer: &str) -> bool {
         let contents = self.replica.contents.borrow();
-        let leader = contents.scheduler.as_ref().and_then(|(record, _)| record.node.as_deref());
+        let leader = contents.leader.as_ref().and_then(|(record, _)| record.node.as_deref());
         self.replica.is_synced()
             && self.replica.proof_age() > HEARTBEAT_TIMEOUT
             && !self.leadership.is_leading()
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -46,12 +46,12 @@
         incarnation: String::new(),
         process: 1,
         number: 1,
-        echo: 0,
-        echo_process: 0,
-        attests: false,
+        last_received_number: 0,
+        last_received_process: 0,
+        attests_outage: false,
         leading,
-        store_ok: true,
-        scheduler: None,
+        store_answers: true,
+        leader: None,
         term: 1,
     };
     let _queues = ["leads", "recorded", "standby"].map(|peer| links.opened(peer));
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -67,7 +67,7 @@
         let process_since = before.as_ref().map_or(received, |before| before.process_since);
         let attested = before.and_then(|before| before.attested);
         // It was sent after what it echoes had come, and so after that was sent.
-        let attested = attested.max(echoed_sent.filter(|_| heartbeat.attests));
+        let attested = attested.max(echoed_sent.filter(|_| heartbeat.attests_outage));
         last.insert(peer, LastHeartbeat { heartbeat, received, process_since, attested });
     }
 
@@ -76,8 +76,8 @@
     pub fn echoed_sent(&self, heartbeat: &PeerHeartbeat, process: u64) -> Option<Instant> {
         let sent = self.sent.borrow();
         let mut to_peer = sent.get(&heartbeat.node)?.iter();
-        let echoed = to_peer.find(|sent| sent.number == heartbeat.echo)?;
-        (heartbeat.echo_process == process).then_some(echoed.sent)
+        let echoed = to_peer.find(|sent| sent.number == heartbeat.last_received_number)?;
+        (heartbeat.last_received_process == process).then_some(echoed.sent)
     }
 
     /// Records that a heartbeat is sent now; returns its number.
@@ -126,7 +126,7 @@
 
     /// Whether another controller has answers from the state service.
     pub fn somebody_has_store(&self) -> bool {
-        self.last.borrow().values().any(|last| last.heartbeat.store_ok && last.is_recent())
+        self.last.borrow().values().any(|last| last.heartbeat.store_answers && last.is_recent())
     }
 
     /// Whether others were heard of, and none of them has answers from the state service: it is
@@ -134,7 +134,7 @@
     pub fn nobody_has_store(&self) -> bool {
         let last = self.last.borrow();
         let mut others = last.values().filter(|last| last.is_recent()).peekable();
-        others.peek().is_some() && others.all(|last| !last.heartbeat.store_ok)
+        others.peek().is_some() && others.all(|last| !last.heartbeat.store_answers)
     }
 
     /// Whether that controller says that it leads.
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -1,17 +1,22 @@
 use super::*;
 
-fn heartbeat(process: u64, echo: u64, echo_process: u64, attests: bool) -> PeerHeartbeat {
+fn heartbeat(
+    process: u64,
+    last_received_number: u64,
+    last_received_process: u64,
+    attests_outage: bool,
+) -> PeerHeartbeat {
     PeerHeartbeat {
         node: "q".to_owned(),
         incarnation: String::new(),
         process,
         number: 1,
-        echo,
-        echo_process,
-        attests,
+        last_received_number,
+        last_received_process,
+        attests_outage,
         leading: false,
-        store_ok: false,
-        scheduler: None,
+        store_answers: false,
+        leader: None,
         term: 5,
     }
 }
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -35,7 +35,7 @@
     /// By the controller that asks.
     transfer_requests: BTreeMap<String, SeenTransferRequest>,
     /// The leader record.
-    pub scheduler: Option<(LeaderRecord, u64)>,
+    pub leader: Option<(LeaderRecord, u64)>,
     /// When the present leader record was first seen.
     leader_since: Option<Instant>,
     /// The machine types on offer, once they are known.
@@ -95,7 +95,7 @@
     /// Whether the machine types are known, and there is a leader whose process is present.
     pub(super) fn is_served(&self) -> bool {
         self.types.is_some()
-            && self.scheduler.as_ref().is_some_and(|(record, _)| self.is_present(record))
+            && self.leader.as_ref().is_some_and(|(record, _)| self.is_present(record))
     }
 
     /// Whether the process that claimed the leader record is still there.
@@ -120,7 +120,7 @@
                     .insert(node.to_owned(), SeenTransferRequest { version, first_seen: now() });
             }
         } else if key == LEADER_KEY {
-            self.scheduler = decode(key, value).map(|record| (record, version));
+            self.leader = decode(key, value).map(|record| (record, version));
             self.leader_since = Some(now());
         } else if key == MACHINE_TYPES_KEY {
             self.types = decode::<MachineTypesRecord>(key, value).map(|record| record.types);
@@ -134,7 +134,7 @@
         } else if let Some(node) = key.strip_prefix(CONTROLLERS_PREFIX) {
             self.controllers.remove(node);
         } else if key == LEADER_KEY {
-            self.scheduler = None;
+            self.leader = None;
         }
     }
 
@@ -174,7 +174,7 @@
             }
             before => before.is_some(),
         });
-        let version_of = |contents: &Self| contents.scheduler.as_ref().map(|(_, version)| *version);
+        let version_of = |contents: &Self| contents.leader.as_ref().map(|(_, version)| *version);
         if version_of(self) == version_of(before) {
             self.leader_since = before.leader_since.or(self.leader_since);
         }
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -2,9 +2,9 @@
 
 use super::lookup::view;
 use super::{UserRequests, CHANGE_LIMIT, NO_STORE};
-use crate::clock::wall_ms;
+use crate::clock::unix_time_ms;
 use crate::responses::{error, json, retry_later};
-use corkfield_core::fits_some_type;
+use corkfield_core::check_schedulable;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, JobRecord};
@@ -62,7 +62,7 @@
             // A known job is still recognised.
             Admission::NotNow => return self.known_or(&id, retry_later("not now")).await,
         }
-        let record = JobRecord::new(spec, wall_ms());
+        let record = JobRecord::new(spec, unix_time_ms());
         let Ok(value) = serde_json::to_value(&record) else {
             return error(400, "unstorable");
         };
@@ -77,7 +77,7 @@
         let teams = &self.env.settings.platform.params.teams;
         let contents = self.replica.contents.borrow();
         let crowded = contents.jobs.len() >= self.env.settings.max_jobs();
-        match contents.types.as_ref().map(|types| fits_some_type(spec, teams, types)) {
+        match contents.types.as_ref().map(|types| check_schedulable(spec, teams, types)) {
             Some(Ok(())) if !crowded => Admission::Admitted,
             Some(Err(misfit)) => Admission::NeverFits(misfit.to_string()),
             _ => Admission::NotNow,
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -117,7 +117,7 @@
         if let Some(refusal) = self.refuse(&scheduler, heartbeat) {
             return refusal;
         }
-        self.leadership.wake_actions();
+        self.leadership.note_heartbeat();
         if scheduler.borrow().may_start_on(&heartbeat.machine, now()) {
             self.leadership.wait_for_pass().await;
         }
@@ -156,7 +156,7 @@
             Verdict::Accept => None,
             Verdict::Stale => Some(retry_later("stale report")),
             Verdict::HigherTerm(term) => {
-                self.leadership.saw_higher_term(term);
+                self.leadership.note_higher_term(term);
                 Some(retry_later("a higher term is needed"))
             }
         }
@@ -167,11 +167,11 @@
     async fn hold(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
         // Short of sockets, an answer that waits for work would keep other workers out.
-        let may_hold = !hold.is_zero() && !self.connections.are_short();
-        if may_hold && scheduler.borrow().may_hold(machine) {
+        let may_delay_answer = !hold.is_zero() && !self.connections.is_short_of_connections();
+        if may_delay_answer && scheduler.borrow().may_delay_answer(machine) {
             let released = self.leadership.hold_answer(machine);
             let _ = tokio::time::timeout(hold, released.notified()).await;
-            self.leadership.release(machine, &released);
+            self.leadership.release_held_answer(machine, &released);
         }
     }
 
@@ -209,7 +209,7 @@
     /// The leader, if it is another controller that is present.
     fn other_leader(&self) -> Option<String> {
         let contents = self.replica.contents.borrow();
-        let (record, _) = contents.scheduler.as_ref()?;
+        let (record, _) = contents.leader.as_ref()?;
         let name = record.node.clone().filter(|name| *name != self.env.name)?;
         contents.is_present(record).then_some(name)
     }
--- a/crates/corkfield/tests/scenarios/cluster/users.rs
+++ b/crates/corkfield/tests/scenarios/cluster/users.rs
@@ -140,7 +140,7 @@
         view: Option<JobView>,
     ) -> Option<JobStatus> {
         let status = view?.status;
-        self.history.on_answer(id, status, asked);
+        self.history.on_direct_orders_answer(id, status, asked);
         Some(status)
     }
 
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -133,7 +133,7 @@
     }
 
     /// A user who asked at that moment was answered with this status: a final state stays.
-    pub fn on_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
+    pub fn on_direct_orders_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
         self.check_final_answer(id, status, asked);
         if status.is_final() {
             let answer = FinalAnswer { status, answered: now() };
--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -22,7 +22,7 @@
 
     /// Whether so many are open that each is closed after its answer. An answer should then not
     /// be held back for longer than it must.
-    pub fn are_short(&self) -> bool {
+    pub fn is_short_of_connections(&self) -> bool {
         self.open.get() > self.limits.kept
     }
 
@@ -58,7 +58,7 @@
 
     /// Whether the connection is to be closed after its answer, for want of connections.
     pub fn must_close(&self) -> bool {
-        self.connections.are_short()
+        self.connections.is_short_of_connections()
     }
 
     /// Whether the request may be served on this connection. The first for a path that no
--- a/crates/http/src/server/tests.rs
+++ b/crates/http/src/server/tests.rs
@@ -124,6 +124,9 @@
             assert_eq!(answer.contains("Connection: close"), client >= 4, "{client}: {answer}");
             open.push(stream);
         }
-        assert!(!connections.are_short(), "the clients that were told to go don't count");
+        assert!(
+            !connections.is_short_of_connections(),
+            "the clients that were told to go don't count"
+        );
     });
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -19,19 +19,19 @@
     /// Counts the heartbeats sent to this receiver.
     pub number: u64,
     /// The number of the receiver's own heartbeat that came last; 0 if none did.
-    pub echo: u64,
+    pub last_received_number: u64,
     /// The receiver's process that sent that one.
-    pub echo_process: u64,
+    pub last_received_process: u64,
     /// The sender has had no answer from the state service for a while, knows of no leader but the
     /// receiver, and every cancellation that it confirmed to a user was acknowledged by the
     /// receiver (S11).
-    pub attests: bool,
+    pub attests_outage: bool,
     /// It is the leader, or takes itself for the leader.
     pub leading: bool,
     /// The state service answered this controller a moment ago.
-    pub store_ok: bool,
+    pub store_answers: bool,
     /// The leader that it knows of.
-    pub scheduler: Option<String>,
+    pub leader: Option<String>,
     /// That leader's term; 0 without one.
     pub term: u64,
 }
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -9,12 +9,12 @@
         incarnation: "worker-0-0000002a".to_owned(),
         process: 5,
         number: 6,
-        echo: 7,
-        echo_process: 8,
-        attests: true,
+        last_received_number: 7,
+        last_received_process: 8,
+        attests_outage: true,
         leading: false,
-        store_ok: true,
-        scheduler: Some("worker-1".to_owned()),
+        store_answers: true,
+        leader: Some("worker-1".to_owned()),
         term: 41,
     }
 }
@@ -25,12 +25,12 @@
         incarnation: String::new(),
         process: 0,
         number: u64::MAX,
-        echo: 0,
-        echo_process: 0,
-        attests: false,
+        last_received_number: 0,
+        last_received_process: 0,
+        attests_outage: false,
         leading: true,
-        store_ok: false,
-        scheduler: None,
+        store_answers: false,
+        leader: None,
         term: 0,
     }
 }
@@ -54,11 +54,11 @@
             "11000000776f726b65722d302d3030303030303261", // incarnation
             "0500000000000000",                           // process
             "0600000000000000",                           // number
-            "0700000000000000",                           // echo
-            "0800000000000000",                           // echo_process
-            "01",                                         // attests
+            "0700000000000000",                           // last_received_number
+            "0800000000000000",                           // last_received_process
+            "01",                                         // attests_outage
             "00",                                         // leading
-            "01",                                         // store_ok
+            "01",                                         // store_answers
             "0108000000776f726b65722d31",                 // scheduler
             "2900000000000000",                           // term
         ),
