--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -9,23 +9,23 @@
 use std::rc::Rc;
 
 /// Handles of the controller's parts, shared by all loops of election and leading.
-pub(super) struct LeadershipContext {
+pub struct LeadershipContext {
     /// Settings, clients of outside services, timers and random numbers.
-    pub(super) env: Rc<Environment>,
+    pub env: Rc<Environment>,
     /// The local copy of the store's keys.
-    pub(super) replica: Rc<StoreReplica>,
+    pub replica: Rc<StoreReplica>,
     /// This controller's lease and membership key.
-    pub(super) session_lease: Rc<SessionLease>,
+    pub session_lease: Rc<SessionLease>,
     /// The other controllers.
-    pub(super) peers: Rc<Peers>,
+    pub peers: Rc<Peers>,
     /// State that is shared with the handlers of users, workers and peers.
-    pub(super) leadership: Rc<Leadership>,
+    pub leadership: Rc<Leadership>,
 }
 
 impl LeadershipContext {
     /// Whether starts may leave, and machines be rented or returned (S4).
     pub(super) fn may_start(&self) -> bool {
-        self.leadership.may_start_under(&self.session_lease)
+        self.leadership.may_start(&self.session_lease)
     }
 
     /// Whether the lease that the claim rests on has ended.
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -38,9 +38,7 @@
 mod store_value;
 
 use crate::environment::Environment;
-use crate::node::Node;
 use active_leader::ActiveLeader;
-use context::LeadershipContext;
 use corkfield_state::RateBudget;
 use election::Elected;
 use handover::request_transfer;
@@ -48,6 +46,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+pub use context::LeadershipContext;
 pub use overview::overview;
 pub use shared::Leadership;
 
@@ -76,14 +75,7 @@
 }
 
 /// Stands by, and leads whenever the leader record can be claimed.
-pub async fn run(node: Rc<Node>) {
-    let context = Rc::new(LeadershipContext {
-        env: node.env.clone(),
-        replica: node.replica.clone(),
-        session_lease: node.session_lease.clone(),
-        peers: node.peers.clone(),
-        leadership: node.leadership.clone(),
-    });
+pub async fn run(context: Rc<LeadershipContext>) {
     stand_by(&context);
     loop {
         if let Some(elected) = election::elect(&context).await {
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -3,7 +3,6 @@
 use super::Leadership;
 use crate::clock::now;
 use crate::environment::Environment;
-use crate::node::Node;
 use crate::replica::StoreReplica;
 use crate::responses::json;
 use corkfield_core::Scheduler;
@@ -72,11 +71,7 @@
 }
 
 /// Answers an operator's request for the overview.
-pub fn overview(node: &Node) -> Response {
-    respond(&node.env, &node.replica, &node.leadership)
-}
-
-fn respond(env: &Environment, replica: &StoreReplica, leadership: &Leadership) -> Response {
+pub fn overview(env: &Environment, replica: &StoreReplica, leadership: &Leadership) -> Response {
     let contents = replica.contents.borrow();
     let leader = contents.leader.as_ref().and_then(|(record, _)| record.node.as_deref());
     let dead_lettered = contents.jobs.iter().filter(|(_, (record, _))| record.dead_lettered);
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared.rs
@@ -5,7 +5,6 @@
 use super::held_answers::HeldAnswers;
 use super::state::{LeadershipState, SharedScheduler};
 use crate::clock::now;
-use crate::node::Node;
 use crate::replica::{ReplicaContents, StoreReplica};
 use crate::session_lease::SessionLease;
 use corkfield_wire::records::{JobRecord, TransferRequest};
@@ -100,14 +99,9 @@
         Some(self.scheduler()?.borrow().term())
     }
 
-    /// As [`Self::may_start_under`], for the controller's own lease.
-    pub fn may_start(&self, node: &Node) -> bool {
-        self.may_start_under(&node.session_lease)
-    }
-
     /// Whether starts may leave (S4), and machines be returned: the lease that the claim rests on
     /// surely goes on. One that was lost and taken anew doesn't count for what was claimed before.
-    pub(super) fn may_start_under(&self, lease: &SessionLease) -> bool {
+    pub fn may_start(&self, lease: &SessionLease) -> bool {
         let state = self.state.borrow();
         let Some(claim) = state.claim() else { return false };
         lease.is_valid()
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -6,8 +6,7 @@
 //! - `environment`: settings, clients of outside services, random numbers;
 //! - `replica`, `session_lease`, `peers`, `outbox`: what this controller
 //!   knows of the store, of its lease and of the other controllers;
-//! - `leadership`, `completion_commits`: election, and the work of the leader (they still take the
-//!   components together, as `node::Node`);
+//! - `leadership`: election, and what a leader does outside the scheduler;
 //! - `peer_links`: the links between controllers;
 //! - `notifications`, `workers`, `users`: requests;
 //! - `routes`: which component answers which request;
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -1,7 +1,7 @@
 //! One controller: its components are built and wired together here, and their loops started.
 
 use crate::environment::Environment;
-use crate::leadership::{self, Leadership};
+use crate::leadership::{self, Leadership, LeadershipContext};
 use crate::notifications::CancellationNotifier;
 use crate::outbox::CancellationOutbox;
 use crate::peer_links::{
@@ -31,24 +31,24 @@
 /// Pause before a loop that ended is started again.
 const RESTART_PAUSE: Duration = Duration::from_millis(500);
 
-/// The components of one controller that others share.
-pub struct Node {
+/// The components of one controller, as built here.
+struct Components {
     /// Settings, identity, and clients of outside services.
-    pub env: Rc<Environment>,
+    env: Rc<Environment>,
     /// The copy of the store.
-    pub replica: Rc<StoreReplica>,
+    replica: Rc<StoreReplica>,
     /// This controller's lease.
-    pub session_lease: Rc<SessionLease>,
+    session_lease: Rc<SessionLease>,
     /// This controller's part in election and leading.
-    pub leadership: Rc<Leadership>,
+    leadership: Rc<Leadership>,
     /// The view of the other controllers.
-    pub peers: Rc<Peers>,
+    peers: Rc<Peers>,
     /// Cancellations that other controllers have still to acknowledge.
-    pub notifications: Rc<CancellationOutbox>,
+    notifications: Rc<CancellationOutbox>,
     /// Workers that were redirected to the leader.
-    pub redirected: Rc<RedirectedWorkers>,
+    redirected: Rc<RedirectedWorkers>,
     /// The connections of users and workers.
-    pub connections: Rc<Connections>,
+    connections: Rc<Connections>,
 }
 
 /// Why a controller can't start.
@@ -68,16 +68,17 @@
 pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
     let users_listener = listen(&*network, settings.platform.listen).await?;
     let peers_listener = listen(&*network, settings.platform.peer_listen).await?;
-    let node = Rc::new(Node::new(settings, network, seed));
-    let (name, listen) = (&node.env.name, node.env.settings.platform.listen);
+    let components = Components::new(settings, network, seed);
+    let (name, listen) = (&components.env.name, components.env.settings.platform.listen);
     tracing::info!(controller = %name, %listen, "controller started");
-    let links = Rc::new(PeerLinks::new(max_queued_frames(node.env.settings.sockets().accepted)));
-    let workers = Rc::new(worker_heartbeats(&node, &links));
-    serve_requests(&node, users_listener, routes(&node, &links, &workers));
-    serve_peers(&node, peers_listener, &links, workers);
-    follow_store(&node);
-    maintain_lease(&node);
-    supervise("leader", move || leadership::run(node.clone())).await;
+    let links =
+        Rc::new(PeerLinks::new(max_queued_frames(components.env.settings.sockets().accepted)));
+    let workers = Rc::new(worker_heartbeats(&components, &links));
+    serve_requests(&components, users_listener, routes(&components, &links, &workers));
+    serve_peers(&components, peers_listener, &links, workers);
+    follow_store(&components);
+    maintain_lease(&components);
+    lead(&components).await;
     Ok(())
 }
 
@@ -99,7 +100,7 @@
     }
 }
 
-impl Node {
+impl Components {
     fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
         let connections = Rc::new(Connections::new(connection_limits(settings.sockets())));
         Self {
@@ -128,89 +129,92 @@
 }
 
 /// What answers workers.
-fn worker_heartbeats(node: &Rc<Node>, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
-    let leader = node.clone();
+fn worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
     WorkerHeartbeats {
-        env: node.env.clone(),
-        replica: node.replica.clone(),
-        leadership: node.leadership.clone(),
-        lease_allows_starts: Box::new(move || leader.leadership.may_start(&leader)),
-        peers: node.peers.clone(),
+        env: components.env.clone(),
+        replica: components.replica.clone(),
+        leadership: components.leadership.clone(),
+        session_lease: components.session_lease.clone(),
+        peers: components.peers.clone(),
         links: links.clone(),
-        redirected: node.redirected.clone(),
-        connections: node.connections.clone(),
+        redirected: components.redirected.clone(),
+        connections: components.connections.clone(),
     }
 }
 
 /// What answers users.
-fn user_requests(node: &Node, links: &Rc<PeerLinks>) -> UserRequests {
+fn user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
     UserRequests {
-        env: node.env.clone(),
-        replica: node.replica.clone(),
+        env: components.env.clone(),
+        replica: components.replica.clone(),
         notifier: CancellationNotifier {
-            env: node.env.clone(),
-            replica: node.replica.clone(),
-            leadership: node.leadership.clone(),
-            peers: node.peers.clone(),
+            env: components.env.clone(),
+            replica: components.replica.clone(),
+            leadership: components.leadership.clone(),
+            peers: components.peers.clone(),
             links: links.clone(),
-            outbox: node.notifications.clone(),
+            outbox: components.notifications.clone(),
         },
     }
 }
 
 /// What answers all requests.
-fn routes(node: &Rc<Node>, links: &Rc<PeerLinks>, workers: &Rc<WorkerHeartbeats>) -> Routes {
-    let viewed = node.clone();
+fn routes(
+    components: &Components,
+    links: &Rc<PeerLinks>,
+    workers: &Rc<WorkerHeartbeats>,
+) -> Routes {
     Routes {
-        users: user_requests(node, links),
+        users: user_requests(components, links),
         workers: workers.clone(),
-        replica: node.replica.clone(),
-        peers: node.peers.clone(),
-        overview: Box::new(move || leadership::overview(&viewed)),
+        replica: components.replica.clone(),
+        peers: components.peers.clone(),
+        leadership: components.leadership.clone(),
+        env: components.env.clone(),
     }
 }
 
 /// Serves users, workers, operators and the load balancer.
-fn serve_requests(node: &Node, listener: Box<dyn Listener>, routes: Routes) {
+fn serve_requests(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
     let handler = Rc::new(move |request| routes.clone().answer(request));
-    tokio::task::spawn_local(serve_counted(listener, node.connections.clone(), handler));
+    tokio::task::spawn_local(serve_counted(listener, components.connections.clone(), handler));
 }
 
 /// Serves the links that other controllers open, and keeps one to each of them.
 fn serve_peers(
-    node: &Node,
+    components: &Components,
     listener: Box<dyn Listener>,
     links: &Rc<PeerLinks>,
     workers: Rc<WorkerHeartbeats>,
 ) {
     let incoming = Rc::new(IncomingLinks {
-        env: node.env.clone(),
-        peers: node.peers.clone(),
-        outbox: node.notifications.clone(),
-        handler: Rc::new(PeerRequests { workers, leadership: node.leadership.clone() }),
+        env: components.env.clone(),
+        peers: components.peers.clone(),
+        outbox: components.notifications.clone(),
+        handler: Rc::new(PeerRequests { workers, leadership: components.leadership.clone() }),
     });
     tokio::task::spawn_local(incoming.accept(listener));
     let outgoing = Rc::new(OutgoingLinks {
-        env: node.env.clone(),
-        replica: node.replica.clone(),
-        session_lease: node.session_lease.clone(),
-        leadership: node.leadership.clone(),
-        peers: node.peers.clone(),
-        outbox: node.notifications.clone(),
+        env: components.env.clone(),
+        replica: components.replica.clone(),
+        session_lease: components.session_lease.clone(),
+        leadership: components.leadership.clone(),
+        peers: components.peers.clone(),
+        outbox: components.notifications.clone(),
         links: links.clone(),
     });
-    for peer in &node.env.settings.platform.peers {
+    for peer in &components.env.settings.platform.peers {
         tokio::task::spawn_local(outgoing.clone().maintain(peer.node.clone(), peer.addr));
     }
 }
 
 /// Starts the loops that keep the copy of the store up to date.
-fn follow_store(node: &Node) {
+fn follow_store(components: &Components) {
     let follower = Rc::new(ReplicaFollower {
-        env: node.env.clone(),
-        replica: node.replica.clone(),
-        observer: node.leadership.clone(),
+        env: components.env.clone(),
+        replica: components.replica.clone(),
+        observer: components.leadership.clone(),
     });
     let refresher = follower.clone();
     let watch = move || follower.clone().watch();
@@ -220,12 +224,24 @@
 }
 
 /// Starts the loop that keeps this controller's lease.
-fn maintain_lease(node: &Node) {
-    let (env, session_lease) = (node.env.clone(), node.session_lease.clone());
+fn maintain_lease(components: &Components) {
+    let (env, session_lease) = (components.env.clone(), components.session_lease.clone());
     let keeper = Rc::new(LeaseKeeper { env, session_lease });
     tokio::task::spawn_local(supervise("session lease", move || keeper.clone().maintain()));
 }
 
+/// Runs the loop of election and leading.
+async fn lead(components: &Components) {
+    let context = Rc::new(LeadershipContext {
+        env: components.env.clone(),
+        replica: components.replica.clone(),
+        session_lease: components.session_lease.clone(),
+        peers: components.peers.clone(),
+        leadership: components.leadership.clone(),
+    });
+    supervise("leader", move || leadership::run(context.clone())).await;
+}
+
 /// Runs a loop for ever. A fault in it must not end the controller, nor leave it half dead: the
 /// loop is started again from what is stored.
 async fn supervise<F>(name: &str, run: impl Fn() -> F)
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -1,5 +1,7 @@
 //! Which component answers which HTTP request.
 
+use crate::environment::Environment;
+use crate::leadership::{self, Leadership};
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
 use crate::responses::{error, json};
@@ -100,7 +102,9 @@
     /// Whether another controller has.
     pub peers: Rc<Peers>,
     /// The operators' view.
-    pub overview: Box<dyn Fn() -> Response>,
+    pub leadership: Rc<Leadership>,
+    /// Identity of this controller.
+    pub env: Rc<Environment>,
 }
 
 impl Routes {
@@ -110,7 +114,7 @@
         match Route::parse(&request.method, request.path()) {
             Ok(Route::Heartbeat) => self.workers.answer(body).await,
             Ok(Route::Ready) => self.ready(),
-            Ok(Route::Overview) => (self.overview)(),
+            Ok(Route::Overview) => leadership::overview(&self.env, &self.replica, &self.leadership),
             Ok(Route::Release(id)) => self.users.release(&id).await,
             Ok(Route::Submit) => self.users.submit(body).await,
             Ok(Route::Query(id)) => self.users.query(&id).await,
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -11,7 +11,8 @@
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
 use crate::responses::{error, json, retry_later};
-use corkfield_core::{Scheduler, Verdict};
+use crate::session_lease::SessionLease;
+use corkfield_core::{AttemptNumber, Scheduler, Verdict};
 use corkfield_http::{Connections, Response};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
 use redirects::Route;
@@ -25,8 +26,6 @@
 const START_PROOF_WAIT: Duration = Duration::from_millis(600);
 /// Without any proof for this long the service is surely away: then no heartbeat waits for it.
 const STORE_AWAY: Duration = Duration::from_secs(4);
-/// An attempt has the generation of its job's claim above these bits.
-const ATTEMPT_GENERATION_SHIFT: u32 = 24;
 
 /// Answers workers' heartbeats: as the leader, or by sending them to whoever leads.
 pub struct WorkerHeartbeats {
@@ -37,7 +36,7 @@
     /// The scheduler, if this controller leads.
     pub leadership: Rc<Leadership>,
     /// Whether starts may leave by the lease that this controller leads under (S4).
-    pub lease_allows_starts: Box<dyn Fn() -> bool>,
+    pub session_lease: Rc<SessionLease>,
     /// What the other controllers attest to.
     pub peers: Rc<Peers>,
     /// The way to a leader that a worker doesn't reach itself.
@@ -102,8 +101,9 @@
         reply.orders.retain(|order| match order {
             Order::Start { task, attempt } => {
                 let record = contents.jobs.get(&task.job).map(|(record, _)| record);
-                record
-                    .is_some_and(|record| record.generation == attempt >> ATTEMPT_GENERATION_SHIFT)
+                record.is_some_and(|record| {
+                    record.generation == AttemptNumber::from(*attempt).generation()
+                })
             }
             _ => true,
         });
@@ -128,7 +128,7 @@
         if !same || !self.may_answer() {
             return json(421, &Redirect { report_to: self.other_leader() });
         }
-        let may_start = (self.lease_allows_starts)() && self.has_start_proof();
+        let may_start = self.leadership.may_start(&self.session_lease) && self.has_start_proof();
         let mut scheduler = scheduler.borrow_mut();
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
         let orders = scheduler.orders(&heartbeat.machine, agent_epoch, sequence, may_start, now());
