--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -4,8 +4,8 @@
     active_task_count, active_tasks, first_job_id, heartbeat, heartbeat_from, job_record,
     scheduler, scheduler_with_machines, scheduler_with_start_sent, task_status,
 };
-use corkfield_core::{Action, Verdict};
-use corkfield_wire::worker::{ExitCause, Order, TaskPhase, WorkerHeartbeat};
+use corkfield_core::{Action, AttemptNumber, Verdict};
+use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
 use corkfield_wire::TaskSet;
 use std::time::{Duration, Instant};
 
@@ -149,3 +149,38 @@
     let orders = scheduler.orders("host-1", 1, 2, true, now);
     assert!(matches!(orders[..], [Order::Stop { .. }]), "S11: {orders:?}");
 }
+
+/// A job backs off while a task of it is assigned to a machine that has not asked yet, and is then
+/// claimed once more, under a higher generation.
+#[test]
+fn a_start_assigned_before_a_back_off_leaves_with_the_generation_of_the_new_claim() {
+    let now = Instant::now();
+    let after_ms = |ms: u64| now + Duration::from_millis(ms);
+    let mut scheduler = scheduler(1);
+    for machine in ["host-1", "host-2"] {
+        scheduler.on_heartbeat(&heartbeat_from(machine, 1, Vec::new()), true, now);
+        scheduler.on_machine_record_written(machine, true);
+    }
+    scheduler.on_job_claimed(job_record(8, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.run_placement_pass(now);
+    scheduler.on_heartbeat(&heartbeat_from("host-1", 2, Vec::new()), true, now);
+    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
+        panic!("no start: {orders:?}");
+    };
+    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
+    let refused = TaskStatus { task, ..status };
+    scheduler.on_heartbeat(&heartbeat_from("host-1", 3, vec![refused]), true, after_ms(100));
+    scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, after_ms(2000));
+    let while_backing_off = scheduler.orders("host-2", 1, 2, true, after_ms(2000));
+    assert!(while_backing_off.is_empty(), "{while_backing_off:?}");
+    scheduler.tick(after_ms(3200));
+    assert_eq!(scheduler.jobs_to_reclaim().len(), 1);
+    let reclaimed = job_record(8, 2);
+    scheduler.on_job_claimed(reclaimed, TaskSet::default(), 6, Duration::ZERO, after_ms(3300));
+    scheduler.on_heartbeat(&heartbeat_from("host-2", 3, Vec::new()), true, after_ms(4000));
+    for order in scheduler.orders("host-2", 1, 3, true, after_ms(4000)) {
+        let Order::Start { attempt, .. } = order else { panic!("no start: {order:?}") };
+        assert_eq!(AttemptNumber::from(attempt).generation(), 2);
+    }
+}
