--- a/crates/cloud/src/lib.rs
+++ b/crates/cloud/src/lib.rs
@@ -3,7 +3,6 @@
 //! Architecture invariant: this crate decides nothing; it makes one request at a time for its
 //! caller and repeats none.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod client;
 mod error;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,7 +4,6 @@
 //! Architecture invariant: this crate opens no connection, reads no clock and starts no thread.
 //! The same calls with the same times and seed give the same answers.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod cluster;
 mod config;
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -12,7 +12,6 @@
 //! - `routes`: which component answers which request;
 //! - `node`: builds the components and starts their loops.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod clock;
 mod environment;
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -4,7 +4,6 @@
 //! Architecture invariant: this crate knows the protocol (`corkfield-wire`, `corkfield-http`) and
 //! nothing of the controllers that are tested with it.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod cloud;
 mod history;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,7 +3,6 @@
 //! Architecture invariant: this crate knows nothing of corkfield's messages, and opens connections
 //! only through [`Network`], which tests replace by one in memory.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod client;
 mod message;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -3,7 +3,6 @@
 //! Architecture invariant: every request of a controller to the state service passes a
 //! [`RateLimiter`], so that lease renewals never wait behind anything else.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod client;
 mod error;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,7 +6,6 @@
 //!
 //! Architecture invariant: this crate depends on no other of the project, and does no I/O.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod cloud;
 mod job_id;
