--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -2,20 +2,14 @@
 //! and machine types.
 
 use crate::config::Config;
+use crate::estimate_correction::EstimateCorrections;
 use crate::job::Job;
 use crate::machine::{Machine, MachineState};
 use crate::team::{within_guarantee, Usage};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Team;
 use corkfield_wire::JobId;
-use std::collections::{BTreeMap, HashMap};
-
-/// Completed tasks of a class from which its estimates are corrected.
-const MIN_CORRECTION_SAMPLES: u32 = 3;
-
-/// The bounds of a correction: a few odd run times must not turn the order of jobs around.
-const MIN_RUN_TIME_CORRECTION: f64 = 0.1;
-const MAX_RUN_TIME_CORRECTION: f64 = 10.0;
+use std::collections::BTreeMap;
 
 /// Jobs, machines and machine types, as known to one scheduler.
 pub(crate) struct Cluster {
@@ -26,8 +20,8 @@
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Known machines, by name.
     pub(crate) machines: BTreeMap<String, Machine>,
-    /// Run time seen against the owners' estimates, by class: count and sum of ratios.
-    pub(crate) run_time_corrections: HashMap<String, (u32, f64)>,
+    /// Run times seen against the owners' estimates.
+    pub(crate) estimate_corrections: EstimateCorrections,
 }
 
 impl Cluster {
@@ -38,7 +32,7 @@
             machine_types: Vec::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            run_time_corrections: HashMap::new(),
+            estimate_corrections: EstimateCorrections::default(),
         }
     }
 
@@ -66,18 +60,7 @@
 
     /// The expected run time in seconds of a task of the job.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
-        job.expected_run_s(self.run_time_correction(&job.spec().class))
-    }
-
-    /// The factor by which estimates of a class were wrong on average; 1 while too few are known.
-    pub(crate) fn run_time_correction(&self, class: &str) -> f64 {
-        match self.run_time_corrections.get(class) {
-            Some((count, sum)) if *count >= MIN_CORRECTION_SAMPLES => {
-                let mean = sum / f64::from(*count);
-                mean.clamp(MIN_RUN_TIME_CORRECTION, MAX_RUN_TIME_CORRECTION)
-            }
-            _ => 1.0,
-        }
+        job.expected_run_s(self.estimate_corrections.factor(&job.spec().class))
     }
 
     /// Takes a machine out of use: it gets no new work, and is returned once it is empty.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod cluster;
 mod config;
+mod estimate_correction;
 mod float_order;
 mod job;
 mod machine;
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -2,9 +2,9 @@
 
 use super::task_status::KnownTask;
 use super::Receipt;
+use crate::estimate_correction::EstimateCorrections;
 use crate::job::Job;
 use crate::machine::{Machine, MachineTaskState};
-use std::collections::HashMap;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
@@ -12,8 +12,6 @@
 const SLOWNESS_RATIO: RangeInclusive<f64> = 0.2..=10.0;
 /// Bounds of what one run time tells of its class's estimates.
 const ESTIMATE_RATIO: RangeInclusive<f64> = 0.05..=20.0;
-/// From so many samples of a class on, earlier ones count half as much.
-const MAX_CORRECTION_SAMPLES: u32 = 200;
 
 /// Run time of a task that has just completed.
 pub(super) struct RunTime {
@@ -38,7 +36,7 @@
     /// Takes it into the figures of the job, the machine, and the class's estimates.
     pub(super) fn note(
         &self,
-        corrections: &mut HashMap<String, (u32, f64)>,
+        corrections: &mut EstimateCorrections,
         job: &mut Job,
         machine: &mut Machine,
     ) {
@@ -53,7 +51,7 @@
         let estimate_s = job.spec().estimate_s;
         if estimate_s > 0.0 {
             let ratio = clamp(ran_s / estimate_s, &ESTIMATE_RATIO);
-            add_correction(corrections, &job.spec().class, ratio);
+            corrections.add(&job.spec().class, ratio);
         }
     }
 }
@@ -62,14 +60,3 @@
 fn clamp(ratio: f64, bounds: &RangeInclusive<f64>) -> f64 {
     ratio.clamp(*bounds.start(), *bounds.end())
 }
-
-/// A task of that class ran `ratio` times as long as its owner's estimate.
-fn add_correction(corrections: &mut HashMap<String, (u32, f64)>, class: &str, ratio: f64) {
-    let (count, sum) = corrections.entry(class.to_owned()).or_insert((0, 0.0));
-    if *count >= MAX_CORRECTION_SAMPLES {
-        *count /= 2;
-        *sum /= 2.0;
-    }
-    *count += 1;
-    *sum += ratio;
-}
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -82,7 +82,7 @@
     /// Takes what a heartbeat says of a task; true if that shows that a start was taken.
     pub(super) fn sync_task(&mut self, name: &str, status: &TaskStatus, receipt: &Receipt) -> bool {
         let key = TaskAttempt { task: status.task.clone(), attempt: status.attempt };
-        let Cluster { jobs, machines, run_time_corrections, .. } = &mut self.cluster;
+        let Cluster { jobs, machines, estimate_corrections, .. } = &mut self.cluster;
         let Some(machine) = machines.get_mut(name) else {
             return false;
         };
@@ -101,7 +101,7 @@
                 if job.finish(key.task.index) {
                     machine.health.note_completion();
                     if let Some(run) = receipt.run_time(known) {
-                        run.note(run_time_corrections, job, machine);
+                        run.note(estimate_corrections, job, machine);
                     }
                 }
             }
