--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,5 +19,6 @@
 pub use config::Config;
 pub use job::{AttemptNumber, Job, JobState, Placed};
 pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
+pub use scaling::RentalFailure;
 pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
 pub use team::{check_schedulable, Unschedulable};
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -43,7 +43,7 @@
 
 /// Why a rental brought no machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RentalFailure {
+pub enum RentalFailure {
     /// The cloud has no such machines at the moment.
     NoCapacity,
     /// It was refused for another reason, or given up without an answer.
@@ -137,21 +137,14 @@
 }
 
 impl Scheduler {
-    /// A rental was answered, or given up without an answer (`Err`; true if the cloud has no such
-    /// machines). Machines of a late answer turn up in the list and in heartbeats.
+    /// A rental was answered with the names of its machines, or brought none. Machines of a late
+    /// answer turn up in the list and in heartbeats.
     pub fn rental_answered(
         &mut self,
         request: &RentRequest,
-        outcome: Result<Vec<String>, bool>,
+        outcome: Result<Vec<String>, RentalFailure>,
         now: Instant,
     ) {
-        let outcome = outcome.map_err(|no_capacity| {
-            if no_capacity {
-                RentalFailure::NoCapacity
-            } else {
-                RentalFailure::Other
-            }
-        });
         self.scaling.rental_answered(&mut self.cluster, request, outcome, now);
     }
 
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -4,7 +4,7 @@
     active_task_count, active_tasks, heartbeat, job_record, scheduler, scheduler_with_start_sent,
     second_job_id, task_status,
 };
-use corkfield_core::{Action, Scheduler, Verdict};
+use corkfield_core::{Action, RentalFailure, Scheduler, Verdict};
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::TaskPhase;
@@ -125,7 +125,7 @@
     let soon = now + Duration::from_millis(200);
     scheduler.scale(soon);
     assert_eq!(on_demand_rentals(&mut scheduler), Vec::new());
-    scheduler.rental_answered(spot, Err(true), soon);
+    scheduler.rental_answered(spot, Err(RentalFailure::NoCapacity), soon);
     scheduler.scale(soon);
     assert!(!on_demand_rentals(&mut scheduler).is_empty(), "no spot machine is to be had");
 }
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -4,7 +4,7 @@
 use crate::worker::Worker;
 use crate::workload::{claimed_record, config, job_spec, machine_types, CLASSES};
 use crate::Cli;
-use corkfield_core::{Action, Scheduler, Verdict};
+use corkfield_core::{Action, RentalFailure, Scheduler, Verdict};
 use corkfield_wire::worker::{HeartbeatReply, Order, WorkerHeartbeat};
 use corkfield_wire::TaskSet;
 use rand::rngs::SmallRng;
@@ -163,7 +163,11 @@
                     }
                 }
                 Action::Rent(request) => {
-                    self.scheduler.rental_answered(&request, Err(true), now.instant);
+                    self.scheduler.rental_answered(
+                        &request,
+                        Err(RentalFailure::NoCapacity),
+                        now.instant,
+                    );
                 }
                 _ => {}
             }
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -4,6 +4,7 @@
 use crate::clock::now;
 use crate::environment::Environment;
 use corkfield_cloud::CloudError;
+use corkfield_core::RentalFailure;
 use corkfield_wire::cloud::{RentRequest, MAX_RENT};
 use std::time::{Duration, Instant};
 
@@ -21,32 +22,6 @@
 const RENTAL_TRIES: u32 = 4;
 const RENTAL_RETRY: Duration = Duration::from_millis(500);
 
-/// What came of a rental.
-enum RentalOutcome {
-    /// The names of the machines: as many as were asked for, or fewer.
-    Rented(Vec<String>),
-    /// No machine of that type, zone and kind is to be had.
-    NoCapacity,
-    /// It was refused, or had no answer. Machines of a late one turn up in the list and in reports.
-    Failed,
-}
-
-impl RentalOutcome {
-    /// Whether as many machines were to be had as were asked for.
-    fn fills(&self, request: &RentRequest) -> bool {
-        matches!(self, Self::Rented(machines) if machines.len() >= request.count as usize)
-    }
-
-    /// As the scheduler takes it: names, or whether the cloud had no capacity.
-    fn into_answer(self) -> Result<Vec<String>, bool> {
-        match self {
-            Self::Rented(machines) => Ok(machines),
-            Self::NoCapacity => Err(true),
-            Self::Failed => Err(false),
-        }
-    }
-}
-
 impl ActiveLeader {
     /// Lets the scheduler see time pass, and scale out or in.
     pub(super) async fn run_timers(&self) {
@@ -96,8 +71,8 @@
         let scaling_wanted = self.scaling_wanted.clone();
         tokio::task::spawn_local(async move {
             let outcome = rent(&context.env, &request).await;
-            let filled = outcome.fills(&request);
-            scheduler.borrow_mut().rental_answered(&request, outcome.into_answer(), now());
+            let filled = is_filled(&request, &outcome);
+            scheduler.borrow_mut().rental_answered(&request, outcome, now());
             if filled && request.count >= MAX_RENT {
                 scaling_wanted.notify_one();
             }
@@ -129,12 +104,17 @@
     moment.map_or(Duration::MAX, |moment| now().saturating_duration_since(moment))
 }
 
+/// Whether as many machines were to be had as were asked for.
+fn is_filled(request: &RentRequest, outcome: &Result<Vec<String>, RentalFailure>) -> bool {
+    outcome.as_ref().is_ok_and(|machines| machines.len() >= request.count as usize)
+}
+
 /// Sends a rental until it is answered, or has been tried often enough.
-async fn rent(env: &Environment, request: &RentRequest) -> RentalOutcome {
+async fn rent(env: &Environment, request: &RentRequest) -> Result<Vec<String>, RentalFailure> {
     for _ in 0..RENTAL_TRIES {
         match env.cloud.rent(request).await {
-            Ok(machines) => return RentalOutcome::Rented(machines),
-            Err(CloudError::NoCapacity) => return RentalOutcome::NoCapacity,
+            Ok(machines) => return Ok(machines),
+            Err(CloudError::NoCapacity) => return Err(RentalFailure::NoCapacity),
             Err(CloudError::NoAnswer(error)) => {
                 // The same name again gets the same machines, if it was carried out.
                 tracing::debug!(%error, request = %request.request, "rental not answered");
@@ -142,9 +122,9 @@
             }
             Err(error) => {
                 tracing::debug!(%error, request = %request.request, "rental refused");
-                return RentalOutcome::Failed;
+                return Err(RentalFailure::Other);
             }
         }
     }
-    RentalOutcome::Failed
+    Err(RentalFailure::Other)
 }
