--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -1,5 +1,6 @@
 //! The lease of a worker, as far as this controller can know it.
 
+use corkfield_wire::Term;
 use std::time::{Duration, Instant};
 
 /// When a worker's lease can have been renewed last, and whether it has expired since (S5, S6).
@@ -12,7 +13,7 @@
     /// The same before the newest answer, in case that one was not received.
     answered_before: Instant,
     /// The term of the newest answer.
-    answered_term: u64,
+    answered_term: Term,
     /// It has expired, and the worker has sent no fresh heartbeat since.
     expired: bool,
 }
@@ -20,7 +21,12 @@
 impl WorkerLease {
     /// A lease that may have been renewed at `now`, but not later.
     pub(super) fn new(now: Instant) -> Self {
-        Self { answered_at: now, answered_before: now, answered_term: 0, expired: false }
+        Self {
+            answered_at: now,
+            answered_before: now,
+            answered_term: Term::default(),
+            expired: false,
+        }
     }
 
     /// An earlier leader may have answered heartbeats until this moment (S6).
@@ -35,7 +41,7 @@
     }
 
     /// A heartbeat is answered with 200 under this term.
-    pub(crate) fn note_answer(&mut self, term: u64, now: Instant) {
+    pub(crate) fn note_answer(&mut self, term: Term, now: Instant) {
         self.answered_before = self.answered_at;
         self.answered_at = now;
         self.answered_term = term;
@@ -45,7 +51,7 @@
     /// it has taken the answer to the one before or given it up. So a lower term than that
     /// answer's shows that the answer was not taken, and renewed no lease: otherwise a machine
     /// that no answer reaches would hold up a failover for as long as its heartbeats come.
-    pub(super) fn note_heartbeat(&mut self, term: u64) {
+    pub(super) fn note_heartbeat(&mut self, term: Term) {
         if term < self.answered_term {
             self.answered_at = self.answered_before;
         }
--- a/crates/core/src/machine/messages.rs
+++ b/crates/core/src/machine/messages.rs
@@ -1,6 +1,7 @@
 //! The order of a worker's messages, and which of them are outdated (S10).
 
 use corkfield_wire::worker::WorkerHeartbeat;
+use corkfield_wire::Term;
 
 /// So many heartbeats with low numbers, each above the one before, and no others, are a reason
 /// to ask the worker whether it has restarted its numbering.
@@ -29,7 +30,7 @@
     /// Agent epochs up to this one are known to have ended.
     ended_agent_epochs: u64,
     /// The highest term that the messages have shown.
-    highest_term: u64,
+    highest_term: Term,
     /// The newest heartbeat of those that were outdated since the last accepted message.
     newest_outdated: MessageNumber,
     /// How many outdated heartbeats came in order since the last accepted message.
@@ -64,12 +65,12 @@
 
     /// Whether a message shows a lower term than an earlier one. The highest term that a worker
     /// has seen never falls, unless the worker has lost its state.
-    pub(crate) fn has_shown_higher_term(&self, term: u64) -> bool {
+    pub(crate) fn has_shown_higher_term(&self, term: Term) -> bool {
         term < self.highest_term
     }
 
     /// Takes a message that is not outdated.
-    pub(super) fn accept(&mut self, number: MessageNumber, term: u64) {
+    pub(super) fn accept(&mut self, number: MessageNumber, term: Term) {
         self.newest = number;
         self.highest_term = term;
         self.newest_outdated = MessageNumber::default();
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -22,7 +22,7 @@
 use corkfield_wire::cloud::{ListedMachine, MachineType};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
-use corkfield_wire::{JobSpec, TaskId};
+use corkfield_wire::{JobSpec, TaskId, Term};
 use health::MachineHealth;
 use image_cache::ImageCache;
 use lease::WorkerLease;
@@ -242,7 +242,7 @@
 
     /// S7: only what was sent after the worker took our term is fresh. A machine without a
     /// record was never given a task by anybody. Returns whether the machine is fenced now.
-    pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: u64) -> bool {
+    pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: Term) -> bool {
         let unused = self.recorded == Recorded::No && heartbeat.tasks.is_empty();
         self.fenced = self.fenced || unused || heartbeat.term == our_term;
         self.fenced
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -5,7 +5,7 @@
 use super::lease::WorkerLease;
 use super::messages::MessageHistory;
 use super::{MessageNumber, Reachability};
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, Term};
 use std::time::{Duration, Instant};
 
 const LEASE: Duration = Duration::from_secs(10);
@@ -22,7 +22,7 @@
 fn a_worker_lease_is_over_only_after_its_whole_length() {
     let now = Instant::now();
     let mut lease = WorkerLease::new(now);
-    lease.note_answer(1, now + seconds(5));
+    lease.note_answer(Term::new(1), now + seconds(5));
     assert!(!lease.is_over(now + seconds(15), LEASE));
     assert!(lease.is_over(now + seconds(16), LEASE));
     lease.expire();
@@ -36,25 +36,25 @@
 fn an_answer_that_was_not_taken_renews_no_lease() {
     let now = Instant::now();
     let mut lease = WorkerLease::new(now);
-    lease.note_answer(3, now + seconds(8));
+    lease.note_answer(Term::new(3), now + seconds(8));
     // The worker still shows an earlier term in its next heartbeat.
-    lease.note_heartbeat(2);
+    lease.note_heartbeat(Term::new(2));
     assert!(lease.is_over(now + seconds(11), LEASE));
-    lease.note_answer(3, now + seconds(8));
-    lease.note_heartbeat(3);
+    lease.note_answer(Term::new(3), now + seconds(8));
+    lease.note_heartbeat(Term::new(3));
     assert!(!lease.is_over(now + seconds(11), LEASE));
 }
 
 #[test]
 fn messages_count_in_order_and_never_from_an_ended_agent_epoch() {
     let mut messages = MessageHistory::default();
-    messages.accept(number(2, 7), 4);
+    messages.accept(number(2, 7), Term::new(4));
     assert!(messages.is_outdated(number(2, 7)));
     assert!(messages.is_outdated(number(1, 99)));
     assert!(!messages.is_outdated(number(2, 8)));
     assert!(!messages.is_outdated(number(3, 1)));
-    assert!(messages.has_shown_higher_term(3));
-    assert!(!messages.has_shown_higher_term(4));
+    assert!(messages.has_shown_higher_term(Term::new(3)));
+    assert!(!messages.has_shown_higher_term(Term::new(4)));
     messages.end_agent_epoch();
     assert!(messages.is_outdated(number(2, 8)));
     assert!(!messages.is_outdated(number(3, 1)));
@@ -63,13 +63,13 @@
 #[test]
 fn only_outdated_heartbeats_in_order_hint_at_a_restarted_numbering() {
     let mut messages = MessageHistory::default();
-    messages.accept(number(1, 50), 1);
+    messages.accept(number(1, 50), Term::new(1));
     messages.note_outdated_heartbeat(number(1, 2));
     messages.note_outdated_heartbeat(number(1, 1));
     assert!(!messages.numbering_may_have_restarted());
     messages.note_outdated_heartbeat(number(1, 3));
     assert!(messages.numbering_may_have_restarted());
-    messages.accept(number(1, 51), 1);
+    messages.accept(number(1, 51), Term::new(1));
     assert!(!messages.numbering_may_have_restarted());
 }
 
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -16,6 +16,7 @@
 use crate::machine::Machine;
 use crate::scheduler::{Action, Scheduler};
 use corkfield_wire::cloud::RentRequest;
+use corkfield_wire::Term;
 use demand::RecentDemand;
 use offers::{Offer, OfferBackoff};
 use scale_in::DrainReason;
@@ -53,7 +54,7 @@
 /// What scaling remembers of its rentals and of the demand.
 pub(crate) struct Scaling {
     /// The leader's first term, part of the names of its requests.
-    term: u64,
+    term: Term,
     requests_sent: u64,
     backoff: OfferBackoff,
     rentals_in_flight: RentalsInFlight,
@@ -62,7 +63,7 @@
 
 impl Scaling {
     /// Scaling under a term that nobody else ever holds.
-    pub(crate) fn new(term: u64) -> Self {
+    pub(crate) fn new(term: Term) -> Self {
         Self {
             term,
             requests_sent: 0,
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -8,6 +8,7 @@
 use crate::cluster::Cluster;
 use crate::machine::{Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
+use corkfield_wire::Term;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -23,7 +24,7 @@
     /// Older than what is known, or of a machine that is gone: no answer with 200.
     Stale,
     /// The worker has seen a higher term than ours.
-    HigherTerm(u64),
+    HigherTerm(Term),
 }
 
 /// What of a heartbeat matters to each task that it shows, or lacks.
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -29,7 +29,7 @@
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::scaling::Scaling;
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, Term};
 use gone_machines::GoneMachines;
 use machine_events::MachineEventLog;
 use rand::rngs::SmallRng;
@@ -44,7 +44,7 @@
     /// The view of jobs and machines that all parts share.
     pub(crate) cluster: Cluster,
     /// The term under which its orders travel.
-    term: u64,
+    term: Term,
     /// Machines that are gone.
     gone: GoneMachines,
     /// Unfinished jobs that are not claimed yet: their tasks are neither stopped nor forgotten.
@@ -69,7 +69,7 @@
 
 impl Scheduler {
     /// A leader without jobs and machines, under a term that nobody else ever holds.
-    pub fn new(config: Config, term: u64, seed: u64) -> Self {
+    pub fn new(config: Config, term: Term, seed: u64) -> Self {
         Self {
             cluster: Cluster::new(config),
             term,
@@ -87,12 +87,12 @@
     }
 
     /// The term under which its orders travel.
-    pub fn term(&self) -> u64 {
+    pub fn term(&self) -> Term {
         self.term
     }
 
     /// Takes a higher term after a worker showed one that is higher than ours.
-    pub fn raise_term(&mut self, term: u64) {
+    pub fn raise_term(&mut self, term: Term) {
         self.term = self.term.max(term);
     }
 
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{JobId, TaskSet};
+use corkfield_wire::{JobId, TaskSet, Term};
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
@@ -122,7 +122,7 @@
     for (limit, placed) in [(11.0, 3), (8.0, 0), (100.0, 4)] {
         let mut config = config();
         config.teams[0].cpus_max = limit;
-        let mut scheduler = Scheduler::new(config, 7, 1);
+        let mut scheduler = Scheduler::new(config, Term::new(7), 1);
         scheduler.set_types(vec![machine_type()]);
         let machine = machine_record();
         // Two of four CPUs each are silent, one has shown that it is empty.
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -7,7 +7,7 @@
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{JobId, Priority, TaskId, TaskSet};
+use corkfield_wire::{JobId, Priority, TaskId, TaskSet, Term};
 use std::time::{Duration, Instant};
 
 /// Carries out an order at once on a machine without limits; true if it started a task.
@@ -42,7 +42,7 @@
     let mut config = config();
     let with_quota = Team { name: "g".into(), cpus: 3.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     config.teams.push(with_quota);
-    let mut scheduler = Scheduler::new(config, 1, 1);
+    let mut scheduler = Scheduler::new(config, Term::new(1), 1);
     scheduler.set_types(vec![machine_type()]);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
     scheduler.on_machine_record_written("host-1", true);
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -6,7 +6,7 @@
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{JobId, JobSpec, Priority, TaskId, TaskSet};
+use corkfield_wire::{JobId, JobSpec, Priority, TaskId, TaskSet, Term};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -53,7 +53,7 @@
 
 /// A scheduler under a term, without machines and jobs.
 pub fn scheduler(term: u64) -> Scheduler {
-    let mut scheduler = Scheduler::new(config(), term, 1);
+    let mut scheduler = Scheduler::new(config(), Term::new(term), 1);
     scheduler.set_types(vec![machine_type()]);
     scheduler
 }
@@ -96,7 +96,7 @@
         spot: false,
         agent_epoch: 1,
         sequence,
-        term,
+        term: Term::new(term),
         notice_s: None,
         tasks,
     }
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -6,7 +6,7 @@
 use crate::Cli;
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::worker::{HeartbeatReply, Order, WorkerHeartbeat};
-use corkfield_wire::TaskSet;
+use corkfield_wire::{TaskSet, Term};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 const MAX_COMPLETION_COMMITS: usize = 40;
 /// How much work waits at first, in seconds of all machines.
 const INITIAL_BACKLOG_S: f64 = 10.0;
-const TERM: u64 = 1;
+const TERM: Term = Term::new(1);
 
 /// What happened to jobs and tasks.
 #[derive(Default)]
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -3,7 +3,7 @@
 use crate::workload::{mean_run_s, SIZES};
 use crate::Cli;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::TaskId;
+use corkfield_wire::{TaskId, Term};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     size: usize,
     zone: String,
     sequence: u64,
-    term: u64,
+    term: Term,
     tasks: BTreeMap<TaskId, Task>,
     /// The next heartbeat without changes.
     heartbeat_due_s: f64,
@@ -48,7 +48,7 @@
                 size: SIZE_PATTERN[number % SIZE_PATTERN.len()],
                 zone: if number % 2 == 0 { "north" } else { "south" }.to_owned(),
                 sequence: 0,
-                term: 1,
+                term: Term::new(1),
                 tasks: BTreeMap::new(),
                 heartbeat_due_s: rng.random_range(0.0..cli.report_s),
                 earliest_heartbeat_s: 0.0,
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -8,6 +8,7 @@
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
+use corkfield_wire::Term;
 use std::time::Duration;
 
 /// Other controllers leave the named successor this long to take over.
@@ -22,7 +23,7 @@
     /// Version of the leader record as it was claimed.
     pub(super) record_version: u64,
     /// A term that nobody else ever holds.
-    pub(super) term: u64,
+    pub(super) term: Term,
 }
 
 /// What a claim of the leader record rests on.
@@ -51,8 +52,8 @@
     let Candidacy { membership, previous, conditions } = candidacy(context)?;
     context.leadership.enter(LeadershipState::Electing);
     give_precedence(context, previous.as_ref()).await;
-    let previous_term = previous.map_or(0, |record| record.term);
-    let term = previous_term.max(context.leadership.highest_seen_term()) + 1;
+    let previous_term = previous.map_or(Term::default(), |record| record.term);
+    let term = previous_term.max(context.leadership.highest_seen_term()).next();
     let record = LeaderRecord {
         node: Some(context.env.name.clone()),
         incarnation: membership.incarnation.clone(),
@@ -63,7 +64,7 @@
     match context.env.state.transaction(RequestClass::Claim, &transaction).await {
         Ok(record_version) => Some(Elected { membership, record_version, term }),
         Err(error) => {
-            tracing::debug!(term, %error, "claim of the leader record failed");
+            tracing::debug!(term = term.get(), %error, "claim of the leader record failed");
             context.leadership.enter(LeadershipState::Standby);
             None
         }
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -3,7 +3,7 @@
 
 fn record(node: Option<&str>, incarnation: &str) -> LeaderRecord {
     let incarnation = incarnation.to_owned();
-    LeaderRecord { node: node.map(str::to_owned), incarnation, term: 5, successor: None }
+    LeaderRecord { node: node.map(str::to_owned), incarnation, term: Term::new(5), successor: None }
 }
 
 /// The condition that a claim gets from the holder; `None` if there can be no claim.
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -6,6 +6,7 @@
 use crate::clock::now;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
+use corkfield_wire::Term;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -81,12 +82,12 @@
             if seen <= term {
                 self.context.env.timers.tick(IDLE_INTERVAL).await;
             } else {
-                self.raise_term_to(seen + 1).await;
+                self.raise_term_to(seen.next()).await;
             }
         }
     }
 
-    async fn raise_term_to(&self, term: u64) {
+    async fn raise_term_to(&self, term: Term) {
         let record = LeaderRecord {
             node: Some(self.context.env.name.clone()),
             incarnation: self.claim.membership.incarnation.clone(),
@@ -100,7 +101,7 @@
                 self.scheduler.borrow_mut().raise_term(term);
             }
             Err(error) => {
-                tracing::debug!(term, %error, "can't raise the term");
+                tracing::debug!(term = term.get(), %error, "can't raise the term");
                 tokio::time::sleep(RAISE_TERM_RETRY).await;
             }
         }
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -96,7 +96,7 @@
 /// Leads until the lease or the place is lost.
 async fn lead(context: &Rc<LeadershipContext>, elected: Elected) {
     let term = elected.term;
-    tracing::info!(term, "leadership acquired");
+    tracing::info!(term = term.get(), "leadership acquired");
     context.env.state.set_budget(LEADER_BUDGET);
     let leader = ActiveLeader::new(context.clone(), elected);
     let end = tokio::select! {
@@ -104,5 +104,5 @@
         () = leader.until_handed_over() => LeadershipEnd::HandedOver,
         () = leader.run() => LeadershipEnd::Replaced,
     };
-    tracing::info!(term, ?end, "leadership ended");
+    tracing::info!(term = term.get(), ?end, "leadership ended");
 }
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -7,6 +7,7 @@
 use crate::responses::json;
 use corkfield_core::Scheduler;
 use corkfield_http::Response;
+use corkfield_wire::Term;
 use serde::Serialize;
 
 /// What every controller shows. Keys of earlier releases go on beside those that replace them.
@@ -32,7 +33,7 @@
 /// What the leader shows besides.
 #[derive(Serialize)]
 struct LeaderOverview {
-    term: u64,
+    term: Term,
     jobs: usize,
     passes: u64,
     steps: u64,
--- a/crates/corkfield/src/leadership/overview/tests.rs
+++ b/crates/corkfield/src/leadership/overview/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn earlier_keys_go_on_beside_those_that_replace_them() {
     let leading = LeaderOverview {
-        term: 4,
+        term: Term::new(4),
         jobs: 1,
         passes: 2,
         steps: 3,
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared.rs
@@ -8,7 +8,7 @@
 use crate::replica::{ReplicaContents, StoreReplica};
 use crate::session_lease::SessionLease;
 use corkfield_wire::records::{JobRecord, TransferRequest};
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
     pub(super) pass_wanted: Notify,
     /// A placement pass has ended.
     pub(super) pass_done: Notify,
-    highest_seen_term: Cell<u64>,
+    highest_seen_term: Cell<Term>,
     /// Workers that came here although their leader was known, since the process began.
     stray_workers: Cell<u64>,
     transfer_wanted: Cell<bool>,
@@ -95,7 +95,7 @@
     }
 
     /// The term under which this controller leads.
-    pub fn term(&self) -> Option<u64> {
+    pub fn term(&self) -> Option<Term> {
         Some(self.scheduler()?.borrow().term())
     }
 
@@ -186,12 +186,12 @@
     }
 
     /// A worker has seen a term above ours: the next one has to lie above it.
-    pub fn note_higher_term(&self, term: u64) {
+    pub fn note_higher_term(&self, term: Term) {
         self.highest_seen_term.set(self.highest_seen_term.get().max(term));
     }
 
     /// The highest term that a worker has shown, since the process began.
-    pub(super) fn highest_seen_term(&self) -> u64 {
+    pub(super) fn highest_seen_term(&self) -> Term {
         self.highest_seen_term.get()
     }
 
--- a/crates/corkfield/src/leadership/shared/tests.rs
+++ b/crates/corkfield/src/leadership/shared/tests.rs
@@ -21,7 +21,7 @@
         placement_sample: 64,
         idle_keep: Duration::from_secs(60),
     };
-    let scheduler = Rc::new(RefCell::new(Scheduler::new(config, term, 1)));
+    let scheduler = Rc::new(RefCell::new(Scheduler::new(config, Term::new(term), 1)));
     LeadershipState::leading(claim("a-1"), scheduler)
 }
 
@@ -41,7 +41,7 @@
     assert_eq!(seen(), (true, false, None));
     assert_eq!(leadership.time_since_heartbeat(), None);
     leadership.enter(leading(3));
-    assert_eq!(seen(), (true, true, Some(3)));
+    assert_eq!(seen(), (true, true, Some(Term::new(3))));
     assert!(leadership.time_since_heartbeat().is_some());
     leadership.enter(LeadershipState::Standby);
     assert_eq!(seen(), (false, false, None));
@@ -58,7 +58,7 @@
         [("b-1", 49, false), ("b-1", 51, true), ("a-1", 51, false)]
     {
         let incarnation = incarnation.to_owned();
-        let record = LeaderRecord { node: None, incarnation, term: 4, successor: None };
+        let record = LeaderRecord { node: None, incarnation, term: Term::new(4), successor: None };
         contents.leader = Some((record, version));
         assert_eq!(leadership.is_replaced(&contents), replaced, "{:?}", contents.leader);
     }
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -10,6 +10,7 @@
 use crate::session_lease::SessionLease;
 use corkfield_http::{Response, Stream};
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
+use corkfield_wire::Term;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -98,7 +99,7 @@
             leading: self.leadership.is_leading(),
             store_answers: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
             leader: leader.and_then(|record| record.node.clone()),
-            term: leader.map_or(0, |record| record.term),
+            term: leader.map_or(Term::default(), |record| record.term),
         }
     }
 
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use corkfield_wire::peer::PeerHeartbeat;
+use corkfield_wire::Term;
 
 #[tokio::test(start_paused = true)]
 async fn a_relayed_heartbeat_brings_the_answer_with_its_number() {
@@ -52,7 +53,7 @@
         leading,
         store_answers: true,
         leader: None,
-        term: 1,
+        term: Term::new(1),
     };
     let _queues = ["leads", "recorded", "standby"].map(|peer| links.opened(peer));
     peers.record(heartbeat("leads", true), None);
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -4,6 +4,7 @@
 use crate::clock::now;
 use corkfield_wire::peer::PeerHeartbeat;
 use corkfield_wire::settings::Platform;
+use corkfield_wire::Term;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -108,7 +109,7 @@
     pub fn attestation_age(
         &self,
         platform: &Platform,
-        term: u64,
+        term: Term,
         proven_at: Instant,
     ) -> Option<Duration> {
         if platform.peers.len() + 1 < platform.params.size as usize {
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -17,7 +17,7 @@
         leading: false,
         store_answers: false,
         leader: None,
-        term: 5,
+        term: Term::new(5),
     }
 }
 
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -14,7 +14,7 @@
 };
 use corkfield_http::Client;
 use corkfield_wire::records::{job_key, JobRecord, LeaderRecord, LEADER_KEY};
-use corkfield_wire::{JobId, JobSpec, TaskId};
+use corkfield_wire::{JobId, JobSpec, TaskId, Term};
 use settings::{
     client_addr, cloud_addr, controller_settings, machine_type, store_addr, worker_template,
     SMALL_GRANTS,
@@ -49,7 +49,7 @@
     /// Its index among [`CONTROLLERS`].
     pub controller: usize,
     /// The term of its claim.
-    pub term: u64,
+    pub term: Term,
 }
 
 /// The whole deployment.
--- a/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::{job_spec, scenario, sleep_s, Cluster, CONTROLLERS, LEASE_S};
 use corkfield_wire::worker::PATH_HEARTBEAT;
-use corkfield_wire::JobSpec;
+use corkfield_wire::{JobSpec, Term};
 use std::rc::Rc;
 
 #[test]
@@ -73,7 +73,8 @@
                             sent[first..].to_vec()
                         })
                         .collect();
-                    let term = cluster.elected_leader().map_or(0, |leader| leader.term);
+                    let term =
+                        cluster.elected_leader().map_or(Term::default(), |leader| leader.term);
                     cluster.restart(cluster.leader(), 0.1).await;
                     while cluster.elected_leader().is_none_or(|leader| leader.term == term) {
                         sleep_s(0.05).await;
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -8,7 +8,7 @@
 use corkfield_fakes::Fault;
 use corkfield_wire::records::job_key;
 use corkfield_wire::user::PATH_READY;
-use corkfield_wire::{JobSpec, JobStatus, Priority};
+use corkfield_wire::{JobSpec, JobStatus, Priority, Term};
 use std::cell::Cell;
 
 #[test]
@@ -16,7 +16,7 @@
     scenario(1, |cluster| async move {
         assert_eq!(
             cluster.elected_leader().expect("there is a leader").term,
-            1,
+            Term::new(1),
             "one claim, one term"
         );
         let job = job_spec(1, 4);
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::{now, sleep};
 use corkfield_http::Network;
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::TaskId;
+use corkfield_wire::{TaskId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
     agent_epoch: u64,
     sequence: u64,
     /// The highest term it has seen.
-    term: u64,
+    term: Term,
     /// When its lease was renewed: the moment it sent the heartbeat that was answered last.
     renewed: Instant,
     tasks: BTreeMap<TaskId, Task>,
@@ -72,7 +72,7 @@
         Self {
             agent_epoch: 1,
             sequence: 0,
-            term: 0,
+            term: Term::default(),
             renewed: now(),
             tasks: BTreeMap::new(),
             notice_s: None,
@@ -161,7 +161,7 @@
     pub fn restart(&self) {
         self.drop_tasks();
         let mut state = self.state.borrow_mut();
-        (state.agent_epoch, state.sequence, state.term) = (1, 0, 0);
+        (state.agent_epoch, state.sequence, state.term) = (1, 0, Term::default());
         state.renewed = now();
         self.changed.notify_one();
     }
--- /dev/null
+++ b/crates/wire/src/ids.rs
@@ -0,0 +1,50 @@
+//! Numbers and names that tell things of one kind apart, each with a type of its own, so that
+//! none is taken for another. On the wire and in stored records they are what they wrap.
+
+use borsh::{BorshDeserialize, BorshSerialize};
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// Defines the type of a number: how it is made, read, compared, written and shown.
+macro_rules! number {
+    ($(#[$attribute:meta])* $name:ident) => {
+        $(#[$attribute])*
+        #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        #[derive(Serialize, Deserialize)]
+        #[serde(transparent)]
+        pub struct $name(u64);
+
+        impl $name {
+            /// Takes the bare number.
+            pub const fn new(number: u64) -> Self {
+                Self(number)
+            }
+
+            /// The bare number.
+            pub const fn get(self) -> u64 {
+                self.0
+            }
+        }
+
+        impl fmt::Display for $name {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                self.0.fmt(f)
+            }
+        }
+    };
+}
+
+number! {
+    /// The term of a leader: raised by every claim of the leader record, so no two leaders share
+    /// one. The fencing token of workers. 0 is before the first.
+    #[derive(BorshSerialize, BorshDeserialize)]
+    Term
+}
+
+impl Term {
+    /// The term after this one.
+    #[must_use]
+    pub const fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -9,6 +9,7 @@
 #![warn(missing_docs)]
 
 pub mod cloud;
+pub mod ids;
 mod job_id;
 pub mod peer;
 pub mod records;
@@ -19,6 +20,7 @@
 pub mod user;
 pub mod worker;
 
+pub use ids::Term;
 pub use job_id::JobId;
 pub use task_set::TaskSet;
 pub use user::{JobSpec, JobStatus, Priority};
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,5 +1,6 @@
 //! What controllers say to one another: borsh, each frame led by its length and a version.
 
+use crate::ids::Term;
 use borsh::{BorshDeserialize, BorshSerialize};
 
 /// Version of the frames; others are refused.
@@ -33,7 +34,7 @@
     /// The leader that it knows of.
     pub leader: Option<String>,
     /// That leader's term; 0 without one.
-    pub term: u64,
+    pub term: Term,
 }
 
 /// A message between controllers. The order of the variants is part of the format.
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -19,6 +19,7 @@
 };
 
 use crate::cloud::MachineType;
+use crate::ids::Term;
 use serde::{Deserialize, Serialize};
 
 /// A controller's membership of the cluster; its key is attached to the controller's lease.
@@ -38,7 +39,7 @@
     /// The incarnation under which the record was claimed.
     pub incarnation: String,
     /// Raised by every claim of the record, so no two leaders share one. Workers' fencing token.
-    pub term: u64,
+    pub term: Term,
     /// The node that should take over, after a hand-over.
     #[serde(default)]
     pub successor: Option<String>,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,5 +1,6 @@
 //! What workers send, and the orders they take.
 
+use crate::ids::Term;
 use crate::job_id::JobId;
 use crate::text::ParsedText;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -136,7 +137,7 @@
     pub sequence: u64,
     /// The highest term that the worker has seen (`epoch`); it drops orders of lower ones.
     #[serde(rename = "epoch", default)]
-    pub term: u64,
+    pub term: Term,
     /// Seconds until the cloud takes the machine away; none without such a notice.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
@@ -191,7 +192,7 @@
 pub struct HeartbeatReply {
     /// The leader's term (`epoch`); the worker drops an answer with a lower one than it has seen.
     #[serde(rename = "epoch")]
-    pub term: u64,
+    pub term: Term,
     /// Carried out in this order.
     pub orders: Vec<Order>,
 }
@@ -210,7 +211,7 @@
 pub struct DirectOrders {
     /// The leader's term.
     #[serde(rename = "epoch")]
-    pub term: u64,
+    pub term: Term,
     /// The agent epoch of the worker that they are meant for.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -2,6 +2,7 @@
 //! bytes are those that the version at commit 2b8fbd7 wrote.
 
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
+use corkfield_wire::Term;
 
 fn heartbeat() -> PeerHeartbeat {
     PeerHeartbeat {
@@ -15,7 +16,7 @@
         leading: false,
         store_answers: true,
         leader: Some("worker-1".to_owned()),
-        term: 41,
+        term: Term::new(41),
     }
 }
 
@@ -31,7 +32,7 @@
         leading: true,
         store_answers: false,
         leader: None,
-        term: 0,
+        term: Term::new(0),
     }
 }
 
--- a/crates/wire/tests/stored_records.rs
+++ b/crates/wire/tests/stored_records.rs
@@ -4,7 +4,7 @@
 
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::*;
-use corkfield_wire::{JobId, JobSpec, JobStatus, TaskSet};
+use corkfield_wire::{JobId, JobSpec, JobStatus, TaskSet, Term};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -146,7 +146,7 @@
     let leader = LeaderRecord {
         node: Some("worker-2".to_owned()),
         incarnation: "worker-2.1".to_owned(),
-        term: 41,
+        term: Term::new(41),
         successor: None,
     };
     assert_stored_as(&leader, fixture!("leader"));
