--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -1,6 +1,5 @@
 //! A claimed job: which of its tasks wait, are placed, are finished, are stored.
 
-mod attempt;
 mod commit;
 mod completion;
 mod failures;
@@ -10,7 +9,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use attempt::AttemptNumber;
 pub use state::JobState;
 
 pub(crate) use commit::CommitUrgency;
@@ -20,7 +18,7 @@
 use crate::team::Usage;
 use completion::Completion;
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{JobSpec, Priority, TaskSet};
+use corkfield_wire::{Attempt, JobSpec, Priority, TaskSet};
 use start_queue::{StartQueue, StartView};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -38,7 +36,7 @@
     /// Its machine.
     pub machine: String,
     /// The attempt under which it was started.
-    pub attempt: u64,
+    pub attempt: Attempt,
 }
 
 /// A claimed job.
@@ -249,13 +247,13 @@
     }
 
     /// The task is, or is about to be, on that machine.
-    pub(crate) fn place(&mut self, index: u32, machine: &str, attempt: u64) {
+    pub(crate) fn place(&mut self, index: u32, machine: &str, attempt: Attempt) {
         self.active.insert(index, Placed { machine: machine.to_owned(), attempt });
     }
 
     /// That attempt is surely no longer on that machine. An earlier attempt that its worker
     /// only now forgets says nothing about a later one, even on the same machine.
-    pub(crate) fn release(&mut self, index: u32, machine: &str, attempt: u64) {
+    pub(crate) fn release(&mut self, index: u32, machine: &str, attempt: Attempt) {
         let same = |p: &Placed| p.machine == machine && p.attempt == attempt;
         if self.active.get(&index).is_some_and(same) {
             self.active.remove(&index);
@@ -266,9 +264,9 @@
     }
 
     /// The number of a new attempt.
-    pub(crate) fn next_attempt(&mut self) -> u64 {
+    pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.attempts += 1;
-        AttemptNumber::new(self.record.generation, self.attempts).get()
+        Attempt::in_generation(self.record.generation, self.attempts)
     }
 
     /// A task was reported as done; true if that was not known.
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -1,8 +1,8 @@
 //! Attempt numbers, the order of starts, back-off and refunds of a job.
 
-use super::{AttemptNumber, CommitUrgency, Job, JobState};
+use super::{CommitUrgency, Job, JobState};
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{JobSpec, TaskSet};
+use corkfield_wire::{Attempt, JobSpec, TaskSet};
 use std::time::{Duration, Instant};
 
 fn record(tasks: u32) -> JobRecord {
@@ -23,9 +23,9 @@
 
 #[test]
 fn an_attempt_number_carries_its_generation() {
-    let attempt = AttemptNumber::new(7, 3);
+    let attempt = Attempt::in_generation(7, 3);
     assert_eq!(attempt.get(), (7 << 24) | 3);
-    assert_eq!(AttemptNumber::from(attempt.get()).generation(), 7);
+    assert_eq!(Attempt::new(attempt.get()).generation(), 7);
 }
 
 #[test]
@@ -44,11 +44,11 @@
 fn a_task_that_came_off_its_machine_is_started_before_new_ones() {
     let mut job = claimed_job(record(4), Instant::now());
     let first = job.take_waiting(false).expect("a waiting task");
-    job.place(first, "host-1", 1);
+    job.place(first, "host-1", Attempt::new(1));
     assert_eq!(job.startable(false), 3);
-    job.release(first, "host-1", 2);
+    job.release(first, "host-1", Attempt::new(2));
     assert_eq!(job.startable(false), 3, "another attempt says nothing about this one");
-    job.release(first, "host-1", 1);
+    job.release(first, "host-1", Attempt::new(1));
     assert_eq!(job.startable(false), 4);
     assert_eq!(job.take_waiting(false), Some(first));
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,7 +17,7 @@
 mod team;
 
 pub use config::Config;
-pub use job::{AttemptNumber, Job, JobState, Placed};
+pub use job::{Job, JobState, Placed};
 pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
 pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
 pub use team::{check_schedulable, Unschedulable};
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -22,7 +22,7 @@
 use corkfield_wire::cloud::{ListedMachine, MachineType};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
-use corkfield_wire::{JobSpec, TaskId, Term};
+use corkfield_wire::{Attempt, JobSpec, TaskId, Term};
 use health::MachineHealth;
 use image_cache::ImageCache;
 use lease::WorkerLease;
@@ -312,7 +312,7 @@
     }
 
     /// Takes a task of the job that was chosen for it; no order has left yet.
-    pub(crate) fn assign(&mut self, task: TaskId, attempt: u64, job: &Job, now: Instant) {
+    pub(crate) fn assign(&mut self, task: TaskId, attempt: Attempt, job: &Job, now: Instant) {
         let spec = job.spec();
         let assigned = MachineTask::assigned(TaskDemand::per_task(spec, job.team), now);
         self.tasks.insert(TaskAttempt { task, attempt }, assigned);
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -2,7 +2,7 @@
 
 use super::Need;
 use crate::team::Usage;
-use corkfield_wire::{JobId, JobSpec, Priority, TaskId};
+use corkfield_wire::{Attempt, JobId, JobSpec, Priority, TaskId};
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
@@ -52,8 +52,8 @@
 pub struct TaskAttempt {
     /// The task.
     pub task: TaskId,
-    /// The attempt number; see [`crate::job::AttemptNumber`].
-    pub attempt: u64,
+    /// The number of the attempt.
+    pub attempt: Attempt,
 }
 
 /// What a task takes, and on whose account.
@@ -245,7 +245,10 @@
 impl MachineTasks {
     /// Whether any task of the job is, or may be, here.
     pub(crate) fn has_tasks_of(&self, job: &JobId) -> bool {
-        let first = TaskAttempt { task: TaskId { job: job.clone(), index: 0 }, attempt: 0 };
+        let first = TaskAttempt {
+            task: TaskId { job: job.clone(), index: 0 },
+            attempt: Attempt::default(),
+        };
         self.tasks.range(first..).next().is_some_and(|(key, _)| key.task.job == *job)
     }
 
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -22,7 +22,7 @@
                 tracing::debug!(
                     task = %status.task,
                     machine = name,
-                    attempt = status.attempt,
+                    attempt = status.attempt.get(),
                     "task failed"
                 );
                 self.on_task_failure(name, id, now);
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -44,7 +44,7 @@
         tracing::debug!(
             task = %task,
             machine = name,
-            attempt,
+            attempt = attempt.get(),
             state = ?machine_task.state,
             "task released"
         );
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -1,7 +1,7 @@
 //! Answers to heartbeats: which orders leave with them, and how long an answer may wait.
 
 use super::Scheduler;
-use crate::job::{AttemptNumber, Job};
+use crate::job::Job;
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, MessageNumber};
 use corkfield_wire::worker::Order;
 use corkfield_wire::JobId;
@@ -116,13 +116,13 @@
             continue;
         };
         // The order's generation must be that of the job's record.
-        debug_assert_eq!(AttemptNumber::from(key.attempt).generation(), job.record.generation);
+        debug_assert_eq!(key.attempt.generation(), job.record.generation);
         let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
         machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
         tracing::debug!(
             task = %key.task,
             machine = machine.name,
-            attempt = key.attempt,
+            attempt = key.attempt.get(),
             agent_epoch,
             sequence,
             waited_ms,
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, MachineTaskState};
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{JobId, Priority, TaskId, TaskSet};
+use corkfield_wire::{Attempt, JobId, Priority, TaskId, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -42,7 +42,7 @@
         sequence += 1;
         let done = (first..first + 4000).step_by(2).map(|index| TaskStatus {
             task: TaskId { job: first_job_id(), index },
-            ..task_status(1 << 24, TaskPhase::Exited, Some(ExitCause::Done))
+            ..task_status(Attempt::new(1 << 24), TaskPhase::Exited, Some(ExitCause::Done))
         });
         scheduler.on_heartbeat(&heartbeat(sequence, 1, done.collect()), true, now);
         loop {
@@ -74,7 +74,7 @@
     let last = JobId::parse("j-000050").expect("an id");
     let done = |number: usize| TaskStatus {
         task: TaskId { job: JobId::parse(&format!("j-{number:06}")).expect("an id"), index: 0 },
-        ..task_status(1 << 24, TaskPhase::Exited, Some(ExitCause::Done))
+        ..task_status(Attempt::new(1 << 24), TaskPhase::Exited, Some(ExitCause::Done))
     };
     let reported = (1..=50).map(done).collect();
     scheduler.on_heartbeat(&heartbeat_from("host-0", 2, reported), true, start);
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{JobId, TaskSet, Term};
+use corkfield_wire::{Attempt, JobId, TaskSet, Term};
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
     scheduler.run_placement_pass(now);
     assert!(!scheduler.is_reconciled(), "S7");
     assert!(active_tasks(&scheduler).is_empty());
-    let running = task_status((1 << 24) | 1, TaskPhase::Running, None);
+    let running = task_status(Attempt::new((1 << 24) | 1), TaskPhase::Running, None);
     scheduler.on_heartbeat(&heartbeat(9, 7, vec![running]), false, now);
     assert!(scheduler.is_reconciled());
     assert_eq!(active_task_count(&scheduler), 1, "taken up where it runs");
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -7,7 +7,7 @@
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{JobId, Priority, TaskId, TaskSet, Term};
+use corkfield_wire::{Attempt, JobId, Priority, TaskId, TaskSet, Term};
 use std::time::{Duration, Instant};
 
 /// Carries out an order at once on a machine without limits; true if it started a task.
@@ -32,7 +32,7 @@
     false
 }
 
-fn running_status(task: TaskId, attempt: u64) -> TaskStatus {
+fn running_status(task: TaskId, attempt: Attempt) -> TaskStatus {
     TaskStatus { task, attempt, phase: TaskPhase::Running, cause: None, saved: None }
 }
 
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, WorkerHeartbeat};
-use corkfield_wire::TaskSet;
+use corkfield_wire::{Attempt, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -140,7 +140,7 @@
 fn tasks_of_finished_jobs_are_stopped_and_those_of_unclaimed_jobs_are_not() {
     let now = Instant::now();
     let mut scheduler = scheduler(1);
-    let running = task_status(9, TaskPhase::Running, None);
+    let running = task_status(Attempt::new(9), TaskPhase::Running, None);
     scheduler.set_unclaimed([first_job_id()].into());
     scheduler.on_heartbeat(&heartbeat(1, 1, vec![running.clone()]), true, now);
     assert!(scheduler.orders("host-1", 1, 1, true, now).is_empty());
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -6,7 +6,7 @@
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{JobId, JobSpec, Priority, TaskId, TaskSet, Term};
+use corkfield_wire::{Attempt, JobId, JobSpec, Priority, TaskId, TaskSet, Term};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -108,14 +108,14 @@
 }
 
 /// What a worker says of the first task of the first job.
-pub fn task_status(attempt: u64, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
+pub fn task_status(attempt: Attempt, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
     let task = TaskId { job: first_job_id(), index: 0 };
     TaskStatus { task, attempt, phase, cause, saved: None }
 }
 
 /// A scheduler that has just sent the start of the only task in the reply to heartbeat 2, and the
 /// attempt of that start.
-pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, u64) {
+pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, Attempt) {
     let mut scheduler = scheduler(1);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now), Verdict::Accept);
     scheduler.on_machine_record_written("host-1", true);
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -3,7 +3,7 @@
 use crate::workload::{mean_run_s, SIZES};
 use crate::Cli;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{TaskId, Term};
+use corkfield_wire::{Attempt, TaskId, Term};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 const SIZE_PATTERN: [usize; 8] = [0, 0, 1, 0, 2, 0, 1, 0];
 
 struct Task {
-    attempt: u64,
+    attempt: Attempt,
     phase: TaskPhase,
     cause: Option<ExitCause>,
     /// When its present phase ends.
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -12,7 +12,7 @@
 use crate::replica::StoreReplica;
 use crate::responses::{error, json, retry_later};
 use crate::session_lease::SessionLease;
-use corkfield_core::{AttemptNumber, Scheduler, Verdict};
+use corkfield_core::{Scheduler, Verdict};
 use corkfield_http::{Connections, Response};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
 use redirects::Route;
@@ -101,9 +101,7 @@
         reply.orders.retain(|order| match order {
             Order::Start { task, attempt } => {
                 let record = contents.jobs.get(&task.job).map(|(record, _)| record);
-                record.is_some_and(|record| {
-                    record.generation == AttemptNumber::from(*attempt).generation()
-                })
+                record.is_some_and(|record| record.generation == attempt.generation())
             }
             _ => true,
         });
--- a/crates/fakes/src/worker/execution.rs
+++ b/crates/fakes/src/worker/execution.rs
@@ -3,7 +3,7 @@
 use super::{FakeWorker, Task, WorkerState};
 use crate::{now, sleep};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase};
-use corkfield_wire::TaskId;
+use corkfield_wire::{Attempt, TaskId};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -99,7 +99,7 @@
 
     /// Starts a task, unless it has been started or an earlier attempt still runs. A task that
     /// can't run here has exited at once.
-    fn start_task(&self, state: &mut WorkerState, task: TaskId, attempt: u64) {
+    fn start_task(&self, state: &mut WorkerState, task: TaskId, attempt: Attempt) {
         if let Some(known) = state.tasks.get(&task) {
             if known.attempt == attempt || known.phase != TaskPhase::Exited {
                 return;
@@ -121,7 +121,7 @@
         present.filter_map(|(id, _)| self.history.plan(&id.job).map(|plan| plan.spec.cpus)).sum()
     }
 
-    fn stop_task(&self, state: &mut WorkerState, id: &TaskId, attempt: u64) {
+    fn stop_task(&self, state: &mut WorkerState, id: &TaskId, attempt: Attempt) {
         if let Some(task) = state.tasks.get_mut(id) {
             if task.attempt == attempt && task.phase != TaskPhase::Exited {
                 self.end_task(id, task, ExitCause::Stopped);
@@ -132,7 +132,7 @@
 
 impl WorkerState {
     /// Forgets an attempt that has exited.
-    fn forget_task(&mut self, id: &TaskId, attempt: u64) {
+    fn forget_task(&mut self, id: &TaskId, attempt: Attempt) {
         let exited = |task: &Task| task.attempt == attempt && task.phase == TaskPhase::Exited;
         if self.tasks.get(id).is_some_and(exited) {
             self.tasks.remove(id);
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::{now, sleep};
 use corkfield_http::Network;
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{TaskId, Term};
+use corkfield_wire::{Attempt, TaskId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 }
 
 struct Task {
-    attempt: u64,
+    attempt: Attempt,
     phase: TaskPhase,
     cause: Option<ExitCause>,
     /// When its present phase ends.
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -5,6 +5,11 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
+/// Low bits of an attempt, which count the attempts of one generation.
+const COUNT_BITS: u32 = 24;
+/// The highest count of attempts in one generation.
+const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
+
 /// Defines the type of a number: how it is made, read, compared, written and shown.
 macro_rules! number {
     ($(#[$attribute:meta])* $name:ident) => {
@@ -48,3 +53,21 @@
         Self(self.0 + 1)
     }
 }
+
+number! {
+    /// The number of an attempt at a task. Attempts never repeat: the generation of the claim that
+    /// they were made under, raised by each claim, is their high part.
+    Attempt
+}
+
+impl Attempt {
+    /// The attempt with that count in a generation.
+    pub const fn in_generation(generation: u64, count: u64) -> Self {
+        Self((generation << COUNT_BITS) | (count & MAX_COUNT))
+    }
+
+    /// The generation of the claim that the attempt was made under.
+    pub const fn generation(self) -> u64 {
+        self.0 >> COUNT_BITS
+    }
+}
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! What workers send, and the orders they take.
 
-use crate::ids::Term;
+use crate::ids::{Attempt, Term};
 use crate::job_id::JobId;
 use crate::text::ParsedText;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -99,7 +99,7 @@
     pub task: TaskId,
     /// The attempt that it was started under.
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// What it does.
     #[serde(rename = "status")]
     pub phase: TaskPhase,
@@ -159,7 +159,7 @@
         task: TaskId,
         /// The attempt to start it under.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     /// Stops a task.
     #[serde(rename = "kill")]
@@ -169,7 +169,7 @@
         task: TaskId,
         /// The attempt to stop.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         /// Seconds that the task may take to save a checkpoint. Below what it needs, it exits
         /// at once; 0 ends one that is saving.
         #[serde(rename = "wind_down_s")]
@@ -183,7 +183,7 @@
         task: TaskId,
         /// The attempt to forget.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -10,7 +10,7 @@
     DirectOrders, ExitCause, HeartbeatReply, Order, Redirect, TaskPhase, TaskStatus,
     WorkerHeartbeat,
 };
-use corkfield_wire::{JobId, JobSpec, JobStatus, Priority, TaskId, Term};
+use corkfield_wire::{Attempt, JobId, JobSpec, JobStatus, Priority, TaskId, Term};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -102,7 +102,7 @@
     assert_eq!((heartbeat.agent_epoch, heartbeat.sequence, heartbeat.term), (1, 88, Term::new(41)));
     let exited = TaskStatus {
         task: TaskId::parse("j-000398/0").unwrap(),
-        attempt: 1,
+        attempt: Attempt::new(1),
         phase: TaskPhase::Exited,
         cause: Some(ExitCause::Stopped),
         saved: Some(true),
