--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -14,7 +14,7 @@
 macro_rules! number {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
-        #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[derive(Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(u64);
@@ -33,7 +33,14 @@
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                self.0.fmt(f)
+                fmt::Display::fmt(&self.0, f)
+            }
+        }
+
+        // The bare number: logs show values that contain one.
+        impl fmt::Debug for $name {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                fmt::Debug::fmt(&self.0, f)
             }
         }
     };
