--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{CommitUrgency, Job, JobState};
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{Attempt, JobSpec, TaskSet};
+use corkfield_wire::{Attempt, Generation, JobSpec, TaskSet};
 use std::time::{Duration, Instant};
 
 fn record(tasks: u32) -> JobRecord {
@@ -23,9 +23,9 @@
 
 #[test]
 fn an_attempt_number_carries_its_generation() {
-    let attempt = Attempt::in_generation(7, 3);
+    let attempt = Attempt::in_generation(Generation::new(7), 3);
     assert_eq!(attempt.get(), (7 << 24) | 3);
-    assert_eq!(Attempt::new(attempt.get()).generation(), 7);
+    assert_eq!(Attempt::new(attempt.get()).generation(), Generation::new(7));
 }
 
 #[test]
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -86,7 +86,7 @@
         estimate_s = spec.estimate_s,
         deadline_s = spec.deadline_s,
         age_s = age.as_secs_f64(),
-        generation = job.record.generation,
+        generation = job.record.generation.get(),
         claims = job.record.claims,
         "job claimed"
     );
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -70,7 +70,8 @@
     let known = machine.tasks.get(key).map(|t| KnownTask { state: t.state, since: t.since });
     if known.is_none_or(|known| known.state != state) {
         let TaskAttempt { task, attempt } = key;
-        tracing::debug!(task = %task, machine = machine.name, attempt = attempt.get(), ?state, "task state");
+        let attempt = attempt.get();
+        tracing::debug!(task = %task, machine = machine.name, attempt, ?state, "task state");
     }
     let found = || MachineTask::found(state, now);
     let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{Attempt, JobId, TaskSet, Term};
+use corkfield_wire::{Attempt, Generation, JobId, TaskSet, Term};
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
@@ -152,7 +152,10 @@
     let mut job = job_record(100, 1);
     (job.start_watermark, job.previous_start_watermark) = (70, 0);
     job.claim("later owner".into());
-    assert_eq!((job.generation, job.previous_start_watermark, job.start_watermark), (2, 70, 100));
+    assert_eq!(
+        (job.generation, job.previous_start_watermark, job.start_watermark),
+        (Generation::new(2), 70, 100)
+    );
     scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
     scheduler.run_placement_pass(now);
     let active = active_tasks(&scheduler);
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{Attempt, TaskSet};
+use corkfield_wire::{Attempt, Generation, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -120,7 +120,7 @@
     let now = Instant::now();
     let mut scheduler = scheduler_with_machines(120, now);
     let mut job = job_record(450, 1);
-    (job.start_watermark, job.generation) = (0, 0);
+    (job.start_watermark, job.generation) = (0, Generation::new(0));
     job.claim("owner".into());
     scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
     let mut announced = Vec::new();
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -6,7 +6,7 @@
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{Attempt, JobId, JobSpec, Priority, TaskId, TaskSet, Term};
+use corkfield_wire::{Attempt, Generation, JobId, JobSpec, Priority, TaskId, TaskSet, Term};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -69,7 +69,7 @@
     // All may have begun under earlier owners, if there were any.
     let previous_start_watermark = if generation > 1 { u32::MAX } else { 0 };
     JobRecord {
-        generation,
+        generation: Generation::new(generation),
         start_watermark: u32::MAX,
         previous_start_watermark,
         ..JobRecord::new(spec, 0)
--- a/crates/corkfield/examples/load/workload.rs
+++ b/crates/corkfield/examples/load/workload.rs
@@ -4,7 +4,7 @@
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::{Objective, Team};
-use corkfield_wire::{JobId, JobSpec};
+use corkfield_wire::{Generation, JobId, JobSpec};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::time::Duration;
@@ -95,7 +95,7 @@
 /// A claimed record whose tasks may all be started.
 pub fn claimed_record(spec: JobSpec) -> JobRecord {
     JobRecord {
-        generation: 1,
+        generation: Generation::new(1),
         start_watermark: u32::MAX,
         previous_start_watermark: 0,
         ..JobRecord::new(spec, 0)
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -182,7 +182,7 @@
             return None;
         }
         if record.generation != ours.generation {
-            let generation = record.generation;
+            let generation = record.generation.get();
             tracing::warn!(job = %id, generation, "job has a newer generation in the store; closed");
             self.scheduler.borrow_mut().close_job(id);
             return None;
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -8,7 +8,7 @@
 use corkfield_fakes::Fault;
 use corkfield_wire::records::job_key;
 use corkfield_wire::user::PATH_READY;
-use corkfield_wire::{JobSpec, JobStatus, Priority, Term};
+use corkfield_wire::{Generation, JobSpec, JobStatus, Priority, Term};
 use std::cell::Cell;
 
 #[test]
@@ -23,10 +23,14 @@
         cluster.submit(&job, 20.0).await;
         sleep_s(3.0).await;
         let record = cluster.job_record(&job.id).expect("unfinished");
-        assert_eq!((record.generation, record.claims), (1, 1));
+        assert_eq!((record.generation, record.claims), (Generation::new(1), 1));
         sleep_s(12.0).await;
         let record = cluster.job_record(&job.id).expect("unfinished");
-        assert_eq!((record.generation, record.claims), (1, 0), "a healthy claim is refunded");
+        assert_eq!(
+            (record.generation, record.claims),
+            (Generation::new(1), 0),
+            "a healthy claim is refunded"
+        );
     });
 }
 
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -61,6 +61,19 @@
     }
 }
 
+number! {
+    /// The generation of a job's claim: raised by every claim of the job. 0 is before the first.
+    Generation
+}
+
+impl Generation {
+    /// The generation after this one.
+    #[must_use]
+    pub const fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
+
 number! {
     /// The number of an attempt at a task. Attempts never repeat: the generation of the claim that
     /// they were made under, raised by each claim, is their high part.
@@ -69,12 +82,12 @@
 
 impl Attempt {
     /// The attempt with that count in a generation.
-    pub const fn in_generation(generation: u64, count: u64) -> Self {
-        Self((generation << COUNT_BITS) | (count & MAX_COUNT))
+    pub const fn in_generation(generation: Generation, count: u64) -> Self {
+        Self((generation.0 << COUNT_BITS) | (count & MAX_COUNT))
     }
 
     /// The generation of the claim that the attempt was made under.
-    pub const fn generation(self) -> u64 {
-        self.0 >> COUNT_BITS
+    pub const fn generation(self) -> Generation {
+        Generation(self.0 >> COUNT_BITS)
     }
 }
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -1,5 +1,6 @@
 //! Records of jobs: one while the job is unfinished, another once it is over.
 
+use crate::ids::Generation;
 use crate::task_set::TaskSet;
 use crate::user::{JobSpec, JobStatus};
 use serde::{Deserialize, Serialize};
@@ -25,7 +26,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
     /// Raised by every claim; the guide's fencing token.
-    pub generation: u64,
+    pub generation: Generation,
     /// Claims since the job last made progress (S12).
     pub claims: u32,
     /// Time of day of the acceptance, in milliseconds since 1970.
@@ -60,7 +61,7 @@
         Self {
             spec,
             owner: None,
-            generation: 0,
+            generation: Generation::default(),
             claims: 0,
             accepted_ms,
             finished: TaskSet::default(),
@@ -81,7 +82,7 @@
     /// The same for a job that nothing of can start soon: no first start is announced.
     pub fn claim_without_starts(&mut self, owner: String) {
         self.owner = Some(owner);
-        self.generation += 1;
+        self.generation = self.generation.next();
         self.claims += 1;
         self.previous_start_watermark = self.start_watermark;
     }
--- a/crates/wire/tests/stored_records.rs
+++ b/crates/wire/tests/stored_records.rs
@@ -4,7 +4,7 @@
 
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::*;
-use corkfield_wire::{JobId, JobSpec, JobStatus, TaskSet, Term};
+use corkfield_wire::{Generation, JobId, JobSpec, JobStatus, TaskSet, Term};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -112,7 +112,7 @@
     let text = fixture!("older_job");
     let record: JobRecord = read(text);
     let expected = JobRecord {
-        generation: 2,
+        generation: Generation::new(2),
         claims: 2,
         start_watermark: u32::MAX,
         previous_start_watermark: u32::MAX,
