--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -2,7 +2,7 @@
 
 use super::Job;
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::TaskSet;
+use corkfield_wire::{Revision, TaskSet};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -47,7 +47,12 @@
     }
 
     /// A write of it was carried out: its record is stored at that version, with those tasks done.
-    pub(crate) fn commit_succeeded(&mut self, record: &JobRecord, tasks: &[u32], version: u64) {
+    pub(crate) fn commit_succeeded(
+        &mut self,
+        record: &JobRecord,
+        tasks: &[u32],
+        version: Revision,
+    ) {
         self.completion.end_commit();
         self.completion.note_stored(tasks);
         self.record = record.clone();
@@ -60,7 +65,12 @@
     }
 
     /// Its record was found in the store, still ours, after a write that was not answered, say.
-    pub(crate) fn found_record(&mut self, record: JobRecord, finished: &TaskSet, version: u64) {
+    pub(crate) fn found_record(
+        &mut self,
+        record: JobRecord,
+        finished: &TaskSet,
+        version: Revision,
+    ) {
         self.completion.found_stored(finished);
         self.record = record;
         self.version = version;
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -18,7 +18,7 @@
 use crate::team::Usage;
 use completion::Completion;
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{Attempt, JobSpec, Priority, TaskSet};
+use corkfield_wire::{Attempt, JobSpec, Priority, Revision, TaskSet};
 use start_queue::{StartQueue, StartView};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
     /// Its record, as stored last.
     pub record: JobRecord,
     /// Version of the record in the key-value store that this claim rests on.
-    pub version: u64,
+    pub version: Revision,
     /// What it is doing.
     state: JobState,
     /// Position of its team in the settings.
@@ -81,7 +81,7 @@
     pub(crate) fn new(
         record: JobRecord,
         finished: TaskSet,
-        version: u64,
+        version: Revision,
         team: usize,
         age: Duration,
         now: Instant,
@@ -289,7 +289,7 @@
     }
 
     /// Claimed once more, after a back-off for example.
-    pub(crate) fn reclaimed(&mut self, record: JobRecord, version: u64, now: Instant) {
+    pub(crate) fn reclaimed(&mut self, record: JobRecord, version: Revision, now: Instant) {
         let state = JobState::after_claim(record.dead_lettered);
         self.record = record;
         self.version = version;
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{CommitUrgency, Job, JobState};
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{Attempt, Generation, JobSpec, TaskSet};
+use corkfield_wire::{Attempt, Generation, JobSpec, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 fn record(tasks: u32) -> JobRecord {
@@ -18,7 +18,7 @@
 }
 
 fn claimed_job(record: JobRecord, now: Instant) -> Job {
-    Job::new(record, TaskSet::default(), 1, 0, Duration::ZERO, now)
+    Job::new(record, TaskSet::default(), Revision::new(1), 0, Duration::ZERO, now)
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let second = job.next_attempt();
     let mut again = job.record.clone();
     again.claim("owner".into());
-    job.reclaimed(again, 2, now);
+    job.reclaimed(again, Revision::new(2), now);
     assert!(first < second && second < job.next_attempt());
 }
 
@@ -84,7 +84,7 @@
     job.back_off(now);
     assert!(matches!(job.state(), JobState::BackingOff(until) if until > now));
     job.enter(JobState::NeedsReclaim);
-    job.reclaimed(record(1), 2, now);
+    job.reclaimed(record(1), Revision::new(2), now);
     assert_eq!(job.state(), JobState::Active);
     job.enter(JobState::Closing);
     job.enter(JobState::Active);
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -4,7 +4,7 @@
 use crate::job::{Job, JobState};
 use crate::machine::MachineTaskState;
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{JobId, TaskSet};
+use corkfield_wire::{JobId, Revision, TaskSet};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
         &mut self,
         record: JobRecord,
         finished: TaskSet,
-        version: u64,
+        version: Revision,
         age: Duration,
         now: Instant,
     ) {
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -4,7 +4,7 @@
 use super::Scheduler;
 use crate::job::{CommitUrgency, Job};
 use corkfield_wire::records::{JobRecord, CHUNK_TASKS};
-use corkfield_wire::{JobId, TaskSet};
+use corkfield_wire::{JobId, Revision, TaskSet};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -18,7 +18,7 @@
     /// Whose tasks.
     pub job: JobId,
     /// Version of the record that the write rests on.
-    pub version: u64,
+    pub version: Revision,
     /// The record to be stored.
     pub record: JobRecord,
     /// Finished numbers by chunk, for jobs too large to keep them in the record.
@@ -113,7 +113,11 @@
     }
 
     /// A completion commit was carried out, at that version.
-    pub fn completion_committed(&mut self, completion_commit: &CompletionCommit, version: u64) {
+    pub fn completion_committed(
+        &mut self,
+        completion_commit: &CompletionCommit,
+        version: Revision,
+    ) {
         let CompletionCommit { job: id, record, tasks, finishes, .. } = completion_commit;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
@@ -129,7 +133,7 @@
     pub fn completion_commit_failed(
         &mut self,
         id: &JobId,
-        found: Option<(JobRecord, TaskSet, u64)>,
+        found: Option<(JobRecord, TaskSet, Revision)>,
     ) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, MachineTaskState};
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Attempt, JobId, Priority, TaskId, TaskSet};
+use corkfield_wire::{Attempt, JobId, Priority, Revision, TaskId, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -19,7 +19,7 @@
     assert!(scheduler.orders("host-1", 1, 3, true, now).is_empty(), "S9");
     let due = scheduler.due_completion_commits(4, now);
     assert!(due[0].finishes);
-    scheduler.completion_committed(&due[0], 6);
+    scheduler.completion_committed(&due[0], Revision::new(6));
     scheduler.on_heartbeat(&heartbeat(4, 1, vec![done]), true, now);
     assert!(matches!(scheduler.orders("host-1", 1, 4, true, now)[..], [Order::Forget { .. }]));
     let states: Vec<MachineTaskState> =
@@ -33,9 +33,15 @@
     let mut now = Instant::now();
     let mut scheduler = scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
-    scheduler.on_job_claimed(job_record(100_000, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(100_000, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     let mut sequence = 1;
-    let mut version = 5;
+    let mut version = Revision::new(5);
     let mut stored = 0;
     // Every second task: ranges can't be joined.
     for first in (0..100_000).step_by(4000) {
@@ -56,7 +62,7 @@
             }
             assert!(String::from(completion_commit.record.finished.clone()).len() < 1024);
             stored += completion_commit.tasks.len();
-            version += 1;
+            version = version.next();
             scheduler.completion_committed(completion_commit, version);
         }
     }
@@ -82,7 +88,13 @@
     let mut announcing = JobRecord { start_watermark: 4, ..job_record(400, 1) };
     announcing.spec.id = JobId::parse("j-000099").expect("an id");
     announcing.spec.priority = Priority::High;
-    scheduler.on_job_claimed(announcing, TaskSet::default(), 5, Duration::ZERO, start);
+    scheduler.on_job_claimed(
+        announcing,
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        start,
+    );
     scheduler.run_placement_pass(start);
     let first = scheduler.due_completion_commits(1, start);
     assert_eq!(first[0].job.to_string(), "j-000099", "its other tasks wait for this");
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{Attempt, Generation, JobId, TaskSet, Term};
+use corkfield_wire::{Attempt, Generation, JobId, Revision, TaskSet, Term};
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,13 @@
     let mut scheduler = scheduler(7);
     let machine = machine_record();
     scheduler.recorded_machine("host-1", &machine, Duration::ZERO, now);
-    scheduler.on_job_claimed(job_record(1, 2), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(1, 2),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     // A heartbeat made before the worker took our term, perhaps held back for minutes.
     scheduler.on_heartbeat(&heartbeat(8, 6, Vec::new()), true, now);
     scheduler.run_placement_pass(now);
@@ -54,7 +60,13 @@
     // A leader that has not come round to asking them twice doesn't know that they are silent.
     for (silent, asked, given_up) in [(2, 2, true), (2, 1, false), (12, 2, false)] {
         let mut scheduler = scheduler_with_recorded_machines(1..=24, now);
-        scheduler.on_job_claimed(job_record(4, 2), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(
+            job_record(4, 2),
+            TaskSet::default(),
+            Revision::new(5),
+            Duration::ZERO,
+            now,
+        );
         for number in silent + 1..=24 {
             let mut heartbeat = heartbeat(9, 7, Vec::new());
             heartbeat.machine = format!("host-{number}");
@@ -132,8 +144,20 @@
         scheduler.on_heartbeat(&heartbeat(9, 7, Vec::new()), true, now);
         let mut old = job_record(10, 2);
         old.spec.id = second_job_id();
-        scheduler.on_job_claimed(old.clone(), TaskSet::default(), 5, Duration::ZERO, now);
-        scheduler.on_job_claimed(job_record(10, 1), TaskSet::default(), 6, Duration::ZERO, now);
+        scheduler.on_job_claimed(
+            old.clone(),
+            TaskSet::default(),
+            Revision::new(5),
+            Duration::ZERO,
+            now,
+        );
+        scheduler.on_job_claimed(
+            job_record(10, 1),
+            TaskSet::default(),
+            Revision::new(6),
+            Duration::ZERO,
+            now,
+        );
         scheduler.run_placement_pass(now);
         let active = |id: &JobId| scheduler.job(id).expect("claimed").active().len();
         assert_eq!(active(&first_job_id()), placed, "S8: a job that nobody can have started");
@@ -156,7 +180,7 @@
         (job.generation, job.previous_start_watermark, job.start_watermark),
         (Generation::new(2), 70, 100)
     );
-    scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     scheduler.run_placement_pass(now);
     let active = active_tasks(&scheduler);
     assert_eq!(active.keys().copied().collect::<Vec<_>>(), [70, 71, 72, 73], "S7");
@@ -179,7 +203,7 @@
         (job.start_watermark, job.previous_start_watermark) = (70, 0);
         (job.spec.one_zone, job.spec.spread) = (one_zone, spread);
         job.claim("later owner".into());
-        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         assert_eq!(active_task_count(&scheduler), 0, "S8: the others may be in another zone");
         scheduler.on_machines_deleted(&["host-2".into()]);
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -7,7 +7,7 @@
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Attempt, JobId, Priority, TaskId, TaskSet, Term};
+use corkfield_wire::{Attempt, JobId, Priority, Revision, TaskId, TaskSet, Term};
 use std::time::{Duration, Instant};
 
 /// Carries out an order at once on a machine without limits; true if it started a task.
@@ -52,8 +52,8 @@
     let mut normal = job_record(30, 1);
     normal.spec.id = second_job_id();
     normal.spec.estimate_s = 300.0;
-    scheduler.on_job_claimed(low, TaskSet::default(), 5, Duration::ZERO, start);
-    scheduler.on_job_claimed(normal, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler.on_job_claimed(low, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
+    scheduler.on_job_claimed(normal, TaskSet::default(), Revision::new(6), Duration::ZERO, start);
     scheduler
 }
 
@@ -111,19 +111,19 @@
     let largest = numbered_job(1, 3000, Priority::Normal);
     let low = numbered_job(2, 10, Priority::Low);
     let watched = [largest.spec.id.clone(), low.spec.id.clone()];
-    scheduler.on_job_claimed(largest, TaskSet::default(), 5, Duration::ZERO, start);
-    scheduler.on_job_claimed(low, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler.on_job_claimed(largest, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
+    scheduler.on_job_claimed(low, TaskSet::default(), Revision::new(6), Duration::ZERO, start);
     let mut tasks: Vec<TimedTask> = Vec::new();
     let mut first_starts = [None; 2];
     for second in 1..240 {
         let now = start + Duration::from_secs(second);
         // More small jobs than there is room for, all day long.
         let small = numbered_job(100 + second, 6, Priority::Normal);
-        scheduler.on_job_claimed(small, TaskSet::default(), 7, Duration::ZERO, now);
+        scheduler.on_job_claimed(small, TaskSet::default(), Revision::new(7), Duration::ZERO, now);
         let statuses = tasks.iter().map(|task| task.status_in(second)).collect();
         scheduler.on_heartbeat(&heartbeat(second + 1, 1, statuses), true, now);
         for completion_commit in scheduler.due_completion_commits(100, now) {
-            scheduler.completion_committed(&completion_commit, 8);
+            scheduler.completion_committed(&completion_commit, Revision::new(8));
         }
         scheduler.run_placement_pass(now);
         for order in scheduler.orders("host-1", 1, second + 1, true, now) {
@@ -161,7 +161,7 @@
         let mut job = job_record(tasks, 1);
         job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
         (job.spec.priority, job.spec.cpus) = (priority, cpus);
-        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, start);
+        scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
         if number == 2 {
             scheduler.run_placement_pass(start);
         }
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -8,7 +8,7 @@
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::TaskPhase;
-use corkfield_wire::{JobSpec, TaskSet};
+use corkfield_wire::{JobSpec, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -108,7 +108,13 @@
 fn on_demand_machines_are_requested_only_once_spot_capacity_is_known_to_lack() {
     let now = Instant::now();
     let mut scheduler = scheduler(1);
-    scheduler.on_job_claimed(job_record(80, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(80, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     scheduler.scale(now);
     let actions = scheduler.take_actions();
     let Some(Action::Rent(spot)) =
@@ -120,7 +126,7 @@
         spec: JobSpec { id: second_job_id(), ..job_record(400, 1).spec },
         ..job_record(400, 1)
     };
-    scheduler.on_job_claimed(more, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(more, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     // The spot offer is under way, and so not open; that is no reason to take the expensive one.
     let soon = now + Duration::from_millis(200);
     scheduler.scale(soon);
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Scheduler};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Priority, TaskSet};
+use corkfield_wire::{Priority, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -23,7 +23,7 @@
         }
         let mut job = job_record(6, 1);
         (job.spec.one_zone, job.spec.spread, job.spec.cpus) = (one_zone, spread, 2.0);
-        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
         let in_z = job.active().values().filter(|placed| {
@@ -85,7 +85,7 @@
             running.into_iter().map(|status| TaskStatus { phase, cause, ..status }).collect();
         self.send_heartbeat(scheduler, done.clone(), now);
         for completion_commit in scheduler.due_completion_commits(4, now) {
-            scheduler.completion_committed(&completion_commit, 6);
+            scheduler.completion_committed(&completion_commit, Revision::new(6));
         }
         self.send_heartbeat(scheduler, done, now);
         self.send_heartbeat(scheduler, Vec::new(), now);
@@ -134,7 +134,7 @@
             scheduler.on_job_claimed(
                 job_record(400, 1),
                 TaskSet::default(),
-                5,
+                Revision::new(5),
                 Duration::ZERO,
                 now,
             );
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{Attempt, Generation, TaskSet};
+use corkfield_wire::{Attempt, Generation, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -33,7 +33,13 @@
     let mut scheduler = scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
     scheduler.on_machine_record_written("host-1", true);
-    scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(1, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     scheduler.run_placement_pass(now);
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
     assert!(scheduler.orders("host-1", 1, 2, false, now).is_empty(), "S4");
@@ -91,7 +97,13 @@
         let mut scheduler = scheduler(1);
         scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
         scheduler.on_machine_record_written("host-1", true);
-        scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(
+            job_record(1, 1),
+            TaskSet::default(),
+            Revision::new(5),
+            Duration::ZERO,
+            now,
+        );
         scheduler.run_placement_pass(now);
         assert!(scheduler.has_starts_for("host-1"));
         // While no start may leave, say in an outage of the store, its machine has to go.
@@ -122,9 +134,9 @@
     let mut job = job_record(450, 1);
     (job.start_watermark, job.generation) = (0, Generation::new(0));
     job.claim("owner".into());
-    scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     let mut announced = Vec::new();
-    for version in 6..10 {
+    for version in (6..10).map(Revision::new) {
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
         announced.push((job.active().len(), job.record.start_watermark));
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -6,7 +6,9 @@
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{Attempt, Generation, JobId, JobSpec, Priority, TaskId, TaskSet, Term};
+use corkfield_wire::{
+    Attempt, Generation, JobId, JobSpec, Priority, Revision, TaskId, TaskSet, Term,
+};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -119,7 +121,13 @@
     let mut scheduler = scheduler(1);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now), Verdict::Accept);
     scheduler.on_machine_record_written("host-1", true);
-    scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(1, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     scheduler.run_placement_pass(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now), Verdict::Accept);
     let orders = scheduler.orders("host-1", 1, 2, true, now);
@@ -150,7 +158,7 @@
     record.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
     record.spec.priority = priority;
     record.spec.estimate_s = 300.0;
-    scheduler.on_job_claimed(record, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
 }
 
 /// The tasks of the first job that are placed, by index.
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -6,7 +6,7 @@
 use crate::Cli;
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::worker::{HeartbeatReply, Order, WorkerHeartbeat};
-use corkfield_wire::{TaskSet, Term};
+use corkfield_wire::{Revision, TaskSet, Term};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::time::{Duration, Instant};
@@ -122,7 +122,7 @@
                 self.scheduler.on_job_claimed(
                     record,
                     TaskSet::default(),
-                    1,
+                    Revision::new(1),
                     Duration::ZERO,
                     now.instant,
                 );
@@ -190,7 +190,7 @@
         let due = self.scheduler.due_completion_commits(MAX_COMPLETION_COMMITS, now.instant);
         for completion_commit in due {
             self.counts.done += completion_commit.tasks.len() as u64;
-            self.scheduler.completion_committed(&completion_commit, 1);
+            self.scheduler.completion_committed(&completion_commit, Revision::new(1));
         }
     }
 
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -9,7 +9,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::{JobId, TaskSet};
+use corkfield_wire::{JobId, Revision, TaskSet};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,14 +35,14 @@
 /// A job record that is to be claimed, at its version.
 struct DueJob {
     record: JobRecord,
-    version: u64,
+    version: Revision,
 }
 
 /// Records that were claimed together.
 struct StoredClaim {
     records: Vec<JobRecord>,
     /// Version of all of them.
-    version: u64,
+    version: Revision,
 }
 
 /// A job record of our claim as the store has it, with the job's finished tasks.
@@ -52,7 +52,7 @@
     /// Finished tasks, also of a job too large to keep them in its record.
     pub(super) finished: TaskSet,
     /// Version of the record.
-    pub(super) version: u64,
+    pub(super) version: Revision,
 }
 
 /// Keeps the first records that have no more than so many bytes together, and one at least.
@@ -186,7 +186,11 @@
     }
 
     /// The version at which the claim is stored; `None` if it is not known to be.
-    async fn store_claim(&self, transaction: &Transaction, claimed: &[JobRecord]) -> Option<u64> {
+    async fn store_claim(
+        &self,
+        transaction: &Transaction,
+        claimed: &[JobRecord],
+    ) -> Option<Revision> {
         let env = &self.context.env;
         match env.state.transaction(RequestClass::Claim, transaction).await {
             Ok(version) => Some(version),
@@ -201,7 +205,7 @@
 
     /// The version of a claim without an answer, if it was carried out: all of it, as it is one
     /// transaction.
-    async fn find_claim(&self, record: &JobRecord) -> Option<u64> {
+    async fn find_claim(&self, record: &JobRecord) -> Option<Revision> {
         let key = job_key(&record.spec.id);
         let item = self.context.env.state.get(RequestClass::Claim, &key).await.ok()??;
         let found: JobRecord = serde_json::from_value(item.value).ok()?;
@@ -210,7 +214,7 @@
     }
 
     /// Takes up a claimed job once its finished tasks are read. Other claims don't wait for that.
-    fn read_finished(&self, record: JobRecord, version: u64) {
+    fn read_finished(&self, record: JobRecord, version: Revision) {
         let id = record.spec.id.clone();
         self.reading.borrow_mut().insert(id.clone());
         let (context, reading) = (self.context.clone(), self.reading.clone());
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -13,7 +13,7 @@
     final_key, finished_key, finished_prefix, job_key, FinalRecord, JobRecord, CHUNK_TASKS,
 };
 use corkfield_wire::store::Transaction;
-use corkfield_wire::{JobId, JobStatus, TaskSet};
+use corkfield_wire::{JobId, JobStatus, Revision, TaskSet};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn stored(&self, commits: &[CompletionCommit], version: u64) {
+    async fn stored(&self, commits: &[CompletionCommit], version: Revision) {
         for commit in commits {
             self.scheduler.borrow_mut().completion_committed(commit, version);
         }
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -11,7 +11,7 @@
     let spec: JobSpec = serde_json::from_str(&spec).expect("a submission");
     CompletionCommit {
         job: spec.id.clone(),
-        version: 7,
+        version: Revision::new(7),
         record: JobRecord::new(spec, 0),
         chunks: Vec::new(),
         tasks: vec![1],
@@ -49,7 +49,7 @@
     let transaction = JobCommit::new(commit).transaction;
     let record = FinalRecord { status: JobStatus::Done, done: 0 };
     let expected = Transaction::default()
-        .when(job_key(&id), 7)
+        .when(job_key(&id), Revision::new(7))
         .delete(job_key(&id))
         .put(final_key(&id), store_value(&record));
     assert_eq!(transaction, expected);
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -8,7 +8,7 @@
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::Term;
+use corkfield_wire::{Revision, Term};
 use std::time::Duration;
 
 /// Other controllers leave the named successor this long to take over.
@@ -21,7 +21,7 @@
     /// The membership key that the claim is conditional on.
     pub(super) membership: Current,
     /// Version of the leader record as it was claimed.
-    pub(super) record_version: u64,
+    pub(super) record_version: Revision,
     /// A term that nobody else ever holds.
     pub(super) term: Term,
 }
@@ -44,7 +44,7 @@
     Present,
     /// Another controller, whose membership key has this version now: of a later incarnation, or
     /// 0 without one.
-    Gone { membership_key: String, version: u64 },
+    Gone { membership_key: String, version: Revision },
 }
 
 /// Claims the leader record if its holder is gone; `None` if it is not, or the claim failed.
@@ -84,7 +84,7 @@
     }
     let (previous, version) = match &contents.leader {
         Some((record, version)) => (Some(record.clone()), *version),
-        None => (None, 0),
+        None => (None, Revision::NONE),
     };
     let own_name = &context.env.name;
     let mut conditions = Transaction::default()
@@ -108,7 +108,7 @@
     if contents.is_present(record) {
         return Holder::Present;
     }
-    let version = contents.controllers.get(name).map_or(0, |(_, version)| *version);
+    let version = contents.controllers.get(name).map_or(Revision::NONE, |(_, version)| *version);
     Holder::Gone { membership_key: controller_key(name), version }
 }
 
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -7,7 +7,10 @@
 }
 
 /// The condition that a claim gets from the holder; `None` if there can be no claim.
-fn condition(contents: &ReplicaContents, record: &LeaderRecord) -> Option<Option<(String, u64)>> {
+fn condition(
+    contents: &ReplicaContents,
+    record: &LeaderRecord,
+) -> Option<Option<(String, Revision)>> {
     match holder(contents, Some(record), "a") {
         Holder::NobodyElse => Some(None),
         Holder::Present => None,
@@ -19,13 +22,13 @@
 fn a_claim_rests_on_the_holder_being_gone() {
     let mut contents = ReplicaContents::default();
     let member = |incarnation: &str| Membership { incarnation: incarnation.to_owned(), lease: 1 };
-    contents.controllers.insert("a".to_owned(), (member("a-1"), 30));
-    contents.controllers.insert("b".to_owned(), (member("b-2"), 31));
+    contents.controllers.insert("a".to_owned(), (member("a-1"), Revision::new(30)));
+    contents.controllers.insert("b".to_owned(), (member("b-2"), Revision::new(31)));
 
     assert_eq!(condition(&contents, &record(Some("b"), "b-2")), None, "it is there");
-    let later = Some((controller_key("b"), 31));
+    let later = Some((controller_key("b"), Revision::new(31)));
     assert_eq!(condition(&contents, &record(Some("b"), "b-1")), Some(later), "began anew");
-    let without = Some((controller_key("c"), 0));
+    let without = Some((controller_key("c"), Revision::new(0)));
     assert_eq!(condition(&contents, &record(Some("c"), "c-1")), Some(without), "has no key");
     assert_eq!(condition(&contents, &record(Some("a"), "a-1")), Some(None), "this controller");
     assert_eq!(condition(&contents, &record(None, "")), Some(None), "after a hand-over");
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -7,6 +7,7 @@
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{transfer_request_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
+use corkfield_wire::Revision;
 use std::time::Duration;
 
 /// How often the leader looks whether its place is another's, or should be.
@@ -86,8 +87,13 @@
 /// Shows the leader, through the store, that workers come here instead.
 pub(super) async fn request_transfer(context: &LeadershipContext) {
     let Some(request) = context.leadership.take_transfer_request() else { return };
-    let leader_version =
-        context.replica.contents.borrow().leader.as_ref().map_or(0, |(_, version)| *version);
+    let leader_version = context
+        .replica
+        .contents
+        .borrow()
+        .leader
+        .as_ref()
+        .map_or(Revision::NONE, |(_, version)| *version);
     // Carried out late, it must not drive out another leader than the one it is about.
     let transaction = Transaction::default()
         .when(LEADER_KEY, leader_version)
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared.rs
@@ -8,7 +8,7 @@
 use crate::replica::{ReplicaContents, StoreReplica};
 use crate::session_lease::SessionLease;
 use corkfield_wire::records::{JobRecord, TransferRequest};
-use corkfield_wire::{JobId, Term};
+use corkfield_wire::{JobId, Revision, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -121,7 +121,7 @@
     }
 
     /// The same for all that are not among the unfinished.
-    pub fn close_all_but(&self, unfinished: &BTreeMap<JobId, (JobRecord, u64)>) {
+    pub fn close_all_but(&self, unfinished: &BTreeMap<JobId, (JobRecord, Revision)>) {
         let Some(scheduler) = self.scheduler() else { return };
         scheduler.borrow_mut().close_all_but(|id| unfinished.contains_key(id));
         self.actions_pending.notify_one();
--- a/crates/corkfield/src/leadership/shared/tests.rs
+++ b/crates/corkfield/src/leadership/shared/tests.rs
@@ -6,8 +6,9 @@
 use std::cell::Cell;
 
 fn claim(incarnation: &str) -> Rc<LeadershipClaim> {
-    let membership = Current { incarnation: incarnation.to_owned(), lease: 7, version: 40 };
-    Rc::new(LeadershipClaim { membership, record_version: Cell::new(50) })
+    let membership =
+        Current { incarnation: incarnation.to_owned(), lease: 7, version: Revision::new(40) };
+    Rc::new(LeadershipClaim { membership, record_version: Cell::new(Revision::new(50)) })
 }
 
 fn leading(term: u64) -> LeadershipState {
@@ -59,7 +60,7 @@
     {
         let incarnation = incarnation.to_owned();
         let record = LeaderRecord { node: None, incarnation, term: Term::new(4), successor: None };
-        contents.leader = Some((record, version));
+        contents.leader = Some((record, Revision::new(version)));
         assert_eq!(leadership.is_replaced(&contents), replaced, "{:?}", contents.leader);
     }
 }
--- a/crates/corkfield/src/leadership/state.rs
+++ b/crates/corkfield/src/leadership/state.rs
@@ -3,6 +3,7 @@
 use crate::clock::now;
 use crate::session_lease::Current;
 use corkfield_core::Scheduler;
+use corkfield_wire::Revision;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
@@ -15,7 +16,7 @@
     /// The membership key that the claim is conditional on.
     pub(super) membership: Current,
     /// Version of the leader record that the claim rests on; a raised term is a new version.
-    pub(super) record_version: Cell<u64>,
+    pub(super) record_version: Cell<Revision>,
 }
 
 /// A controller's part in election and leading.
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -7,7 +7,7 @@
     CONTROLLERS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY, TRANSFER_REQUESTS_PREFIX,
 };
 use corkfield_wire::store::{Event, Events, Item};
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, Revision};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -19,7 +19,7 @@
 /// A request for the leader's place, as it was seen here.
 #[derive(Debug, Clone, Copy)]
 struct SeenTransferRequest {
-    version: u64,
+    version: Revision,
     first_seen: Instant,
 }
 
@@ -27,15 +27,15 @@
 #[derive(Default)]
 pub struct ReplicaContents {
     /// Everything up to this revision is contained.
-    revision: u64,
+    revision: Revision,
     /// The unfinished jobs.
-    pub jobs: BTreeMap<JobId, (JobRecord, u64)>,
+    pub jobs: BTreeMap<JobId, (JobRecord, Revision)>,
     /// The membership records, by controller.
-    pub controllers: BTreeMap<String, (Membership, u64)>,
+    pub controllers: BTreeMap<String, (Membership, Revision)>,
     /// By the controller that asks.
     transfer_requests: BTreeMap<String, SeenTransferRequest>,
     /// The leader record.
-    pub leader: Option<(LeaderRecord, u64)>,
+    pub leader: Option<(LeaderRecord, Revision)>,
     /// When the present leader record was first seen.
     leader_since: Option<Instant>,
     /// The machine types on offer, once they are known.
@@ -47,7 +47,7 @@
 
 impl ReplicaContents {
     /// What a complete read at this revision brought.
-    pub(super) fn from_items(items: Vec<Item>, revision: u64) -> Self {
+    pub(super) fn from_items(items: Vec<Item>, revision: Revision) -> Self {
         let mut contents = Self { revision, ..Self::default() };
         for item in items {
             contents.insert(&item.key, item.value, item.version);
@@ -74,7 +74,7 @@
     }
 
     /// Everything up to this revision of the store is contained.
-    pub fn revision(&self) -> u64 {
+    pub fn revision(&self) -> Revision {
         self.revision
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Takes the record stored under a key.
-    fn insert(&mut self, key: &str, value: Value, version: u64) {
+    fn insert(&mut self, key: &str, value: Value, version: Revision) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             if let Some(record) = decode(key, value) {
                 self.jobs.insert(id, (record, version));
--- a/crates/corkfield/src/replica/contents/tests.rs
+++ b/crates/corkfield/src/replica/contents/tests.rs
@@ -7,12 +7,15 @@
             .expect("serializable")
     };
     let key = format!("{CONTROLLERS_PREFIX}n");
-    let put = |version| Event::Put { key: key.clone(), value: session_lease(version), version };
-    let delete = |version| Event::Delete { key: key.clone(), version };
+    let put = |number| {
+        let (value, version) = (session_lease(number), Revision::new(number));
+        Event::Put { key: key.clone(), value, version }
+    };
+    let delete = |number| Event::Delete { key: key.clone(), version: Revision::new(number) };
     let mut contents = ReplicaContents::default();
-    contents.apply_events(Events { revision: 3, events: vec![put(2), delete(3)] });
-    contents.apply_events(Events { revision: 2, events: vec![put(2)] });
+    contents.apply_events(Events { revision: Revision::new(3), events: vec![put(2), delete(3)] });
+    contents.apply_events(Events { revision: Revision::new(2), events: vec![put(2)] });
     assert!(contents.controllers.is_empty(), "the older read came last");
-    contents.apply_events(Events { revision: 4, events: vec![delete(3), put(4)] });
-    assert_eq!(contents.controllers["n"].1, 4);
+    contents.apply_events(Events { revision: Revision::new(4), events: vec![delete(3), put(4)] });
+    assert_eq!(contents.controllers["n"].1, Revision::new(4));
 }
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -6,7 +6,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{JobRecord, REPLICATED_PREFIX};
 use corkfield_wire::store::Events;
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, Revision};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
 
     /// The copy was replaced as a whole; `unfinished` are all jobs that are not over, with the
     /// versions of their records.
-    fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, (JobRecord, u64)>);
+    fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, (JobRecord, Revision)>);
 
     /// Whether changes have to be seen soon, as by a leader.
     fn watches_closely(&self) -> bool;
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -3,7 +3,7 @@
 use corkfield_http::Tcp;
 use corkfield_wire::records::job_key;
 use corkfield_wire::store::Event;
-use corkfield_wire::JobSpec;
+use corkfield_wire::{JobSpec, Revision};
 use std::cell::RefCell;
 
 const SUBMISSION: &str = r#"{"name_id": "ID", "pool": "sums", "owner": "free", "shape": "sweep",
@@ -33,7 +33,7 @@
         });
     }
 
-    fn jobs_reloaded(&self, _: &BTreeMap<JobId, (JobRecord, u64)>) {}
+    fn jobs_reloaded(&self, _: &BTreeMap<JobId, (JobRecord, Revision)>) {}
 
     fn watches_closely(&self) -> bool {
         false
@@ -58,15 +58,15 @@
     let record = record("j-000001");
     let id = record.spec.id.clone();
     let value = serde_json::to_value(&record).expect("serializable");
-    let put = Event::Put { key: job_key(&id), value, version: 1 };
+    let put = Event::Put { key: job_key(&id), value, version: Revision::new(1) };
     let first = now();
-    follower.take_events(Events { revision: 1, events: vec![put] }, first);
+    follower.take_events(Events { revision: Revision::new(1), events: vec![put] }, first);
     assert!(follower.replica.contents.borrow().jobs.contains_key(&id));
     assert_eq!(follower.replica.proven_at(), Some(first));
     tokio::time::advance(Duration::from_secs(1)).await;
     let second = now();
-    let delete = Event::Delete { key: job_key(&id), version: 2 };
-    follower.take_events(Events { revision: 2, events: vec![delete] }, second);
+    let delete = Event::Delete { key: job_key(&id), version: Revision::new(2) };
+    follower.take_events(Events { revision: Revision::new(2), events: vec![delete] }, second);
     assert_eq!(follower.replica.proven_at(), Some(second));
     let ended = observer.ended.borrow();
     let seen = ended.last().expect("the observer was told");
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -5,6 +5,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, Membership};
 use corkfield_wire::store::{Item, Transaction};
+use corkfield_wire::Revision;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -60,7 +61,7 @@
     /// The state service's number of the lease.
     pub lease: u64,
     /// Version of the membership key.
-    pub version: u64,
+    pub version: Revision,
 }
 
 impl SessionLease {
@@ -147,10 +148,10 @@
         key: &str,
         found: Option<Item>,
         membership: Membership,
-    ) -> Result<u64, StateError> {
+    ) -> Result<Revision, StateError> {
         let value = serde_json::to_value(&membership).unwrap_or_default();
         let transaction = Transaction::default()
-            .when(key.to_owned(), found.map_or(0, |item| item.version))
+            .when(key.to_owned(), found.map_or(Revision::NONE, |item| item.version))
             .put_leased(key.to_owned(), value, membership.lease);
         let error = match self.env.state.transaction(RequestClass::Lease, &transaction).await {
             Err(StateError::NoAnswer(error)) => error,
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -11,7 +11,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::{JobId, JobStatus};
+use corkfield_wire::{JobId, JobStatus, Revision};
 use lookup::{view, LookupError, StoredJob, QUERY_LIMIT};
 use std::rc::Rc;
 use std::time::Duration;
@@ -82,13 +82,13 @@
     async fn store_cancelled(
         &self,
         id: &JobId,
-        version: u64,
+        version: Revision,
         cancelled: &FinalRecord,
-    ) -> Result<u64, StateError> {
+    ) -> Result<Revision, StateError> {
         let value = serde_json::to_value(cancelled).unwrap_or_default();
         let transaction = Transaction::default()
             .when(job_key(id), version)
-            .when(final_key(id), 0)
+            .when(final_key(id), Revision::NONE)
             .delete(job_key(id))
             .put(final_key(id), value);
         self.env.state.transaction(RequestClass::Claim, &transaction).await
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -6,7 +6,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, FinalRecord, JobRecord};
 use corkfield_wire::user::JobView;
-use corkfield_wire::{JobId, JobStatus};
+use corkfield_wire::{JobId, JobStatus, Revision};
 use std::time::Duration;
 
 /// Users wait 2 s for a query.
@@ -19,7 +19,7 @@
         /// The record.
         record: Box<JobRecord>,
         /// Version of the record.
-        version: u64,
+        version: Revision,
     },
     /// A job that is over.
     Final(FinalRecord),
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -10,7 +10,7 @@
 use corkfield_wire::records::{final_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
 use corkfield_wire::user::BadSubmission;
-use corkfield_wire::{JobId, JobSpec, JobStatus};
+use corkfield_wire::{JobId, JobSpec, JobStatus, Revision};
 
 /// Pause after a submission could not be stored, in milliseconds; drawn at random.
 const STORE_RETRY_MS: std::ops::Range<u64> = 50..150;
@@ -67,8 +67,8 @@
             return error(400, "unstorable");
         };
         let transaction = Transaction::default()
-            .when(job_key(&id), 0)
-            .when(final_key(&id), 0)
+            .when(job_key(&id), Revision::NONE)
+            .when(final_key(&id), Revision::NONE)
             .put(job_key(&id), value);
         self.store_new(&id, &transaction).await
     }
--- a/crates/fakes/src/store/data.rs
+++ b/crates/fakes/src/store/data.rs
@@ -2,6 +2,7 @@
 
 use crate::now;
 use corkfield_wire::store::{Change, Event, Failed, Item, Transaction};
+use corkfield_wire::Revision;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,7 +11,7 @@
 struct StoredValue {
     value: Value,
     /// The revision that wrote it.
-    version: u64,
+    version: Revision,
     /// The lease with which the key ends.
     lease: Option<u64>,
 }
@@ -32,7 +33,7 @@
 }
 
 struct RecordedEvent {
-    revision: u64,
+    revision: Revision,
     event: Event,
 }
 
@@ -62,7 +63,7 @@
 #[derive(Default)]
 pub(super) struct StoreData {
     keys: BTreeMap<String, StoredValue>,
-    pub revision: u64,
+    pub revision: Revision,
     events: Vec<RecordedEvent>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
@@ -82,8 +83,8 @@
     }
 
     /// The version of a key; 0 if there is none.
-    pub fn version(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |stored| stored.version)
+    pub fn version(&self, key: &str) -> Revision {
+        self.keys.get(key).map_or(Revision::NONE, |stored| stored.version)
     }
 
     pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
@@ -104,7 +105,7 @@
     }
 
     /// What happened to keys with a prefix after a revision.
-    pub fn events_after(&self, revision: u64, prefix: &str) -> Vec<Event> {
+    pub fn events_after(&self, revision: Revision, prefix: &str) -> Vec<Event> {
         let events = self
             .events
             .iter()
@@ -146,7 +147,7 @@
     }
 
     /// Executes a transaction whole or not at all; returns the revision after it.
-    pub fn execute(&mut self, transaction: Transaction) -> Result<u64, TransactionError> {
+    pub fn execute(&mut self, transaction: Transaction) -> Result<Revision, TransactionError> {
         self.most_changes = self.most_changes.max(transaction.changes.len());
         if transaction.changes.iter().any(|change| self.names_unknown_lease(change)) {
             return Err(TransactionError::UnknownLease);
@@ -161,7 +162,9 @@
             let failed = Failed { failed, revision: self.revision };
             return Err(TransactionError::ConditionsFailed(failed));
         }
-        self.revision += u64::from(!transaction.changes.is_empty());
+        if !transaction.changes.is_empty() {
+            self.revision = self.revision.next();
+        }
         for change in transaction.changes {
             self.apply_change(change);
         }
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -5,9 +5,10 @@
 use crate::{empty_response, json_response, now, numeric_parameter, query_parameter, sleep};
 use corkfield_http::{serve, Limits, Network, Request, Response};
 use corkfield_wire::store::{
-    Events, Grant, GrantRequest, Page, Revision, Transaction, PATH_KEYS, PATH_LEASES, PATH_RENEW,
-    PATH_TXN, PATH_WATCH,
+    Events, Grant, GrantRequest, Page, RevisionAnswer, Transaction, PATH_KEYS, PATH_LEASES,
+    PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
+use corkfield_wire::Revision;
 use data::{StoreData, TransactionError};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -112,7 +113,7 @@
     }
 
     /// The version of a key; 0 if there is none.
-    pub fn version(&self, key: &str) -> u64 {
+    pub fn version(&self, key: &str) -> Revision {
         self.data.borrow().version(key)
     }
 
@@ -224,7 +225,7 @@
         let data = self.data.borrow();
         match data.item(key) {
             Some(item) => json_response(200, &item),
-            None => json_response(404, &Revision { revision: data.revision }),
+            None => json_response(404, &RevisionAnswer { revision: data.revision }),
         }
     }
 
@@ -255,7 +256,7 @@
 
     async fn watch(&self, target: &str, refuses: &Cell<bool>) -> Response {
         let prefix = query_parameter(target, "prefix").unwrap_or("").to_owned();
-        let after: u64 = numeric_parameter(target, "after").unwrap_or(0);
+        let after = Revision::new(numeric_parameter(target, "after").unwrap_or(0));
         let wait_ms: u64 = numeric_parameter(target, "wait_ms").unwrap_or(0);
         let until = now() + Duration::from_millis(wait_ms);
         loop {
@@ -279,7 +280,7 @@
         match executed {
             Ok(revision) => {
                 self.changed.notify_waiters();
-                json_response(200, &Revision { revision })
+                json_response(200, &RevisionAnswer { revision })
             }
             Err(TransactionError::UnknownLease) => {
                 Response::new(400, b"{\"error\":\"no such lease\"}".to_vec())
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -4,9 +4,10 @@
 use crate::rate_limiter::{RateLimiter, RequestClass};
 use corkfield_http::{Client, ConnectionSizing, MalformedReply, Network, Reply};
 use corkfield_wire::store::{
-    Events, Failed, Grant, GrantRequest, Item, Page, Revision, Transaction, PATH_KEYS, PATH_LEASES,
-    PATH_RENEW, PATH_TXN, PATH_WATCH,
+    Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction, PATH_KEYS,
+    PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
+use corkfield_wire::Revision;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -95,7 +96,7 @@
         &self,
         class: RequestClass,
         prefix: &str,
-    ) -> Result<(Vec<Item>, u64), StateError> {
+    ) -> Result<(Vec<Item>, Revision), StateError> {
         let mut items: Vec<Item> = Vec::new();
         let mut first_revision = None;
         loop {
@@ -121,7 +122,7 @@
         &self,
         class: RequestClass,
         transaction: &Transaction,
-    ) -> Result<u64, StateError> {
+    ) -> Result<Revision, StateError> {
         let writes = transaction.changes.len() as f64;
         if writes > 0.0 {
             self.writes.take(class, writes).await;
@@ -131,7 +132,7 @@
         match reply.status {
             409 => Err(StateError::Conflict(reply.json::<Failed>()?.failed)),
             400 if reply.body_contains("no such lease") => Err(StateError::NoSuchLease),
-            _ => Ok(reply.success::<Revision>()?.revision),
+            _ => Ok(reply.success::<RevisionAnswer>()?.revision),
         }
     }
 
@@ -173,7 +174,7 @@
         &self,
         class: RequestClass,
         prefix: &str,
-        after: u64,
+        after: Revision,
         wait: Duration,
     ) -> Result<Events, StateError> {
         let wait_ms = wait.as_millis();
--- a/crates/state/src/client/tests.rs
+++ b/crates/state/src/client/tests.rs
@@ -27,7 +27,7 @@
     let addr = start_service(size).await;
     let client = StateClient::new(Rc::new(Tcp), addr, 100.0, 40.0, 1024 * 1024);
     assert!(client.list(RequestClass::Claim, "c/").await.is_ok(), "pages can be read");
-    client.changes(RequestClass::Claim, "c/", 1, Duration::ZERO).await
+    client.changes(RequestClass::Claim, "c/", Revision::new(1), Duration::ZERO).await
 }
 
 #[test]
--- a/crates/state/tests/answers.rs
+++ b/crates/state/tests/answers.rs
@@ -6,6 +6,7 @@
 use corkfield_http::Tcp;
 use corkfield_state::{RequestClass, StateClient, StateError};
 use corkfield_wire::store::Transaction;
+use corkfield_wire::Revision;
 use scripted_server::{run, serve_answers, Answer, Received};
 use serde_json::json;
 use std::rc::Rc;
@@ -20,7 +21,10 @@
 }
 
 fn transaction() -> Transaction {
-    Transaction::default().when("a/b", 0).put_leased("a/b", json!(1), 7).delete("c/d")
+    Transaction::default()
+        .when("a/b", Revision::new(0))
+        .put_leased("a/b", json!(1), 7)
+        .delete("c/d")
 }
 
 #[test]
@@ -37,14 +41,22 @@
         ])
         .await;
         let item = client.get(CLASS, "a/b").await.unwrap().unwrap();
-        assert_eq!((item.key.as_str(), item.version, item.lease), ("a/b", 412, Some(7)));
+        assert_eq!(
+            (item.key.as_str(), item.version, item.lease),
+            ("a/b", Revision::new(412), Some(7))
+        );
         let (items, revision) = client.list(CLASS, "c/").await.unwrap();
-        assert_eq!((items.len(), revision), (2, 431), "the revision of the first page");
-        assert_eq!(client.transaction(CLASS, &transaction()).await.unwrap(), 432);
+        assert_eq!(
+            (items.len(), revision),
+            (2, Revision::new(431)),
+            "the revision of the first page"
+        );
+        assert_eq!(client.transaction(CLASS, &transaction()).await.unwrap(), Revision::new(432));
         assert_eq!(client.grant(Duration::from_secs(5)).await.unwrap(), 7);
         client.renew(7, LIMIT).await.unwrap();
-        let changes = client.changes(CLASS, "c/", 8, Duration::from_millis(20)).await.unwrap();
-        assert_eq!(changes.revision, 9);
+        let changes =
+            client.changes(CLASS, "c/", Revision::new(8), Duration::from_millis(20)).await.unwrap();
+        assert_eq!(changes.revision, Revision::new(9));
         let expected = [
             "GET /kv/a/b ",
             "GET /kv?prefix=c/&limit=1000 ",
@@ -104,7 +116,7 @@
             let (client, _) = client_of(answers).await;
             let got = client.get(CLASS, "a").await;
             assert!(matches!(got, Err(StateError::Refused(s)) if s == expected), "{got:?}");
-            let watched = client.changes(CLASS, "c/", 1, Duration::ZERO).await;
+            let watched = client.changes(CLASS, "c/", Revision::new(1), Duration::ZERO).await;
             assert!(matches!(watched, Err(StateError::Refused(_))), "{watched:?}");
             let renewed = client.renew(7, LIMIT).await;
             assert!(matches!(renewed, Err(StateError::Refused(_))), "{renewed:?}");
@@ -116,7 +128,7 @@
 fn a_watch_from_a_revision_no_longer_kept_is_too_old() {
     run(async {
         let (client, _) = client_of(&[(410, "{}")]).await;
-        let watched = client.changes(CLASS, "c/", 1, Duration::ZERO).await;
+        let watched = client.changes(CLASS, "c/", Revision::new(1), Duration::ZERO).await;
         assert!(matches!(watched, Err(StateError::TooOld)), "{watched:?}");
     });
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -91,3 +91,20 @@
         Generation(self.0 >> COUNT_BITS)
     }
 }
+
+number! {
+    /// A revision of the state service's store, and the version of a key: the revision that wrote
+    /// it last.
+    Revision
+}
+
+impl Revision {
+    /// The version of a key that doesn't exist, and the revision of a store nothing was written to.
+    pub const NONE: Self = Self(0);
+
+    /// The revision after this one.
+    #[must_use]
+    pub const fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -3,6 +3,7 @@
 //! The protocol calls the revision of the whole store its `generation`, the version of a key its
 //! `stamp`, and a lease a `grant` or, on a key, a `claim`.
 
+use crate::ids::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -28,7 +29,7 @@
     pub value: Value,
     /// The revision of the key's last change (`stamp`).
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
     /// The lease that the key is attached to, if any (`claim`).
     #[serde(rename = "claim", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
@@ -44,7 +45,7 @@
     pub more: bool,
     /// The revision that the page was read at.
     #[serde(rename = "generation")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// What a transaction requires of a key.
@@ -55,7 +56,7 @@
     pub key: String,
     /// The version that it must have; 0 if it must not exist.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// What a transaction does to a key.
@@ -97,7 +98,7 @@
 impl Transaction {
     /// Adds the condition that the key has this version (0: doesn't exist).
     #[must_use]
-    pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
+    pub fn when(mut self, key: impl Into<String>, version: Revision) -> Self {
         self.conditions.push(Condition { key: key.into(), version });
         self
     }
@@ -126,10 +127,10 @@
 
 /// The answer to a transaction that was carried out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Revision {
+pub struct RevisionAnswer {
     /// The revision of its changes.
     #[serde(rename = "generation")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// The answer to a transaction whose conditions failed.
@@ -139,7 +140,7 @@
     pub failed: Vec<String>,
     /// The store's revision.
     #[serde(rename = "generation")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// The answer to a request for a lease.
@@ -171,7 +172,7 @@
         value: Value,
         /// Its new version.
         #[serde(rename = "stamp")]
-        version: u64,
+        version: Revision,
     },
     /// A key was removed, by a transaction or with its lease.
     Delete {
@@ -180,7 +181,7 @@
         key: String,
         /// The revision of the removal.
         #[serde(rename = "stamp")]
-        version: u64,
+        version: Revision,
     },
 }
 
@@ -189,7 +190,7 @@
 pub struct Events {
     /// The revision up to which all changes are reported; the next watch begins after it.
     #[serde(rename = "generation")]
-    pub revision: u64,
+    pub revision: Revision,
     /// All changes since the revision asked for (`log`).
     #[serde(rename = "log", default)]
     pub events: Vec<Event>,
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -3,14 +3,14 @@
 
 use corkfield_wire::cloud::{ListedState, MachineList, MachineNames, MachineTypes, RentRequest};
 use corkfield_wire::store::{
-    Events, Failed, Grant, GrantRequest, Item, Page, Revision, Transaction,
+    Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction,
 };
 use corkfield_wire::user::{ErrorView, JobKind, JobView};
 use corkfield_wire::worker::{
     DirectOrders, ExitCause, HeartbeatReply, Order, Redirect, TaskPhase, TaskStatus,
     WorkerHeartbeat,
 };
-use corkfield_wire::{Attempt, JobId, JobSpec, JobStatus, Priority, TaskId, Term};
+use corkfield_wire::{Attempt, JobId, JobSpec, JobStatus, Priority, Revision, TaskId, Term};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -181,12 +181,12 @@
 #[test]
 fn the_state_services_messages_keep_their_spelling() {
     let item: Item = round_trip(r#"{"k":"a/b","v":{"x":1},"stamp":412,"claim":7}"#);
-    assert_eq!((item.version, item.lease), (412, Some(7)));
+    assert_eq!((item.version, item.lease), (Revision::new(412), Some(7)));
     let page: Page =
         round_trip(r#"{"items":[{"k":"a","v":null,"stamp":1}],"truncated":true,"generation":431}"#);
-    assert_eq!((page.more, page.revision), (true, 431));
+    assert_eq!((page.more, page.revision), (true, Revision::new(431)));
     let transaction = Transaction::default()
-        .when("a/b", 0)
+        .when("a/b", Revision::new(0))
         .put("a/b", json!({"x": 1}))
         .put_leased("a/c", json!(2), 7)
         .delete("c/d");
@@ -196,12 +196,12 @@
     });
     assert_eq!(serde_json::to_value(&transaction).unwrap(), expected);
     assert_eq!(serde_json::from_value::<Transaction>(expected).unwrap(), transaction);
-    assert_eq!(round_trip::<Revision>(r#"{"generation":432}"#).revision, 432);
+    assert_eq!(round_trip::<RevisionAnswer>(r#"{"generation":432}"#).revision, Revision::new(432));
     round_trip::<Failed>(r#"{"failed":["a/b"],"generation":431}"#);
     assert_eq!(round_trip::<Grant>(r#"{"claim":7}"#).lease, 7);
     round_trip::<GrantRequest>(r#"{"ttl_ms":5000}"#);
     let events: Events = round_trip(
         r#"{"generation":433,"log":[{"put":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
     );
-    assert_eq!((events.revision, events.events.len()), (433, 2));
+    assert_eq!((events.revision, events.events.len()), (Revision::new(433), 2));
 }
