--- a/crates/core/src/machine/messages.rs
+++ b/crates/core/src/machine/messages.rs
@@ -1,7 +1,7 @@
 //! The order of a worker's messages, and which of them are outdated (S10).
 
 use corkfield_wire::worker::WorkerHeartbeat;
-use corkfield_wire::Term;
+use corkfield_wire::{AgentEpoch, Term};
 
 /// So many heartbeats with low numbers, each above the one before, and no others, are a reason
 /// to ask the worker whether it has restarted its numbering.
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageNumber {
     /// The agent epoch in which it was sent.
-    pub(crate) agent_epoch: u64,
+    pub(crate) agent_epoch: AgentEpoch,
     /// Its number in that epoch.
     pub(crate) sequence: u64,
 }
@@ -28,7 +28,7 @@
     /// The newest message that was accepted.
     newest: MessageNumber,
     /// Agent epochs up to this one are known to have ended.
-    ended_agent_epochs: u64,
+    ended_agent_epochs: AgentEpoch,
     /// The highest term that the messages have shown.
     highest_term: Term,
     /// The newest heartbeat of those that were outdated since the last accepted message.
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -2,7 +2,7 @@
 
 use super::Need;
 use crate::team::Usage;
-use corkfield_wire::{Attempt, JobId, JobSpec, Priority, TaskId};
+use corkfield_wire::{AgentEpoch, Attempt, JobId, JobSpec, Priority, TaskId};
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
@@ -31,7 +31,7 @@
     /// The start was sent as the answer to the heartbeat with this agent epoch and number (S3).
     Ordered {
         /// Agent epoch of the heartbeat that was answered.
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         /// Number of that heartbeat.
         sequence: u64,
     },
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -5,7 +5,7 @@
 use super::lease::WorkerLease;
 use super::messages::MessageHistory;
 use super::{MessageNumber, Reachability};
-use corkfield_wire::{JobId, Term};
+use corkfield_wire::{AgentEpoch, JobId, Term};
 use std::time::{Duration, Instant};
 
 const LEASE: Duration = Duration::from_secs(10);
@@ -15,7 +15,7 @@
 }
 
 fn number(agent_epoch: u64, sequence: u64) -> MessageNumber {
-    MessageNumber { agent_epoch, sequence }
+    MessageNumber { agent_epoch: AgentEpoch::new(agent_epoch), sequence }
 }
 
 #[test]
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -4,6 +4,7 @@
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::Order;
+use corkfield_wire::AgentEpoch;
 
 /// What the world outside should do.
 #[derive(Debug, Clone, PartialEq)]
@@ -17,7 +18,7 @@
         /// Where its worker takes direct orders.
         addr: String,
         /// The agent epoch that the orders are for.
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         /// What to do, in order.
         orders: Vec<Order>,
     },
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -5,7 +5,7 @@
 use crate::job::{JobState, Placed};
 use crate::machine::{Machine, MachineTaskState, TaskAttempt};
 use corkfield_wire::worker::Order;
-use corkfield_wire::{JobId, TaskId};
+use corkfield_wire::{AgentEpoch, JobId, TaskId};
 
 impl Scheduler {
     /// Closes all jobs that are no longer unfinished.
@@ -35,7 +35,7 @@
     pub(super) fn stop_job(&mut self, id: &JobId) {
         for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             let stops = stop_tasks_of(machine, id);
-            if !stops.is_empty() && machine.messages.newest().agent_epoch > 0 {
+            if !stops.is_empty() && machine.messages.newest().agent_epoch > AgentEpoch::default() {
                 self.actions.push(direct_orders(machine, stops));
             }
         }
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -4,6 +4,7 @@
 use crate::machine::{Machine, MachineState, MessageNumber, Reachability};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
+use corkfield_wire::AgentEpoch;
 use std::time::{Duration, Instant};
 
 /// After a failover machines have a heartbeat interval and this long to show what they hold.
@@ -37,7 +38,7 @@
 
     /// Machines that have to be asked, under our term, what they hold, or whether orders reach
     /// them: name, address and agent epoch of each.
-    pub fn fence_targets(&self) -> Vec<(String, String, u64)> {
+    pub fn fence_targets(&self) -> Vec<(String, String, AgentEpoch)> {
         let asked = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
@@ -47,7 +48,7 @@
         });
         asked
             .map(|machine| {
-                let agent_epoch = machine.messages.newest().agent_epoch.max(1);
+                let agent_epoch = machine.messages.newest().agent_epoch.max(AgentEpoch::FIRST);
                 (machine.name.clone(), machine.addr.clone(), agent_epoch)
             })
             .collect()
@@ -55,7 +56,7 @@
 
     /// The newest message known of a machine, as agent epoch and sequence: what it says in answer
     /// to a question asked after this is newer.
-    pub fn newest_message(&self, name: &str) -> (u64, u64) {
+    pub fn newest_message(&self, name: &str) -> (AgentEpoch, u64) {
         let newest = self.cluster.machines.get(name).map(|machine| machine.messages.newest());
         let MessageNumber { agent_epoch, sequence } = newest.unwrap_or_default();
         (agent_epoch, sequence)
@@ -66,7 +67,7 @@
     pub fn on_direct_orders_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        known: (u64, u64),
+        known: (AgentEpoch, u64),
         now: Instant,
     ) -> Verdict {
         let verdict = self.on_heartbeat(heartbeat, false, now);
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -4,7 +4,7 @@
 use crate::job::Job;
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, MessageNumber};
 use corkfield_wire::worker::Order;
-use corkfield_wire::JobId;
+use corkfield_wire::{AgentEpoch, JobId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -40,7 +40,7 @@
     pub fn orders(
         &mut self,
         name: &str,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         sequence: u64,
         may_start: bool,
         now: Instant,
@@ -123,7 +123,7 @@
             task = %key.task,
             machine = machine.name,
             attempt = key.attempt.get(),
-            agent_epoch,
+            agent_epoch = agent_epoch.get(),
             sequence,
             waited_ms,
             "start ordered"
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, MachineTaskState};
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Attempt, JobId, Priority, Revision, TaskId, TaskSet};
+use corkfield_wire::{AgentEpoch, Attempt, JobId, Priority, Revision, TaskId, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -16,12 +16,15 @@
     let (mut scheduler, attempt) = scheduler_with_start_sent(now);
     let done = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Done));
     scheduler.on_heartbeat(&heartbeat(3, 1, vec![done.clone()]), true, now);
-    assert!(scheduler.orders("host-1", 1, 3, true, now).is_empty(), "S9");
+    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 3, true, now).is_empty(), "S9");
     let due = scheduler.due_completion_commits(4, now);
     assert!(due[0].finishes);
     scheduler.completion_committed(&due[0], Revision::new(6));
     scheduler.on_heartbeat(&heartbeat(4, 1, vec![done]), true, now);
-    assert!(matches!(scheduler.orders("host-1", 1, 4, true, now)[..], [Order::Forget { .. }]));
+    assert!(matches!(
+        scheduler.orders("host-1", AgentEpoch::new(1), 4, true, now)[..],
+        [Order::Forget { .. }]
+    ));
     let states: Vec<MachineTaskState> =
         scheduler.machine("host-1").expect("known").tasks.values().map(|task| task.state).collect();
     assert_eq!(states, [MachineTaskState::Done]);
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -7,7 +7,7 @@
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{Attempt, Generation, JobId, Revision, TaskSet, Term};
+use corkfield_wire::{AgentEpoch, Attempt, Generation, JobId, Revision, TaskSet, Term};
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
@@ -122,7 +122,7 @@
         let verdict = scheduler.on_heartbeat(&heartbeat(round + 2, 6, Vec::new()), true, now);
         scheduler.tick(now);
         if verdict == Verdict::Accept {
-            scheduler.orders("host-1", 1, round + 2, true, now);
+            scheduler.orders("host-1", AgentEpoch::new(1), round + 2, true, now);
         }
     }
     assert!(scheduler.is_reconciled(), "the answer limit and a lease have passed");
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -7,7 +7,7 @@
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Attempt, JobId, Priority, Revision, TaskId, TaskSet, Term};
+use corkfield_wire::{AgentEpoch, Attempt, JobId, Priority, Revision, TaskId, TaskSet, Term};
 use std::time::{Duration, Instant};
 
 /// Carries out an order at once on a machine without limits; true if it started a task.
@@ -71,7 +71,7 @@
             let ahead = active_task_count(&scheduler);
             assert_eq!(ahead, 3, "ahead of others only as far as the guarantee goes");
         }
-        for order in scheduler.orders("host-1", 1, second + 1, true, now) {
+        for order in scheduler.orders("host-1", AgentEpoch::new(1), second + 1, true, now) {
             starts += u32::from(execute_order(&mut tasks, order));
         }
     }
@@ -126,7 +126,7 @@
             scheduler.completion_committed(&completion_commit, Revision::new(8));
         }
         scheduler.run_placement_pass(now);
-        for order in scheduler.orders("host-1", 1, second + 1, true, now) {
+        for order in scheduler.orders("host-1", AgentEpoch::new(1), second + 1, true, now) {
             match order {
                 Order::Start { task, attempt } => {
                     if let Some(index) = watched.iter().position(|id| *id == task.job) {
@@ -170,7 +170,7 @@
     assert_eq!(active_task_count(&scheduler), 0, "the CPU that is left is kept for the urgent job");
     let later = start + Duration::from_secs(61);
     send_heartbeat(&mut scheduler, 2, later);
-    scheduler.orders("host-1", 1, 2, false, later);
+    scheduler.orders("host-1", AgentEpoch::new(1), 2, false, later);
     scheduler.run_placement_pass(later);
     scheduler.tick(later);
     scheduler.run_placement_pass(later);
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -8,7 +8,7 @@
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::worker::TaskPhase;
-use corkfield_wire::{JobSpec, Revision, TaskSet};
+use corkfield_wire::{AgentEpoch, JobSpec, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -25,7 +25,7 @@
     assert_eq!(active_task_count(&scheduler), 1);
     // A later agent epoch has none of the tasks of the one before.
     let mut next = heartbeat(1, 1, Vec::new());
-    next.agent_epoch = 2;
+    next.agent_epoch = AgentEpoch::new(2);
     assert_eq!(scheduler.on_heartbeat(&next, true, now), Verdict::Accept);
     assert!(active_tasks(&scheduler).is_empty());
 }
@@ -62,7 +62,7 @@
     let up = start + Duration::from_secs(50);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, up), Verdict::Accept);
     scheduler.tick(up + Duration::from_millis(100));
-    scheduler.orders("host-1", 1, 1, true, up + Duration::from_millis(200));
+    scheduler.orders("host-1", AgentEpoch::new(1), 1, true, up + Duration::from_millis(200));
     let next = up + Duration::from_secs(2);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, next), Verdict::Accept);
     // The same when it is back after its lease expired.
@@ -73,7 +73,7 @@
         Verdict::Stale
     );
     let mut back = heartbeat(4, 1, Vec::new());
-    back.agent_epoch = 2;
+    back.agent_epoch = AgentEpoch::new(2);
     assert_eq!(scheduler.on_heartbeat(&back, true, lease_expiry), Verdict::Accept);
     scheduler.tick(lease_expiry + Duration::from_millis(100));
     back.sequence = 5;
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Scheduler};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Priority, Revision, TaskSet};
+use corkfield_wire::{AgentEpoch, Priority, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -56,7 +56,7 @@
         self.sequence += 1;
         let heartbeat = heartbeat_from(self.name, self.sequence, tasks);
         scheduler.on_heartbeat(&heartbeat, true, now);
-        scheduler.orders(self.name, 1, self.sequence, true, now)
+        scheduler.orders(self.name, AgentEpoch::new(1), self.sequence, true, now)
     }
 
     /// Is given tasks, which run for `run`, and whose end is reported `delay` later. Heartbeats
@@ -106,7 +106,7 @@
 /// A heartbeat without tasks, answered while no start may be sent.
 fn send_idle_heartbeat(scheduler: &mut Scheduler, machine: &str, sequence: u64, now: Instant) {
     scheduler.on_heartbeat(&heartbeat_from(machine, sequence, Vec::new()), true, now);
-    scheduler.orders(machine, 1, sequence, false, now);
+    scheduler.orders(machine, AgentEpoch::new(1), sequence, false, now);
 }
 
 struct MachineSpeedCase {
@@ -194,7 +194,7 @@
     for number in 0..40 {
         let name = format!("host-{number}");
         scheduler.on_heartbeat(&heartbeat_from(&name, 2, Vec::new()), true, later);
-        scheduler.orders(&name, 1, 2, true, later);
+        scheduler.orders(&name, AgentEpoch::new(1), 2, true, later);
     }
     scheduler.run_placement_pass(later);
     let stops = scheduler.take_actions();
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{Attempt, Generation, Revision, TaskSet};
+use corkfield_wire::{AgentEpoch, Attempt, Generation, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -42,12 +42,12 @@
     );
     scheduler.run_placement_pass(now);
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
-    assert!(scheduler.orders("host-1", 1, 2, false, now).is_empty(), "S4");
+    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 2, false, now).is_empty(), "S4");
     assert!(
-        scheduler.orders("host-1", 1, 1, true, now).is_empty(),
+        scheduler.orders("host-1", AgentEpoch::new(1), 1, true, now).is_empty(),
         "that heartbeat's worker has left"
     );
-    assert_eq!(scheduler.orders("host-1", 1, 2, true, now).len(), 1);
+    assert_eq!(scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now).len(), 1);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let stopped = task_status(first, TaskPhase::Exited, Some(ExitCause::Stopped));
     scheduler.on_heartbeat(&heartbeat(3, 1, vec![stopped.clone()]), true, now);
     scheduler.run_placement_pass(now);
-    let orders = scheduler.orders("host-1", 1, 3, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 3, true, now);
     assert!(matches!(orders[..], [Order::Forget { .. }, Order::Start { .. }]), "{orders:?}");
     let second = active_tasks(&scheduler)[&0].attempt;
     let running = task_status(second, TaskPhase::Running, None);
@@ -155,9 +155,9 @@
     let running = task_status(Attempt::new(9), TaskPhase::Running, None);
     scheduler.set_unclaimed([first_job_id()].into());
     scheduler.on_heartbeat(&heartbeat(1, 1, vec![running.clone()]), true, now);
-    assert!(scheduler.orders("host-1", 1, 1, true, now).is_empty());
+    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 1, true, now).is_empty());
     scheduler.set_unclaimed([].into());
     scheduler.on_heartbeat(&heartbeat(2, 1, vec![running]), true, now);
-    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
     assert!(matches!(orders[..], [Order::Stop { .. }]), "S11: {orders:?}");
 }
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -7,7 +7,7 @@
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
 use corkfield_wire::{
-    Attempt, Generation, JobId, JobSpec, Priority, Revision, TaskId, TaskSet, Term,
+    AgentEpoch, Attempt, Generation, JobId, JobSpec, Priority, Revision, TaskId, TaskSet, Term,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -96,7 +96,7 @@
         machine_type: "box".into(),
         zone: "z".into(),
         spot: false,
-        agent_epoch: 1,
+        agent_epoch: AgentEpoch::new(1),
         sequence,
         term: Term::new(term),
         notice_s: None,
@@ -130,7 +130,7 @@
     );
     scheduler.run_placement_pass(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now), Verdict::Accept);
-    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
     let [Order::Start { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
     (scheduler, attempt)
 }
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -6,7 +6,7 @@
 use crate::Cli;
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::worker::{HeartbeatReply, Order, WorkerHeartbeat};
-use corkfield_wire::{Revision, TaskSet, Term};
+use corkfield_wire::{AgentEpoch, Revision, TaskSet, Term};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::time::{Duration, Instant};
@@ -198,7 +198,13 @@
         let worker = &mut self.workers[pending.worker];
         let scheduler = &mut self.scheduler;
         let orders = self.costs.replies.measure(|| {
-            let orders = scheduler.orders(&worker.name, 1, pending.sequence, true, now.instant);
+            let orders = scheduler.orders(
+                &worker.name,
+                AgentEpoch::new(1),
+                pending.sequence,
+                true,
+                now.instant,
+            );
             let reply = HeartbeatReply { term: TERM, orders };
             // Encoding is a part of the cost.
             std::hint::black_box(serde_json::to_vec(&reply).map_or(0, |body| body.len()));
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -3,7 +3,7 @@
 use crate::workload::{mean_run_s, SIZES};
 use crate::Cli;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{Attempt, TaskId, Term};
+use corkfield_wire::{AgentEpoch, Attempt, TaskId, Term};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -128,7 +128,7 @@
             machine_type: SIZES[self.size].name.to_owned(),
             zone: self.zone.clone(),
             spot: true,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch::new(1),
             sequence: self.sequence,
             term: self.term,
             notice_s: None,
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -6,6 +6,7 @@
 use corkfield_core::Verdict;
 use corkfield_http::Client;
 use corkfield_wire::worker::{DirectOrders, Order, WorkerHeartbeat, PATH_COMMANDS};
+use corkfield_wire::AgentEpoch;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -26,7 +27,7 @@
     /// Address at which the machine's worker takes direct orders.
     pub(super) addr: String,
     /// The agent epoch that the orders are for.
-    pub(super) agent_epoch: u64,
+    pub(super) agent_epoch: AgentEpoch,
 }
 
 /// Machines to which direct orders are under way, and how many.
@@ -76,7 +77,7 @@
     /// The machine's answer was taken up.
     Answered,
     /// The machine refused the orders: it is in this agent epoch.
-    OtherAgentEpoch(u64),
+    OtherAgentEpoch(AgentEpoch),
     /// No answer, none that can be used, or one that shows a higher term than ours.
     Unusable,
 }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -139,7 +139,7 @@
         scheduler: &RefCell<Scheduler>,
         heartbeat: &WorkerHeartbeat,
     ) -> Option<Response> {
-        let WorkerHeartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
+        let WorkerHeartbeat { machine, sequence, .. } = heartbeat;
         // S6: without fresh state a cancellation may have been missed; the machines' leases have
         // to run out while there is time.
         if !self.may_answer() {
@@ -148,6 +148,7 @@
         }
         let verdict = scheduler.borrow_mut().on_heartbeat(heartbeat, true, now());
         if verdict != Verdict::Accept {
+            let agent_epoch = heartbeat.agent_epoch.get();
             tracing::debug!(%machine, agent_epoch, sequence, ?verdict, "heartbeat not accepted");
         }
         match verdict {
--- a/crates/corkfield/tests/scenarios/fleet/large.rs
+++ b/crates/corkfield/tests/scenarios/fleet/large.rs
@@ -5,7 +5,7 @@
     is_transaction_with, job_spec, scenario_with_grants, sleep_s, Grants, CANCEL_S,
 };
 use corkfield_fakes::Fault;
-use corkfield_wire::JobSpec;
+use corkfield_wire::{AgentEpoch, JobSpec};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -47,7 +47,7 @@
             cluster.assert_started_once(job, "no lease expired");
         }
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
-        assert_eq!(agent_epochs, Some(1), "no lease expired");
+        assert_eq!(agent_epochs, Some(AgentEpoch::new(1)), "no lease expired");
         sleep_s(CANCEL_S).await;
     });
 }
--- a/crates/corkfield/tests/scenarios/fleet/mod.rs
+++ b/crates/corkfield/tests/scenarios/fleet/mod.rs
@@ -7,7 +7,7 @@
 };
 use corkfield_http::Network;
 use corkfield_wire::user::PATH_JOBS;
-use corkfield_wire::JobSpec;
+use corkfield_wire::{AgentEpoch, JobSpec};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
@@ -136,7 +136,7 @@
         cluster.submit(&job, 40.0).await;
         sleep_s(30.0).await;
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
-        assert_eq!(agent_epochs, Some(1), "no lease expired");
+        assert_eq!(agent_epochs, Some(AgentEpoch::new(1)), "no lease expired");
         cluster.wait_until_done(&job.id, 60.0).await;
         assert_eq!(cluster.history.total_starts(), job.tasks, "nothing is started again");
     });
--- a/crates/corkfield/tests/scenarios/machines.rs
+++ b/crates/corkfield/tests/scenarios/machines.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_fakes::JobPlan;
 use corkfield_wire::records::machine_key;
-use corkfield_wire::JobStatus;
+use corkfield_wire::{AgentEpoch, JobStatus};
 
 #[test]
 fn a_failover_waits_for_a_hung_machine_until_its_lease_has_surely_expired() {
@@ -44,7 +44,7 @@
         // Its worker still holds the tasks, but its lease is over: it forgets them when it wakes.
         worker.set_hung(false);
         cluster.wait_until_done(&job.id, 120.0).await;
-        assert!(worker.agent_epoch() > 1);
+        assert!(worker.agent_epoch() > AgentEpoch::new(1));
     });
 }
 
@@ -83,7 +83,7 @@
         let before = cluster.history.starts_on(&cut_off.settings.name);
         sleep_s(12.0).await;
         assert!(cluster.history.starts_on(&cut_off.settings.name) > before, "it is given work");
-        assert_eq!(cut_off.agent_epoch(), 1, "its lease never ran out");
+        assert_eq!(cut_off.agent_epoch(), AgentEpoch::new(1), "its lease never ran out");
         assert_eq!(cluster.leader(), leader, "others reach the leader, so it stays");
         cluster.wait_until_done(&job.id, 120.0).await;
     });
--- a/crates/fakes/src/worker/heartbeats.rs
+++ b/crates/fakes/src/worker/heartbeats.rs
@@ -5,6 +5,7 @@
 use crate::{now, sleep};
 use corkfield_http::{Client, ClientError, Network, Reply};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, PATH_HEARTBEAT};
+use corkfield_wire::AgentEpoch;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -110,7 +111,7 @@
 
     /// Renews the lease and executes the orders, unless the reply is of an earlier leader or to a
     /// heartbeat of an earlier agent epoch.
-    fn take_reply(&self, reply: HeartbeatReply, agent_epoch: u64, sent: Instant) {
+    fn take_reply(&self, reply: HeartbeatReply, agent_epoch: AgentEpoch, sent: Instant) {
         {
             let mut state = self.state.borrow_mut();
             let valid = reply.term >= state.term && agent_epoch == state.agent_epoch;
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::{now, sleep};
 use corkfield_http::Network;
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{Attempt, TaskId, Term};
+use corkfield_wire::{AgentEpoch, Attempt, TaskId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
 
 /// What the worker knows; it loses its tasks when its machine is gone or its lease expires.
 struct WorkerState {
-    agent_epoch: u64,
+    agent_epoch: AgentEpoch,
     sequence: u64,
     /// The highest term it has seen.
     term: Term,
@@ -70,7 +70,7 @@
 impl WorkerState {
     fn new() -> Self {
         Self {
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch::FIRST,
             sequence: 0,
             term: Term::default(),
             renewed: now(),
@@ -161,7 +161,7 @@
     pub fn restart(&self) {
         self.drop_tasks();
         let mut state = self.state.borrow_mut();
-        (state.agent_epoch, state.sequence, state.term) = (1, 0, Term::default());
+        (state.agent_epoch, state.sequence, state.term) = (AgentEpoch::FIRST, 0, Term::default());
         state.renewed = now();
         self.changed.notify_one();
     }
@@ -172,7 +172,7 @@
     }
 
     /// Its agent epoch: 1, and one more after each lease that expired.
-    pub fn agent_epoch(&self) -> u64 {
+    pub fn agent_epoch(&self) -> AgentEpoch {
         self.state.borrow().agent_epoch
     }
 
@@ -209,7 +209,7 @@
         if now() > self.state.borrow().renewed + self.settings.lease {
             self.drop_tasks();
             let mut state = self.state.borrow_mut();
-            state.agent_epoch += 1;
+            state.agent_epoch = state.agent_epoch.next();
             state.renewed = now();
             self.changed.notify_one();
         }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -108,3 +108,20 @@
         Self(self.0 + 1)
     }
 }
+
+number! {
+    /// An agent epoch of a worker: raised each time the worker's lease expires. 0 is before the
+    /// first.
+    AgentEpoch
+}
+
+impl AgentEpoch {
+    /// The epoch that a worker begins with.
+    pub const FIRST: Self = Self(1);
+
+    /// The epoch after this one.
+    #[must_use]
+    pub const fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! What workers send, and the orders they take.
 
-use crate::ids::{Attempt, Term};
+use crate::ids::{AgentEpoch, Attempt, Term};
 use crate::job_id::JobId;
 use crate::text::ParsedText;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -130,7 +130,7 @@
     pub spot: bool,
     /// From 1; raised each time the worker's lease expires.
     #[serde(rename = "tenure")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Raised with each message of the worker. The message with the larger agent epoch and
     /// sequence is the newer one (S10).
     #[serde(rename = "serial")]
@@ -214,7 +214,7 @@
     pub term: Term,
     /// The agent epoch of the worker that they are meant for.
     #[serde(rename = "tenure")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Carried out in this order. None: a fence, which only shows the worker the term.
     pub orders: Vec<Order>,
 }
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -10,7 +10,9 @@
     DirectOrders, ExitCause, HeartbeatReply, Order, Redirect, TaskPhase, TaskStatus,
     WorkerHeartbeat,
 };
-use corkfield_wire::{Attempt, JobId, JobSpec, JobStatus, Priority, Revision, TaskId, Term};
+use corkfield_wire::{
+    AgentEpoch, Attempt, JobId, JobSpec, JobStatus, Priority, Revision, TaskId, Term,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -99,7 +101,10 @@
         "pieces":[{"piece":"j-000412/3","try":2,"status":"running"},
         {"piece":"j-000398/0","try":1,"status":"exited","cause":"halted","stored":true}]}"#,
     );
-    assert_eq!((heartbeat.agent_epoch, heartbeat.sequence, heartbeat.term), (1, 88, Term::new(41)));
+    assert_eq!(
+        (heartbeat.agent_epoch, heartbeat.sequence, heartbeat.term),
+        (AgentEpoch::new(1), 88, Term::new(41))
+    );
     let exited = TaskStatus {
         task: TaskId::parse("j-000398/0").unwrap(),
         attempt: Attempt::new(1),
@@ -150,7 +155,7 @@
         [Order::Start { .. }, Order::Stop { grace_s: 10.0, .. }, Order::Forget { .. }]
     ));
     let orders: DirectOrders = round_trip(r#"{"epoch":41,"tenure":1,"orders":[]}"#);
-    assert_eq!((orders.term, orders.agent_epoch), (Term::new(41), 1));
+    assert_eq!((orders.term, orders.agent_epoch), (Term::new(41), AgentEpoch::new(1)));
     let redirect: Redirect = round_trip(r#"{"upstream":"worker-2"}"#);
     assert_eq!(redirect.report_to.as_deref(), Some("worker-2"));
     assert_eq!(round_trip::<Redirect>("{}").report_to, None);
