--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -1,8 +1,8 @@
 //! Attempt numbers, the order of starts, back-off and refunds of a job.
 
-use super::{AttemptNumber, CommitUrgency, Job, JobState};
+use super::{CommitUrgency, Job, JobState};
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{JobSpec, TaskSet};
+use corkfield_wire::{Attempt, Generation, JobSpec, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 fn record(tasks: u32) -> JobRecord {
@@ -18,14 +18,14 @@
 }
 
 fn claimed_job(record: JobRecord, now: Instant) -> Job {
-    Job::new(record, TaskSet::default(), 1, 0, Duration::ZERO, now)
+    Job::new(record, TaskSet::default(), Revision::new(1), 0, Duration::ZERO, now)
 }
 
 #[test]
 fn an_attempt_number_carries_its_generation() {
-    let attempt = AttemptNumber::new(7, 3);
+    let attempt = Attempt::in_generation(Generation::new(7), 3);
     assert_eq!(attempt.get(), (7 << 24) | 3);
-    assert_eq!(AttemptNumber::from(attempt.get()).generation(), 7);
+    assert_eq!(Attempt::new(attempt.get()).generation(), Generation::new(7));
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let second = job.next_attempt();
     let mut again = job.record.clone();
     again.claim("owner".into());
-    job.reclaimed(again, 2, now);
+    job.reclaimed(again, Revision::new(2), now);
     assert!(first < second && second < job.next_attempt());
 }
 
@@ -44,11 +44,11 @@
 fn a_task_that_came_off_its_machine_is_started_before_new_ones() {
     let mut job = claimed_job(record(4), Instant::now());
     let first = job.take_waiting(false).expect("a waiting task");
-    job.place(first, "host-1", 1);
+    job.place(first, "host-1", Attempt::new(1));
     assert_eq!(job.startable(false), 3);
-    job.release(first, "host-1", 2);
+    job.release(first, "host-1", Attempt::new(2));
     assert_eq!(job.startable(false), 3, "another attempt says nothing about this one");
-    job.release(first, "host-1", 1);
+    job.release(first, "host-1", Attempt::new(1));
     assert_eq!(job.startable(false), 4);
     assert_eq!(job.take_waiting(false), Some(first));
 }
@@ -84,7 +84,7 @@
     job.back_off(now);
     assert!(matches!(job.state(), JobState::BackingOff(until) if until > now));
     job.enter(JobState::NeedsReclaim);
-    job.reclaimed(record(1), 2, now);
+    job.reclaimed(record(1), Revision::new(2), now);
     assert_eq!(job.state(), JobState::Active);
     job.enter(JobState::Closing);
     job.enter(JobState::Active);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,7 +17,7 @@
 mod team;
 
 pub use config::Config;
-pub use job::{AttemptNumber, Job, JobState, Placed};
+pub use job::{Job, JobState, Placed};
 pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
 pub use scaling::RentalFailure;
 pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -2,7 +2,7 @@
 
 use super::Need;
 use crate::team::Usage;
-use corkfield_wire::{JobId, JobSpec, Priority, TaskId};
+use corkfield_wire::{AgentEpoch, Attempt, JobId, JobSpec, Priority, TaskId};
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
@@ -31,7 +31,7 @@
     /// The start was sent as the answer to the heartbeat with this agent epoch and number (S3).
     Ordered {
         /// Agent epoch of the heartbeat that was answered.
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         /// Number of that heartbeat.
         sequence: u64,
     },
@@ -52,8 +52,8 @@
 pub struct TaskAttempt {
     /// The task.
     pub task: TaskId,
-    /// The attempt number; see [`crate::job::AttemptNumber`].
-    pub attempt: u64,
+    /// The number of the attempt.
+    pub attempt: Attempt,
 }
 
 /// What a task takes, and on whose account.
@@ -245,7 +245,10 @@
 impl MachineTasks {
     /// Whether any task of the job is, or may be, here.
     pub(crate) fn has_tasks_of(&self, job: &JobId) -> bool {
-        let first = TaskAttempt { task: TaskId { job: job.clone(), index: 0 }, attempt: 0 };
+        let first = TaskAttempt {
+            task: TaskId { job: job.clone(), index: 0 },
+            attempt: Attempt::default(),
+        };
         self.tasks.range(first..).next().is_some_and(|(key, _)| key.task.job == *job)
     }
 
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -4,7 +4,7 @@
 use crate::job::{Job, JobState};
 use crate::machine::MachineTaskState;
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{JobId, TaskSet};
+use corkfield_wire::{JobId, Revision, TaskSet};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -27,7 +27,7 @@
         &mut self,
         record: JobRecord,
         finished: TaskSet,
-        version: u64,
+        version: Revision,
         age: Duration,
         now: Instant,
     ) {
@@ -86,7 +86,7 @@
         estimate_s = spec.estimate_s,
         deadline_s = spec.deadline_s,
         age_s = age.as_secs_f64(),
-        generation = job.record.generation,
+        generation = job.record.generation.get(),
         claims = job.record.claims,
         "job claimed"
     );
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -1,10 +1,10 @@
 //! Answers to heartbeats: which orders leave with them, and how long an answer may wait.
 
 use super::Scheduler;
-use crate::job::{AttemptNumber, Job};
+use crate::job::Job;
 use crate::machine::{Machine, MachineState, MachineTask, MachineTaskState, MessageNumber};
 use corkfield_wire::worker::Order;
-use corkfield_wire::JobId;
+use corkfield_wire::{AgentEpoch, JobId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -40,7 +40,7 @@
     pub fn orders(
         &mut self,
         name: &str,
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         sequence: u64,
         may_start: bool,
         now: Instant,
@@ -116,14 +116,14 @@
             continue;
         };
         // The order's generation must be that of the job's record.
-        debug_assert_eq!(AttemptNumber::from(key.attempt).generation(), job.record.generation);
+        debug_assert_eq!(key.attempt.generation(), job.record.generation);
         let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
         machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
         tracing::debug!(
             task = %key.task,
             machine = machine.name,
-            attempt = key.attempt,
-            agent_epoch,
+            attempt = key.attempt.get(),
+            agent_epoch = agent_epoch.get(),
             sequence,
             waited_ms,
             "start ordered"
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -7,7 +7,7 @@
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{JobId, Priority, TaskId, TaskSet};
+use corkfield_wire::{AgentEpoch, Attempt, JobId, Priority, Revision, TaskId, TaskSet, Term};
 use std::time::{Duration, Instant};
 
 /// Carries out an order at once on a machine without limits; true if it started a task.
@@ -32,7 +32,7 @@
     false
 }
 
-fn running_status(task: TaskId, attempt: u64) -> TaskStatus {
+fn running_status(task: TaskId, attempt: Attempt) -> TaskStatus {
     TaskStatus { task, attempt, phase: TaskPhase::Running, cause: None, saved: None }
 }
 
@@ -42,7 +42,7 @@
     let mut config = config();
     let with_quota = Team { name: "g".into(), cpus: 3.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     config.teams.push(with_quota);
-    let mut scheduler = Scheduler::new(config, 1, 1);
+    let mut scheduler = Scheduler::new(config, Term::new(1), 1);
     scheduler.set_types(vec![machine_type()]);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
     scheduler.on_machine_record_written("host-1", true);
@@ -52,8 +52,8 @@
     let mut normal = job_record(30, 1);
     normal.spec.id = second_job_id();
     normal.spec.estimate_s = 300.0;
-    scheduler.on_job_claimed(low, TaskSet::default(), 5, Duration::ZERO, start);
-    scheduler.on_job_claimed(normal, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler.on_job_claimed(low, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
+    scheduler.on_job_claimed(normal, TaskSet::default(), Revision::new(6), Duration::ZERO, start);
     scheduler
 }
 
@@ -71,7 +71,7 @@
             let ahead = active_task_count(&scheduler);
             assert_eq!(ahead, 3, "ahead of others only as far as the guarantee goes");
         }
-        for order in scheduler.orders("host-1", 1, second + 1, true, now) {
+        for order in scheduler.orders("host-1", AgentEpoch::new(1), second + 1, true, now) {
             starts += u32::from(execute_order(&mut tasks, order));
         }
     }
@@ -111,22 +111,22 @@
     let largest = numbered_job(1, 3000, Priority::Normal);
     let low = numbered_job(2, 10, Priority::Low);
     let watched = [largest.spec.id.clone(), low.spec.id.clone()];
-    scheduler.on_job_claimed(largest, TaskSet::default(), 5, Duration::ZERO, start);
-    scheduler.on_job_claimed(low, TaskSet::default(), 6, Duration::ZERO, start);
+    scheduler.on_job_claimed(largest, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
+    scheduler.on_job_claimed(low, TaskSet::default(), Revision::new(6), Duration::ZERO, start);
     let mut tasks: Vec<TimedTask> = Vec::new();
     let mut first_starts = [None; 2];
     for second in 1..240 {
         let now = start + Duration::from_secs(second);
         // More small jobs than there is room for, all day long.
         let small = numbered_job(100 + second, 6, Priority::Normal);
-        scheduler.on_job_claimed(small, TaskSet::default(), 7, Duration::ZERO, now);
+        scheduler.on_job_claimed(small, TaskSet::default(), Revision::new(7), Duration::ZERO, now);
         let statuses = tasks.iter().map(|task| task.status_in(second)).collect();
         scheduler.on_heartbeat(&heartbeat(second + 1, 1, statuses), true, now);
         for completion_commit in scheduler.due_completion_commits(100, now) {
-            scheduler.completion_committed(&completion_commit, 8);
+            scheduler.completion_committed(&completion_commit, Revision::new(8));
         }
         scheduler.run_placement_pass(now);
-        for order in scheduler.orders("host-1", 1, second + 1, true, now) {
+        for order in scheduler.orders("host-1", AgentEpoch::new(1), second + 1, true, now) {
             match order {
                 Order::Start { task, attempt } => {
                     if let Some(index) = watched.iter().position(|id| *id == task.job) {
@@ -161,7 +161,7 @@
         let mut job = job_record(tasks, 1);
         job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
         (job.spec.priority, job.spec.cpus) = (priority, cpus);
-        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, start);
+        scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
         if number == 2 {
             scheduler.run_placement_pass(start);
         }
@@ -170,7 +170,7 @@
     assert_eq!(active_task_count(&scheduler), 0, "the CPU that is left is kept for the urgent job");
     let later = start + Duration::from_secs(61);
     send_heartbeat(&mut scheduler, 2, later);
-    scheduler.orders("host-1", 1, 2, false, later);
+    scheduler.orders("host-1", AgentEpoch::new(1), 2, false, later);
     scheduler.run_placement_pass(later);
     scheduler.tick(later);
     scheduler.run_placement_pass(later);
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Scheduler};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{Priority, TaskSet};
+use corkfield_wire::{AgentEpoch, Priority, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -23,7 +23,7 @@
         }
         let mut job = job_record(6, 1);
         (job.spec.one_zone, job.spec.spread, job.spec.cpus) = (one_zone, spread, 2.0);
-        scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
         let in_z = job.active().values().filter(|placed| {
@@ -56,7 +56,7 @@
         self.sequence += 1;
         let heartbeat = heartbeat_from(self.name, self.sequence, tasks);
         scheduler.on_heartbeat(&heartbeat, true, now);
-        scheduler.orders(self.name, 1, self.sequence, true, now)
+        scheduler.orders(self.name, AgentEpoch::new(1), self.sequence, true, now)
     }
 
     /// Is given tasks, which run for `run`, and whose end is reported `delay` later. Heartbeats
@@ -85,7 +85,7 @@
             running.into_iter().map(|status| TaskStatus { phase, cause, ..status }).collect();
         self.send_heartbeat(scheduler, done.clone(), now);
         for completion_commit in scheduler.due_completion_commits(4, now) {
-            scheduler.completion_committed(&completion_commit, 6);
+            scheduler.completion_committed(&completion_commit, Revision::new(6));
         }
         self.send_heartbeat(scheduler, done, now);
         self.send_heartbeat(scheduler, Vec::new(), now);
@@ -106,7 +106,7 @@
 /// A heartbeat without tasks, answered while no start may be sent.
 fn send_idle_heartbeat(scheduler: &mut Scheduler, machine: &str, sequence: u64, now: Instant) {
     scheduler.on_heartbeat(&heartbeat_from(machine, sequence, Vec::new()), true, now);
-    scheduler.orders(machine, 1, sequence, false, now);
+    scheduler.orders(machine, AgentEpoch::new(1), sequence, false, now);
 }
 
 struct MachineSpeedCase {
@@ -134,7 +134,7 @@
             scheduler.on_job_claimed(
                 job_record(400, 1),
                 TaskSet::default(),
-                5,
+                Revision::new(5),
                 Duration::ZERO,
                 now,
             );
@@ -194,7 +194,7 @@
     for number in 0..40 {
         let name = format!("host-{number}");
         scheduler.on_heartbeat(&heartbeat_from(&name, 2, Vec::new()), true, later);
-        scheduler.orders(&name, 1, 2, true, later);
+        scheduler.orders(&name, AgentEpoch::new(1), 2, true, later);
     }
     scheduler.run_placement_pass(later);
     let stops = scheduler.take_actions();
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -4,9 +4,9 @@
     active_task_count, active_tasks, first_job_id, heartbeat, heartbeat_from, job_record,
     scheduler, scheduler_with_machines, scheduler_with_start_sent, task_status,
 };
-use corkfield_core::{Action, AttemptNumber, Verdict};
+use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::TaskSet;
+use corkfield_wire::{AgentEpoch, Attempt, Generation, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -33,15 +33,21 @@
     let mut scheduler = scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
     scheduler.on_machine_record_written("host-1", true);
-    scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(1, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     scheduler.run_placement_pass(now);
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
-    assert!(scheduler.orders("host-1", 1, 2, false, now).is_empty(), "S4");
+    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 2, false, now).is_empty(), "S4");
     assert!(
-        scheduler.orders("host-1", 1, 1, true, now).is_empty(),
+        scheduler.orders("host-1", AgentEpoch::new(1), 1, true, now).is_empty(),
         "that heartbeat's worker has left"
     );
-    assert_eq!(scheduler.orders("host-1", 1, 2, true, now).len(), 1);
+    assert_eq!(scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now).len(), 1);
 }
 
 #[test]
@@ -51,7 +57,7 @@
     let stopped = task_status(first, TaskPhase::Exited, Some(ExitCause::Stopped));
     scheduler.on_heartbeat(&heartbeat(3, 1, vec![stopped.clone()]), true, now);
     scheduler.run_placement_pass(now);
-    let orders = scheduler.orders("host-1", 1, 3, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 3, true, now);
     assert!(matches!(orders[..], [Order::Forget { .. }, Order::Start { .. }]), "{orders:?}");
     let second = active_tasks(&scheduler)[&0].attempt;
     let running = task_status(second, TaskPhase::Running, None);
@@ -91,7 +97,13 @@
         let mut scheduler = scheduler(1);
         scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
         scheduler.on_machine_record_written("host-1", true);
-        scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+        scheduler.on_job_claimed(
+            job_record(1, 1),
+            TaskSet::default(),
+            Revision::new(5),
+            Duration::ZERO,
+            now,
+        );
         scheduler.run_placement_pass(now);
         assert!(scheduler.has_starts_for("host-1"));
         // While no start may leave, say in an outage of the store, its machine has to go.
@@ -120,11 +132,11 @@
     let now = Instant::now();
     let mut scheduler = scheduler_with_machines(120, now);
     let mut job = job_record(450, 1);
-    (job.start_watermark, job.generation) = (0, 0);
+    (job.start_watermark, job.generation) = (0, Generation::new(0));
     job.claim("owner".into());
-    scheduler.on_job_claimed(job, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     let mut announced = Vec::new();
-    for version in 6..10 {
+    for version in (6..10).map(Revision::new) {
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
         announced.push((job.active().len(), job.record.start_watermark));
@@ -140,13 +152,13 @@
 fn tasks_of_finished_jobs_are_stopped_and_those_of_unclaimed_jobs_are_not() {
     let now = Instant::now();
     let mut scheduler = scheduler(1);
-    let running = task_status(9, TaskPhase::Running, None);
+    let running = task_status(Attempt::new(9), TaskPhase::Running, None);
     scheduler.set_unclaimed([first_job_id()].into());
     scheduler.on_heartbeat(&heartbeat(1, 1, vec![running.clone()]), true, now);
-    assert!(scheduler.orders("host-1", 1, 1, true, now).is_empty());
+    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 1, true, now).is_empty());
     scheduler.set_unclaimed([].into());
     scheduler.on_heartbeat(&heartbeat(2, 1, vec![running]), true, now);
-    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
     assert!(matches!(orders[..], [Order::Stop { .. }]), "S11: {orders:?}");
 }
 
@@ -161,10 +173,16 @@
         scheduler.on_heartbeat(&heartbeat_from(machine, 1, Vec::new()), true, now);
         scheduler.on_machine_record_written(machine, true);
     }
-    scheduler.on_job_claimed(job_record(8, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(8, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     scheduler.run_placement_pass(now);
     scheduler.on_heartbeat(&heartbeat_from("host-1", 2, Vec::new()), true, now);
-    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
@@ -172,15 +190,21 @@
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-1", 3, vec![refused]), true, after_ms(100));
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, after_ms(2000));
-    let while_backing_off = scheduler.orders("host-2", 1, 2, true, after_ms(2000));
+    let while_backing_off = scheduler.orders("host-2", AgentEpoch::new(1), 2, true, after_ms(2000));
     assert!(while_backing_off.is_empty(), "{while_backing_off:?}");
     scheduler.tick(after_ms(3200));
     assert_eq!(scheduler.jobs_to_reclaim().len(), 1);
     let reclaimed = job_record(8, 2);
-    scheduler.on_job_claimed(reclaimed, TaskSet::default(), 6, Duration::ZERO, after_ms(3300));
+    scheduler.on_job_claimed(
+        reclaimed,
+        TaskSet::default(),
+        Revision::new(6),
+        Duration::ZERO,
+        after_ms(3300),
+    );
     scheduler.on_heartbeat(&heartbeat_from("host-2", 3, Vec::new()), true, after_ms(4000));
-    for order in scheduler.orders("host-2", 1, 3, true, after_ms(4000)) {
+    for order in scheduler.orders("host-2", AgentEpoch::new(1), 3, true, after_ms(4000)) {
         let Order::Start { attempt, .. } = order else { panic!("no start: {order:?}") };
-        assert_eq!(AttemptNumber::from(attempt).generation(), 2);
+        assert_eq!(attempt.generation(), Generation::new(2));
     }
 }
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -6,7 +6,9 @@
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::settings::Team;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{JobId, JobSpec, Priority, TaskId, TaskSet};
+use corkfield_wire::{
+    AgentEpoch, Attempt, Generation, JobId, JobSpec, Priority, Revision, TaskId, TaskSet, Term,
+};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -53,7 +55,7 @@
 
 /// A scheduler under a term, without machines and jobs.
 pub fn scheduler(term: u64) -> Scheduler {
-    let mut scheduler = Scheduler::new(config(), term, 1);
+    let mut scheduler = Scheduler::new(config(), Term::new(term), 1);
     scheduler.set_types(vec![machine_type()]);
     scheduler
 }
@@ -69,7 +71,7 @@
     // All may have begun under earlier owners, if there were any.
     let previous_start_watermark = if generation > 1 { u32::MAX } else { 0 };
     JobRecord {
-        generation,
+        generation: Generation::new(generation),
         start_watermark: u32::MAX,
         previous_start_watermark,
         ..JobRecord::new(spec, 0)
@@ -94,9 +96,9 @@
         machine_type: "box".into(),
         zone: "z".into(),
         spot: false,
-        agent_epoch: 1,
+        agent_epoch: AgentEpoch::new(1),
         sequence,
-        term,
+        term: Term::new(term),
         notice_s: None,
         tasks,
     }
@@ -108,21 +110,27 @@
 }
 
 /// What a worker says of the first task of the first job.
-pub fn task_status(attempt: u64, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
+pub fn task_status(attempt: Attempt, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
     let task = TaskId { job: first_job_id(), index: 0 };
     TaskStatus { task, attempt, phase, cause, saved: None }
 }
 
 /// A scheduler that has just sent the start of the only task in the reply to heartbeat 2, and the
 /// attempt of that start.
-pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, u64) {
+pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, Attempt) {
     let mut scheduler = scheduler(1);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now), Verdict::Accept);
     scheduler.on_machine_record_written("host-1", true);
-    scheduler.on_job_claimed(job_record(1, 1), TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(
+        job_record(1, 1),
+        TaskSet::default(),
+        Revision::new(5),
+        Duration::ZERO,
+        now,
+    );
     scheduler.run_placement_pass(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now), Verdict::Accept);
-    let orders = scheduler.orders("host-1", 1, 2, true, now);
+    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
     let [Order::Start { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
     (scheduler, attempt)
 }
@@ -150,7 +158,7 @@
     record.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
     record.spec.priority = priority;
     record.spec.estimate_s = 300.0;
-    scheduler.on_job_claimed(record, TaskSet::default(), 5, Duration::ZERO, now);
+    scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
 }
 
 /// The tasks of the first job that are placed, by index.
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -6,7 +6,7 @@
 use crate::Cli;
 use corkfield_core::{Action, RentalFailure, Scheduler, Verdict};
 use corkfield_wire::worker::{HeartbeatReply, Order, WorkerHeartbeat};
-use corkfield_wire::TaskSet;
+use corkfield_wire::{AgentEpoch, Revision, TaskSet, Term};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 const MAX_COMPLETION_COMMITS: usize = 40;
 /// How much work waits at first, in seconds of all machines.
 const INITIAL_BACKLOG_S: f64 = 10.0;
-const TERM: u64 = 1;
+const TERM: Term = Term::new(1);
 
 /// What happened to jobs and tasks.
 #[derive(Default)]
@@ -122,7 +122,7 @@
                 self.scheduler.on_job_claimed(
                     record,
                     TaskSet::default(),
-                    1,
+                    Revision::new(1),
                     Duration::ZERO,
                     now.instant,
                 );
@@ -194,7 +194,7 @@
         let due = self.scheduler.due_completion_commits(MAX_COMPLETION_COMMITS, now.instant);
         for completion_commit in due {
             self.counts.done += completion_commit.tasks.len() as u64;
-            self.scheduler.completion_committed(&completion_commit, 1);
+            self.scheduler.completion_committed(&completion_commit, Revision::new(1));
         }
     }
 
@@ -202,7 +202,13 @@
         let worker = &mut self.workers[pending.worker];
         let scheduler = &mut self.scheduler;
         let orders = self.costs.replies.measure(|| {
-            let orders = scheduler.orders(&worker.name, 1, pending.sequence, true, now.instant);
+            let orders = scheduler.orders(
+                &worker.name,
+                AgentEpoch::new(1),
+                pending.sequence,
+                true,
+                now.instant,
+            );
             let reply = HeartbeatReply { term: TERM, orders };
             // Encoding is a part of the cost.
             std::hint::black_box(serde_json::to_vec(&reply).map_or(0, |body| body.len()));
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -3,7 +3,7 @@
 use crate::workload::{mean_run_s, SIZES};
 use crate::Cli;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::TaskId;
+use corkfield_wire::{AgentEpoch, Attempt, TaskId, Term};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 const SIZE_PATTERN: [usize; 8] = [0, 0, 1, 0, 2, 0, 1, 0];
 
 struct Task {
-    attempt: u64,
+    attempt: Attempt,
     phase: TaskPhase,
     cause: Option<ExitCause>,
     /// When its present phase ends.
@@ -29,7 +29,7 @@
     size: usize,
     zone: String,
     sequence: u64,
-    term: u64,
+    term: Term,
     tasks: BTreeMap<TaskId, Task>,
     /// The next heartbeat without changes.
     heartbeat_due_s: f64,
@@ -48,7 +48,7 @@
                 size: SIZE_PATTERN[number % SIZE_PATTERN.len()],
                 zone: if number % 2 == 0 { "north" } else { "south" }.to_owned(),
                 sequence: 0,
-                term: 1,
+                term: Term::new(1),
                 tasks: BTreeMap::new(),
                 heartbeat_due_s: rng.random_range(0.0..cli.report_s),
                 earliest_heartbeat_s: 0.0,
@@ -128,7 +128,7 @@
             machine_type: SIZES[self.size].name.to_owned(),
             zone: self.zone.clone(),
             spot: true,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch::new(1),
             sequence: self.sequence,
             term: self.term,
             notice_s: None,
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -12,7 +12,7 @@
 use crate::replica::StoreReplica;
 use crate::responses::{error, json, retry_later};
 use crate::session_lease::SessionLease;
-use corkfield_core::{AttemptNumber, Scheduler, Verdict};
+use corkfield_core::{Scheduler, Verdict};
 use corkfield_http::{Connections, Response};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
 use redirects::Route;
@@ -101,9 +101,7 @@
         reply.orders.retain(|order| match order {
             Order::Start { task, attempt } => {
                 let record = contents.jobs.get(&task.job).map(|(record, _)| record);
-                record.is_some_and(|record| {
-                    record.generation == AttemptNumber::from(*attempt).generation()
-                })
+                record.is_some_and(|record| record.generation == attempt.generation())
             }
             _ => true,
         });
@@ -141,7 +139,7 @@
         scheduler: &RefCell<Scheduler>,
         heartbeat: &WorkerHeartbeat,
     ) -> Option<Response> {
-        let WorkerHeartbeat { machine, agent_epoch, sequence, .. } = heartbeat;
+        let WorkerHeartbeat { machine, sequence, .. } = heartbeat;
         // S6: without fresh state a cancellation may have been missed; the machines' leases have
         // to run out while there is time.
         if !self.may_answer() {
@@ -150,6 +148,7 @@
         }
         let verdict = scheduler.borrow_mut().on_heartbeat(heartbeat, true, now());
         if verdict != Verdict::Accept {
+            let agent_epoch = heartbeat.agent_epoch.get();
             tracing::debug!(%machine, agent_epoch, sequence, ?verdict, "heartbeat not accepted");
         }
         match verdict {
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -8,7 +8,7 @@
 use corkfield_fakes::Fault;
 use corkfield_wire::records::job_key;
 use corkfield_wire::user::PATH_READY;
-use corkfield_wire::{JobSpec, JobStatus, Priority};
+use corkfield_wire::{Generation, JobSpec, JobStatus, Priority, Term};
 use std::cell::Cell;
 
 #[test]
@@ -16,17 +16,21 @@
     scenario(1, |cluster| async move {
         assert_eq!(
             cluster.elected_leader().expect("there is a leader").term,
-            1,
+            Term::new(1),
             "one claim, one term"
         );
         let job = job_spec(1, 4);
         cluster.submit(&job, 20.0).await;
         sleep_s(3.0).await;
         let record = cluster.job_record(&job.id).expect("unfinished");
-        assert_eq!((record.generation, record.claims), (1, 1));
+        assert_eq!((record.generation, record.claims), (Generation::new(1), 1));
         sleep_s(12.0).await;
         let record = cluster.job_record(&job.id).expect("unfinished");
-        assert_eq!((record.generation, record.claims), (1, 0), "a healthy claim is refunded");
+        assert_eq!(
+            (record.generation, record.claims),
+            (Generation::new(1), 0),
+            "a healthy claim is refunded"
+        );
     });
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -8,6 +8,7 @@
 #![forbid(unsafe_code)]
 
 pub mod cloud;
+pub mod ids;
 mod job_id;
 pub mod peer;
 pub mod records;
@@ -18,6 +19,7 @@
 pub mod user;
 pub mod worker;
 
+pub use ids::{AgentEpoch, Attempt, Generation, Revision, Term};
 pub use job_id::JobId;
 pub use task_set::TaskSet;
 pub use user::{JobSpec, JobStatus, Priority};
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,5 +1,6 @@
 //! What workers send, and the orders they take.
 
+use crate::ids::{AgentEpoch, Attempt, Term};
 use crate::job_id::JobId;
 use crate::text::ParsedText;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -98,7 +99,7 @@
     pub task: TaskId,
     /// The attempt that it was started under.
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// What it does.
     #[serde(rename = "status")]
     pub phase: TaskPhase,
@@ -129,14 +130,14 @@
     pub spot: bool,
     /// From 1; raised each time the worker's lease expires.
     #[serde(rename = "tenure")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Raised with each message of the worker. The message with the larger agent epoch and
     /// sequence is the newer one (S10).
     #[serde(rename = "serial")]
     pub sequence: u64,
     /// The highest term that the worker has seen (`epoch`); it drops orders of lower ones.
     #[serde(rename = "epoch", default)]
-    pub term: u64,
+    pub term: Term,
     /// Seconds until the cloud takes the machine away; none without such a notice.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
@@ -158,7 +159,7 @@
         task: TaskId,
         /// The attempt to start it under.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     /// Stops a task.
     #[serde(rename = "kill")]
@@ -168,7 +169,7 @@
         task: TaskId,
         /// The attempt to stop.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         /// Seconds that the task may take to save a checkpoint. Below what it needs, it exits
         /// at once; 0 ends one that is saving.
         #[serde(rename = "wind_down_s")]
@@ -182,7 +183,7 @@
         task: TaskId,
         /// The attempt to forget.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
@@ -191,7 +192,7 @@
 pub struct HeartbeatReply {
     /// The leader's term (`epoch`); the worker drops an answer with a lower one than it has seen.
     #[serde(rename = "epoch")]
-    pub term: u64,
+    pub term: Term,
     /// Carried out in this order.
     pub orders: Vec<Order>,
 }
@@ -210,10 +211,10 @@
 pub struct DirectOrders {
     /// The leader's term.
     #[serde(rename = "epoch")]
-    pub term: u64,
+    pub term: Term,
     /// The agent epoch of the worker that they are meant for.
     #[serde(rename = "tenure")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Carried out in this order. None: a fence, which only shows the worker the term.
     pub orders: Vec<Order>,
 }
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -3,14 +3,16 @@
 
 use corkfield_wire::cloud::{ListedState, MachineList, MachineNames, MachineTypes, RentRequest};
 use corkfield_wire::store::{
-    Events, Failed, Grant, GrantRequest, Item, Page, Revision, Transaction,
+    Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction,
 };
 use corkfield_wire::user::{ErrorView, JobKind, JobView};
 use corkfield_wire::worker::{
     DirectOrders, ExitCause, HeartbeatReply, Order, Redirect, TaskPhase, TaskStatus,
     WorkerHeartbeat,
 };
-use corkfield_wire::{JobId, JobSpec, JobStatus, Priority, TaskId};
+use corkfield_wire::{
+    AgentEpoch, Attempt, JobId, JobSpec, JobStatus, Priority, Revision, TaskId, Term,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -99,10 +101,13 @@
         "pieces":[{"piece":"j-000412/3","try":2,"status":"running"},
         {"piece":"j-000398/0","try":1,"status":"exited","cause":"halted","stored":true}]}"#,
     );
-    assert_eq!((heartbeat.agent_epoch, heartbeat.sequence, heartbeat.term), (1, 88, 41));
+    assert_eq!(
+        (heartbeat.agent_epoch, heartbeat.sequence, heartbeat.term),
+        (AgentEpoch::new(1), 88, Term::new(41))
+    );
     let exited = TaskStatus {
         task: TaskId::parse("j-000398/0").unwrap(),
-        attempt: 1,
+        attempt: Attempt::new(1),
         phase: TaskPhase::Exited,
         cause: Some(ExitCause::Stopped),
         saved: Some(true),
@@ -110,7 +115,7 @@
     assert_eq!(heartbeat.tasks[1], exited);
     let least: WorkerHeartbeat =
         read(r#"{"host":"h","addr":"a","flavour":"g8","site":"a","tenure":1,"serial":2}"#);
-    assert_eq!((least.spot, least.term, least.notice_s), (false, 0, None));
+    assert_eq!((least.spot, least.term, least.notice_s), (false, Term::new(0), None));
     assert!(least.tasks.is_empty());
 }
 
@@ -150,7 +155,7 @@
         [Order::Start { .. }, Order::Stop { grace_s: 10.0, .. }, Order::Forget { .. }]
     ));
     let orders: DirectOrders = round_trip(r#"{"epoch":41,"tenure":1,"orders":[]}"#);
-    assert_eq!((orders.term, orders.agent_epoch), (41, 1));
+    assert_eq!((orders.term, orders.agent_epoch), (Term::new(41), AgentEpoch::new(1)));
     let redirect: Redirect = round_trip(r#"{"upstream":"worker-2"}"#);
     assert_eq!(redirect.report_to.as_deref(), Some("worker-2"));
     assert_eq!(round_trip::<Redirect>("{}").report_to, None);
@@ -181,12 +186,12 @@
 #[test]
 fn the_state_services_messages_keep_their_spelling() {
     let item: Item = round_trip(r#"{"k":"a/b","v":{"x":1},"stamp":412,"claim":7}"#);
-    assert_eq!((item.version, item.lease), (412, Some(7)));
+    assert_eq!((item.version, item.lease), (Revision::new(412), Some(7)));
     let page: Page =
         round_trip(r#"{"items":[{"k":"a","v":null,"stamp":1}],"truncated":true,"generation":431}"#);
-    assert_eq!((page.more, page.revision), (true, 431));
+    assert_eq!((page.more, page.revision), (true, Revision::new(431)));
     let transaction = Transaction::default()
-        .when("a/b", 0)
+        .when("a/b", Revision::new(0))
         .put("a/b", json!({"x": 1}))
         .put_leased("a/c", json!(2), 7)
         .delete("c/d");
@@ -196,12 +201,12 @@
     });
     assert_eq!(serde_json::to_value(&transaction).unwrap(), expected);
     assert_eq!(serde_json::from_value::<Transaction>(expected).unwrap(), transaction);
-    assert_eq!(round_trip::<Revision>(r#"{"generation":432}"#).revision, 432);
+    assert_eq!(round_trip::<RevisionAnswer>(r#"{"generation":432}"#).revision, Revision::new(432));
     round_trip::<Failed>(r#"{"failed":["a/b"],"generation":431}"#);
     assert_eq!(round_trip::<Grant>(r#"{"claim":7}"#).lease, 7);
     round_trip::<GrantRequest>(r#"{"ttl_ms":5000}"#);
     let events: Events = round_trip(
         r#"{"generation":433,"log":[{"put":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
     );
-    assert_eq!((events.revision, events.events.len()), (433, 2));
+    assert_eq!((events.revision, events.events.len()), (Revision::new(433), 2));
 }
