--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -110,13 +110,13 @@
         scheduler.set_unclaimed(unclaimed);
         let to_reclaim: HashSet<JobId> = scheduler.jobs_to_reclaim().into_iter().collect();
         let reading = self.reading.borrow();
-        let own_incarnation = self.claim.membership.incarnation.as_str();
+        let own_incarnation = &self.claim.membership.incarnation;
         let mut due = Vec::new();
         for (id, (record, version)) in &contents.jobs {
             if is_cancelled(id) || reading.contains(id) {
                 continue;
             }
-            let ours = record.owner.as_deref() == Some(own_incarnation);
+            let ours = record.owner.as_ref() == Some(own_incarnation);
             let is_new = scheduler.job(id).is_none_or(|job| *version > job.version && !ours);
             if is_new || to_reclaim.contains(id) {
                 due.push(DueJob { record: record.clone(), version: *version });
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use corkfield_wire::records::Membership;
+use corkfield_wire::Incarnation;
 
 fn record(node: Option<&str>, incarnation: &str) -> LeaderRecord {
-    let incarnation = incarnation.to_owned();
+    let incarnation = Incarnation::from(incarnation);
     LeaderRecord { node: node.map(str::to_owned), incarnation, term: Term::new(5), successor: None }
 }
 
@@ -21,7 +22,8 @@
 #[test]
 fn a_claim_rests_on_the_holder_being_gone() {
     let mut contents = ReplicaContents::default();
-    let member = |incarnation: &str| Membership { incarnation: incarnation.to_owned(), lease: 1 };
+    let member =
+        |incarnation: &str| Membership { incarnation: Incarnation::from(incarnation), lease: 1 };
     contents.controllers.insert("a".to_owned(), (member("a-1"), Revision::new(30)));
     contents.controllers.insert("b".to_owned(), (member("b-2"), Revision::new(31)));
 
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -7,7 +7,7 @@
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{transfer_request_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::Revision;
+use corkfield_wire::{Incarnation, Revision};
 use std::time::Duration;
 
 /// How often the leader looks whether its place is another's, or should be.
@@ -60,7 +60,7 @@
         };
         let record = LeaderRecord {
             node: None,
-            incarnation: String::new(),
+            incarnation: Incarnation::default(),
             term: self.scheduler.borrow().term(),
             successor: Some(successor.clone()),
         };
--- a/crates/corkfield/src/leadership/shared/tests.rs
+++ b/crates/corkfield/src/leadership/shared/tests.rs
@@ -3,11 +3,15 @@
 use crate::session_lease::Current;
 use corkfield_core::{Config, Scheduler};
 use corkfield_wire::records::LeaderRecord;
+use corkfield_wire::Incarnation;
 use std::cell::Cell;
 
 fn claim(incarnation: &str) -> Rc<LeadershipClaim> {
-    let membership =
-        Current { incarnation: incarnation.to_owned(), lease: 7, version: Revision::new(40) };
+    let membership = Current {
+        incarnation: Incarnation::from(incarnation),
+        lease: 7,
+        version: Revision::new(40),
+    };
     Rc::new(LeadershipClaim { membership, record_version: Cell::new(Revision::new(50)) })
 }
 
@@ -58,7 +62,7 @@
     for (incarnation, version, replaced) in
         [("b-1", 49, false), ("b-1", 51, true), ("a-1", 51, false)]
     {
-        let incarnation = incarnation.to_owned();
+        let incarnation = Incarnation::from(incarnation);
         let record = LeaderRecord { node: None, incarnation, term: Term::new(4), successor: None };
         contents.leader = Some((record, Revision::new(version)));
         assert_eq!(leadership.is_replaced(&contents), replaced, "{:?}", contents.leader);
--- a/crates/corkfield/src/leadership/store_value/tests.rs
+++ b/crates/corkfield/src/leadership/store_value/tests.rs
@@ -1,12 +1,16 @@
 use super::*;
 use corkfield_wire::records::LeaderRecord;
-use corkfield_wire::Term;
+use corkfield_wire::{Incarnation, Term};
 
 #[test]
 fn counted_bytes_are_those_of_the_serialization() {
     let node = Some("contröller \"a\"\n".to_owned());
-    let record =
-        LeaderRecord { node, incarnation: "a-1".to_owned(), term: Term::new(12), successor: None };
+    let record = LeaderRecord {
+        node,
+        incarnation: Incarnation::from("a-1"),
+        term: Term::new(12),
+        successor: None,
+    };
     let bytes = serde_json::to_vec(&record).expect("a record").len();
     assert_eq!(serialized_bytes(&record), bytes);
     assert_eq!(serialized_bytes(&store_value(&record)), bytes);
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use corkfield_wire::peer::PeerHeartbeat;
-use corkfield_wire::Term;
+use corkfield_wire::{Incarnation, Term};
 
 #[tokio::test(start_paused = true)]
 async fn a_relayed_heartbeat_brings_the_answer_with_its_number() {
@@ -44,7 +44,7 @@
     let (links, peers) = (PeerLinks::new(4), Peers::default());
     let heartbeat = |node: &str, leading| PeerHeartbeat {
         node: node.to_owned(),
-        incarnation: String::new(),
+        incarnation: Incarnation::default(),
         process: 1,
         number: 1,
         last_received_number: 0,
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use corkfield_wire::Incarnation;
 
 fn heartbeat(
     process: u64,
@@ -8,7 +9,7 @@
 ) -> PeerHeartbeat {
     PeerHeartbeat {
         node: "q".to_owned(),
-        incarnation: String::new(),
+        incarnation: Incarnation::default(),
         process,
         number: 1,
         last_received_number,
--- a/crates/corkfield/src/replica/contents/tests.rs
+++ b/crates/corkfield/src/replica/contents/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
+use corkfield_wire::Incarnation;
 
 #[test]
 fn of_two_overlapping_reads_the_older_never_undoes_the_newer() {
     let session_lease = |lease| {
-        serde_json::to_value(Membership { incarnation: "a".to_owned(), lease })
+        serde_json::to_value(Membership { incarnation: Incarnation::from("a"), lease })
             .expect("serializable")
     };
     let key = format!("{CONTROLLERS_PREFIX}n");
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -5,7 +5,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, Membership};
 use corkfield_wire::store::{Item, Transaction};
-use corkfield_wire::Revision;
+use corkfield_wire::{Incarnation, Revision};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 pub struct Current {
     /// Names the period for which this lease is held; a new lease has another one.
-    pub incarnation: String,
+    pub incarnation: Incarnation,
     /// The state service's number of the lease.
     pub lease: u64,
     /// Version of the membership key.
@@ -136,6 +136,7 @@
         let started = now();
         let lease = self.env.state.grant(ttl).await?;
         let incarnation = format!("{}-{:08x}", self.env.name, self.env.random() as u32);
+        let incarnation = Incarnation::from(incarnation);
         let membership = Membership { incarnation: incarnation.clone(), lease };
         let version = self.write_membership(&key, found, membership).await?;
         let lease = Current { incarnation, lease, version };
--- a/crates/corkfield/src/session_lease/tests.rs
+++ b/crates/corkfield/src/session_lease/tests.rs
@@ -5,7 +5,8 @@
     let session_lease = SessionLease::default();
     assert!(!session_lease.is_valid() && session_lease.current().is_none());
     let ttl = Duration::from_secs(10);
-    let lease = Current { incarnation: "a-1".to_owned(), lease: 7, version: Revision::new(3) };
+    let lease =
+        Current { incarnation: Incarnation::from("a-1"), lease: 7, version: Revision::new(3) };
     let valid_until = now() + trusted(ttl);
     session_lease.enter(LeaseState::Held(HeldLease { lease, valid_until }));
     assert!(session_lease.is_valid());
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -46,6 +46,49 @@
     };
 }
 
+/// Defines the type of a name: how it is made, read, compared, written and shown.
+macro_rules! name {
+    ($(#[$attribute:meta])* $name:ident) => {
+        $(#[$attribute])*
+        #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        #[derive(Serialize, Deserialize)]
+        #[serde(transparent)]
+        pub struct $name(String);
+
+        impl $name {
+            /// The bare name.
+            pub fn as_str(&self) -> &str {
+                &self.0
+            }
+        }
+
+        impl From<String> for $name {
+            fn from(name: String) -> Self {
+                Self(name)
+            }
+        }
+
+        impl From<&str> for $name {
+            fn from(name: &str) -> Self {
+                Self(name.to_owned())
+            }
+        }
+
+        impl fmt::Display for $name {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                fmt::Display::fmt(&self.0, f)
+            }
+        }
+
+        // The bare text: logs show values that contain one.
+        impl fmt::Debug for $name {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                fmt::Debug::fmt(&self.0, f)
+            }
+        }
+    };
+}
+
 number! {
     /// The term of a leader: raised by every claim of the leader record, so no two leaders share
     /// one. The fencing token of workers. 0 is before the first.
@@ -125,3 +168,10 @@
         Self(self.0 + 1)
     }
 }
+
+name! {
+    /// An incarnation of a controller: its name and a random part, new with each lease of its
+    /// membership. Jobs are claimed under one. Empty where there is none.
+    #[derive(BorshSerialize, BorshDeserialize)]
+    Incarnation
+}
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,6 +1,6 @@
 //! What controllers say to one another: borsh, each frame led by its length and a version.
 
-use crate::ids::Term;
+use crate::ids::{Incarnation, Term};
 use borsh::{BorshDeserialize, BorshSerialize};
 
 /// Version of the frames; others are refused.
@@ -14,7 +14,7 @@
     /// Name of the sender's node.
     pub node: String,
     /// The sender's incarnation; empty while it has no lease.
-    pub incarnation: String,
+    pub incarnation: Incarnation,
     /// Drawn anew by each process.
     pub process: u64,
     /// Counts the heartbeats sent to this receiver.
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -19,14 +19,14 @@
 };
 
 use crate::cloud::MachineType;
-use crate::ids::Term;
+use crate::ids::{Incarnation, Term};
 use serde::{Deserialize, Serialize};
 
 /// A controller's membership of the cluster; its key is attached to the controller's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// The controller's incarnation: its name and a random part, new with each lease.
-    pub incarnation: String,
+    pub incarnation: Incarnation,
     /// The lease in the state service that the key is attached to.
     pub lease: u64,
 }
@@ -37,7 +37,7 @@
     /// The node that holds the record; none after an orderly hand-over.
     pub node: Option<String>,
     /// The incarnation under which the record was claimed.
-    pub incarnation: String,
+    pub incarnation: Incarnation,
     /// Raised by every claim of the record, so no two leaders share one. Workers' fencing token.
     pub term: Term,
     /// The node that should take over, after a hand-over.
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -1,6 +1,6 @@
 //! Records of jobs: one while the job is unfinished, another once it is over.
 
-use crate::ids::Generation;
+use crate::ids::{Generation, Incarnation};
 use crate::task_set::TaskSet;
 use crate::user::{JobSpec, JobStatus};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
     pub spec: JobSpec,
     /// Incarnation of the controller that claimed the job last; none before the first claim.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub owner: Option<String>,
+    pub owner: Option<Incarnation>,
     /// Raised by every claim; the guide's fencing token.
     pub generation: Generation,
     /// Claims since the job last made progress (S12).
@@ -74,13 +74,13 @@
     }
 
     /// The design's claim: sets the owner, raises the generation and adds one to the count.
-    pub fn claim(&mut self, owner: String) {
+    pub fn claim(&mut self, owner: Incarnation) {
         self.claim_without_starts(owner);
         self.raise_start_watermark();
     }
 
     /// The same for a job that nothing of can start soon: no first start is announced.
-    pub fn claim_without_starts(&mut self, owner: String) {
+    pub fn claim_without_starts(&mut self, owner: Incarnation) {
         self.owner = Some(owner);
         self.generation = self.generation.next();
         self.claims += 1;
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -2,12 +2,12 @@
 //! bytes are those that the version at commit 2b8fbd7 wrote.
 
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
-use corkfield_wire::Term;
+use corkfield_wire::{Incarnation, Term};
 
 fn heartbeat() -> PeerHeartbeat {
     PeerHeartbeat {
         node: "worker-0".to_owned(),
-        incarnation: "worker-0-0000002a".to_owned(),
+        incarnation: Incarnation::from("worker-0-0000002a"),
         process: 5,
         number: 6,
         last_received_number: 7,
@@ -23,7 +23,7 @@
 fn heartbeat_without_a_leader() -> PeerHeartbeat {
     PeerHeartbeat {
         node: "n".to_owned(),
-        incarnation: String::new(),
+        incarnation: Incarnation::default(),
         process: 0,
         number: u64::MAX,
         last_received_number: 0,
--- a/crates/wire/tests/stored_records.rs
+++ b/crates/wire/tests/stored_records.rs
@@ -4,7 +4,7 @@
 
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::*;
-use corkfield_wire::{Generation, JobId, JobSpec, JobStatus, TaskSet, Term};
+use corkfield_wire::{Generation, Incarnation, JobId, JobSpec, JobStatus, TaskSet, Term};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -60,11 +60,11 @@
 /// A job of 1,000 tasks that was claimed twice, with finished and running tasks.
 fn running_job() -> JobRecord {
     let mut record = JobRecord::new(job_spec(1000), ACCEPTED_MS);
-    record.claim("worker-2.1700000000000.5".to_owned());
+    record.claim(Incarnation::from("worker-2.1700000000000.5"));
     record.finished = task_set(&[0, 1, 2, 5, 9, 10]);
     record.done = 6;
     record.running = 13;
-    record.claim("worker-3.1".to_owned());
+    record.claim(Incarnation::from("worker-3.1"));
     record
 }
 
@@ -91,7 +91,7 @@
 fn a_dead_lettered_job_keeps_its_json() {
     let mut record = running_job();
     record.dead_lettered = true;
-    record.claim_without_starts("worker-1.7".to_owned());
+    record.claim_without_starts(Incarnation::from("worker-1.7"));
     assert_stored_as(&record, fixture!("job_dead_lettered"));
     assert_eq!(record.status(), JobStatus::Queued);
 }
@@ -99,8 +99,8 @@
 #[test]
 fn a_job_with_finished_tasks_in_chunks_keeps_its_json() {
     let mut record = JobRecord::new(job_spec(100_000), 1);
-    record.claim("w".to_owned());
-    record.claim("w".to_owned());
+    record.claim(Incarnation::from("w"));
+    record.claim(Incarnation::from("w"));
     record.raise_start_watermark();
     assert_stored_as(&record, fixture!("job_chunked"));
     assert!(record.is_chunked());
@@ -126,7 +126,7 @@
     assert_eq!(written, format!("{}{added}", text.strip_suffix('}').unwrap()));
     // A further claim must not overflow what counts as begun.
     let mut claimed = record;
-    claimed.claim("w".to_owned());
+    claimed.claim(Incarnation::from("w"));
     assert_eq!(claimed.start_watermark, u32::MAX);
     assert_eq!(claimed.previous_start_watermark, u32::MAX);
 }
@@ -141,11 +141,11 @@
 
 #[test]
 fn membership_and_leader_records_keep_their_json() {
-    let membership = Membership { incarnation: "worker-2.1".to_owned(), lease: 7 };
+    let membership = Membership { incarnation: Incarnation::from("worker-2.1"), lease: 7 };
     assert_stored_as(&membership, fixture!("membership"));
     let leader = LeaderRecord {
         node: Some("worker-2".to_owned()),
-        incarnation: "worker-2.1".to_owned(),
+        incarnation: Incarnation::from("worker-2.1"),
         term: Term::new(41),
         successor: None,
     };
