--- a/crates/corkfield/examples/loopback.rs
+++ b/crates/corkfield/examples/loopback.rs
@@ -10,7 +10,7 @@
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
 use corkfield_wire::user::{JobView, PATH_JOBS, PATH_READY};
-use corkfield_wire::{JobSpec, JobStatus};
+use corkfield_wire::{ControllerName, JobSpec, JobStatus};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -153,8 +153,9 @@
 }
 
 fn worker_template(cli: &Cli) -> WorkerSettings {
-    let controllers = (0..cli.controllers)
-        .map(|controller| (format!("n{controller}"), controller_addr(controller, CLIENT_PORT)));
+    let controllers = (0..cli.controllers).map(|controller| {
+        (ControllerName::from(format!("n{controller}")), controller_addr(controller, CLIENT_PORT))
+    });
     WorkerSettings {
         name: String::new(),
         addr: store_addr(),
@@ -213,7 +214,7 @@
     /// The name of the leader; empty if there is none.
     fn leader(&self) -> String {
         let record = self.store.value(LEADER_KEY).and_then(|v| serde_json::from_value(v).ok());
-        record.and_then(|record: LeaderRecord| record.node).unwrap_or_default()
+        record.and_then(|record: LeaderRecord| record.node).unwrap_or_default().to_string()
     }
 }
 
--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -7,6 +7,7 @@
 use corkfield_cloud::CloudClient;
 use corkfield_http::Network;
 use corkfield_state::StateClient;
+use corkfield_wire::ControllerName;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -19,7 +20,7 @@
     /// The settings in force.
     pub settings: Settings,
     /// Name of this controller.
-    pub name: String,
+    pub name: ControllerName,
     /// Tells this process from others of the same controller.
     pub process: u64,
     /// Opens and accepts connections.
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -140,7 +140,7 @@
     /// The design's claim: one conditional transaction over a few records. `None` if it is not known
     /// to be carried out.
     async fn claim(&self, batch: Vec<DueJob>) -> Option<StoredClaim> {
-        let own_key = controller_key(&self.context.env.name);
+        let own_key = controller_key(self.context.env.name.as_str());
         let mut transaction = self.when_leading().when(own_key, self.claim.membership.version);
         let mut records = Vec::new();
         for job in batch {
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -8,7 +8,7 @@
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::{Revision, Term};
+use corkfield_wire::{ControllerName, Revision, Term};
 use std::time::Duration;
 
 /// Other controllers leave the named successor this long to take over.
@@ -89,7 +89,7 @@
     let own_name = &context.env.name;
     let mut conditions = Transaction::default()
         .when(LEADER_KEY, version)
-        .when(controller_key(own_name), membership.version);
+        .when(controller_key(own_name.as_str()), membership.version);
     match holder(&contents, previous.as_ref(), own_name) {
         Holder::Present => return None,
         Holder::Gone { membership_key, version } => {
@@ -100,7 +100,11 @@
     Some(Candidacy { membership, previous, conditions })
 }
 
-fn holder(contents: &ReplicaContents, record: Option<&LeaderRecord>, own_name: &str) -> Holder {
+fn holder(
+    contents: &ReplicaContents,
+    record: Option<&LeaderRecord>,
+    own_name: &ControllerName,
+) -> Holder {
     let Some(record) = record else { return Holder::NobodyElse };
     let Some(name) = record.node.as_ref().filter(|name| *name != own_name) else {
         return Holder::NobodyElse;
@@ -109,7 +113,7 @@
         return Holder::Present;
     }
     let version = contents.controllers.get(name).map_or(Revision::NONE, |(_, version)| *version);
-    Holder::Gone { membership_key: controller_key(name), version }
+    Holder::Gone { membership_key: controller_key(name.as_str()), version }
 }
 
 /// Lets a named successor take over first; and not all controllers claim at once.
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -4,7 +4,12 @@
 
 fn record(node: Option<&str>, incarnation: &str) -> LeaderRecord {
     let incarnation = Incarnation::from(incarnation);
-    LeaderRecord { node: node.map(str::to_owned), incarnation, term: Term::new(5), successor: None }
+    LeaderRecord {
+        node: node.map(ControllerName::from),
+        incarnation,
+        term: Term::new(5),
+        successor: None,
+    }
 }
 
 /// The condition that a claim gets from the holder; `None` if there can be no claim.
@@ -12,7 +17,7 @@
     contents: &ReplicaContents,
     record: &LeaderRecord,
 ) -> Option<Option<(String, Revision)>> {
-    match holder(contents, Some(record), "a") {
+    match holder(contents, Some(record), &ControllerName::from("a")) {
         Holder::NobodyElse => Some(None),
         Holder::Present => None,
         Holder::Gone { membership_key, version } => Some(Some((membership_key, version))),
@@ -24,8 +29,8 @@
     let mut contents = ReplicaContents::default();
     let member =
         |incarnation: &str| Membership { incarnation: Incarnation::from(incarnation), lease: 1 };
-    contents.controllers.insert("a".to_owned(), (member("a-1"), Revision::new(30)));
-    contents.controllers.insert("b".to_owned(), (member("b-2"), Revision::new(31)));
+    contents.controllers.insert(ControllerName::from("a"), (member("a-1"), Revision::new(30)));
+    contents.controllers.insert(ControllerName::from("b"), (member("b-2"), Revision::new(31)));
 
     assert_eq!(condition(&contents, &record(Some("b"), "b-2")), None, "it is there");
     let later = Some((controller_key("b"), Revision::new(31)));
@@ -34,5 +39,5 @@
     assert_eq!(condition(&contents, &record(Some("c"), "c-1")), Some(without), "has no key");
     assert_eq!(condition(&contents, &record(Some("a"), "a-1")), Some(None), "this controller");
     assert_eq!(condition(&contents, &record(None, "")), Some(None), "after a hand-over");
-    assert!(matches!(holder(&contents, None, "a"), Holder::NobodyElse));
+    assert!(matches!(holder(&contents, None, &ControllerName::from("a")), Holder::NobodyElse));
 }
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -7,7 +7,7 @@
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{transfer_request_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::{Incarnation, Revision};
+use corkfield_wire::{ControllerName, Incarnation, Revision};
 use std::time::Duration;
 
 /// How often the leader looks whether its place is another's, or should be.
@@ -77,7 +77,7 @@
     }
 
     /// Another controller that asked for the place just now.
-    fn requested_successor(&self) -> Option<String> {
+    fn requested_successor(&self) -> Option<ControllerName> {
         let contents = self.context.replica.contents.borrow();
         let mut recent = contents.transfer_requested_within(TRANSFER_REQUEST_AGE);
         recent.find(|name| **name != self.context.env.name).cloned()
@@ -97,7 +97,7 @@
     // Carried out late, it must not drive out another leader than the one it is about.
     let transaction = Transaction::default()
         .when(LEADER_KEY, leader_version)
-        .put(transfer_request_key(&context.env.name), store_value(&request));
+        .put(transfer_request_key(context.env.name.as_str()), store_value(&request));
     let _ = context.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
     tokio::time::sleep(TRANSFER_REQUEST_PAUSE).await;
 }
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -7,7 +7,7 @@
 use crate::responses::json;
 use corkfield_core::Scheduler;
 use corkfield_http::Response;
-use corkfield_wire::Term;
+use corkfield_wire::{ControllerName, Term};
 use serde::Serialize;
 
 /// What every controller shows. Keys of earlier releases go on beside those that replace them.
@@ -74,13 +74,16 @@
 /// Answers an operator's request for the overview.
 pub fn overview(env: &Environment, replica: &StoreReplica, leadership: &Leadership) -> Response {
     let contents = replica.contents.borrow();
-    let leader = contents.leader.as_ref().and_then(|(record, _)| record.node.as_deref());
+    let leader = contents
+        .leader
+        .as_ref()
+        .and_then(|(record, _)| record.node.as_ref().map(ControllerName::as_str));
     let dead_lettered = contents.jobs.iter().filter(|(_, (record, _))| record.dead_lettered);
     let dead_lettered: Vec<String> = dead_lettered.map(|(id, _)| id.to_string()).collect();
     let scheduler = leadership.scheduler();
     let leading = scheduler.map(|scheduler| LeaderOverview::new(&scheduler.borrow()));
     let body = ControllerOverview {
-        node: &env.name,
+        node: env.name.as_str(),
         leader,
         planner: leader,
         unfinished_jobs: contents.jobs.len(),
--- a/crates/corkfield/src/leadership/store_value/tests.rs
+++ b/crates/corkfield/src/leadership/store_value/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use corkfield_wire::records::LeaderRecord;
-use corkfield_wire::{Incarnation, Term};
+use corkfield_wire::{ControllerName, Incarnation, Term};
 
 #[test]
 fn counted_bytes_are_those_of_the_serialization() {
-    let node = Some("contröller \"a\"\n".to_owned());
+    let node = Some(ControllerName::from("contröller \"a\"\n"));
     let record = LeaderRecord {
         node,
         incarnation: Incarnation::from("a-1"),
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -10,7 +10,7 @@
 use crate::peer_links::PeerLinks;
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
-use corkfield_wire::JobId;
+use corkfield_wire::{ControllerName, JobId};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
         let _ = tokio::time::timeout(ACKNOWLEDGEMENT_WAIT, acknowledged).await;
     }
 
-    fn linked_leaders(&self) -> Vec<String> {
+    fn linked_leaders(&self) -> Vec<ControllerName> {
         let contents = self.replica.contents.borrow();
         let recorded = contents.leader.as_ref().and_then(|(record, _)| record.node.as_ref());
         self.links.linked_leaders(recorded, &self.peers)
--- a/crates/corkfield/src/outbox.rs
+++ b/crates/corkfield/src/outbox.rs
@@ -3,7 +3,7 @@
 use crate::clock::now;
 use crate::timers::AlignedTimers;
 use corkfield_wire::peer::Frame;
-use corkfield_wire::JobId;
+use corkfield_wire::{ControllerName, JobId};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -27,9 +27,9 @@
 #[derive(Default)]
 pub struct CancellationOutbox {
     /// By controller.
-    open: RefCell<BTreeMap<String, BTreeMap<JobId, Unacknowledged>>>,
+    open: RefCell<BTreeMap<ControllerName, BTreeMap<JobId, Unacknowledged>>>,
     /// Controllers for which a notification was dropped unacknowledged, and when the last one was.
-    dropped: RefCell<BTreeMap<String, Instant>>,
+    dropped: RefCell<BTreeMap<ControllerName, Instant>>,
     added: Notify,
     acknowledged: Notify,
 }
@@ -38,11 +38,11 @@
     /// Adds a notification to one controller. If too many are open for it, this one is dropped.
     fn add(&self, peer: &str, id: &JobId) {
         let mut open = self.open.borrow_mut();
-        let to_peer = open.entry(peer.to_owned()).or_default();
+        let to_peer = open.entry(ControllerName::from(peer)).or_default();
         if to_peer.len() < MAX_UNACKNOWLEDGED {
             to_peer.entry(id.clone()).or_insert(Unacknowledged { since: now(), sent: None });
         } else {
-            self.dropped.borrow_mut().insert(peer.to_owned(), now());
+            self.dropped.borrow_mut().insert(ControllerName::from(peer), now());
         }
     }
 
@@ -54,7 +54,7 @@
 
     /// That controller read the state service after `since`: it knows of what was dropped before.
     pub fn has_read(&self, peer: &str, since: Instant) {
-        self.dropped.borrow_mut().retain(|other, at| other != peer || *at >= since);
+        self.dropped.borrow_mut().retain(|other, at| other.as_str() != peer || *at >= since);
     }
 
     /// Whether that controller has anything to acknowledge.
@@ -86,7 +86,7 @@
         let before = to_peer.len();
         to_peer.retain(|_, notification| at.saturating_duration_since(notification.since) < keep);
         if to_peer.len() < before {
-            self.dropped.borrow_mut().insert(peer.to_owned(), at);
+            self.dropped.borrow_mut().insert(ControllerName::from(peer), at);
         }
         let due = to_peer.iter_mut().filter(|(_, notification)| {
             notification
@@ -115,10 +115,10 @@
     }
 
     /// Waits until all of these controllers have acknowledged the cancellation.
-    pub async fn until_acknowledged(&self, peers: &[String], id: &JobId) {
+    pub async fn until_acknowledged(&self, peers: &[ControllerName], id: &JobId) {
         loop {
             let acknowledged = self.acknowledged.notified();
-            if !peers.iter().any(|peer| self.is_open(peer, id)) {
+            if !peers.iter().any(|peer| self.is_open(peer.as_str(), id)) {
                 return;
             }
             acknowledged.await;
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -11,6 +11,7 @@
 use crate::peers::Peers;
 use corkfield_http::Response;
 use corkfield_wire::peer::Frame;
+use corkfield_wire::ControllerName;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,7 +35,7 @@
 /// The links that this controller opened, and the relayed heartbeats that wait for their answers.
 pub struct PeerLinks {
     /// Where frames to each controller that there is a link to are queued.
-    open: RefCell<BTreeMap<String, mpsc::Sender<Frame>>>,
+    open: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
     /// Relayed heartbeats without an answer yet, by number.
     relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
     last_relay: Cell<u64>,
@@ -76,15 +77,20 @@
 
     /// Controllers that there is a link to and that say they lead, or that the state service names
     /// as the leader.
-    pub fn linked_leaders(&self, recorded: Option<&String>, peers: &Peers) -> Vec<String> {
-        let leads = |name: &String| recorded == Some(name) || peers.says_it_leads(name);
+    pub fn linked_leaders(
+        &self,
+        recorded: Option<&ControllerName>,
+        peers: &Peers,
+    ) -> Vec<ControllerName> {
+        let leads =
+            |name: &ControllerName| recorded == Some(name) || peers.says_it_leads(name.as_str());
         self.open.borrow().keys().filter(|name| leads(name)).cloned().collect()
     }
 
     /// A link was opened; returns the queue of its frames.
     fn opened(&self, peer: &str) -> (mpsc::Sender<Frame>, mpsc::Receiver<Frame>) {
         let (sender, receiver) = mpsc::channel(self.max_queued);
-        self.open.borrow_mut().insert(peer.to_owned(), sender.clone());
+        self.open.borrow_mut().insert(ControllerName::from(peer), sender.clone());
         (sender, receiver)
     }
 
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -93,7 +93,7 @@
             .filter(|_| heartbeat.store_answers)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
         if let Some(read) = read {
-            self.outbox.has_read(&heartbeat.node, read);
+            self.outbox.has_read(heartbeat.node.as_str(), read);
         }
         self.peers.record(heartbeat, echoed_sent);
     }
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -10,7 +10,7 @@
 use crate::session_lease::SessionLease;
 use corkfield_http::{Response, Stream};
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
-use corkfield_wire::Term;
+use corkfield_wire::{ControllerName, Term};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -36,11 +36,11 @@
 
 impl OutgoingLinks {
     /// Keeps a link to a peer: sends heartbeats to it again and again, and relays those of workers.
-    pub async fn maintain(self: Rc<Self>, peer: String, addr: SocketAddr) {
+    pub async fn maintain(self: Rc<Self>, peer: ControllerName, addr: SocketAddr) {
         loop {
             let connected = timeout(HEARTBEAT_INTERVAL * 2, self.env.network.connect(addr)).await;
             if let Ok(Ok(stream)) = connected {
-                self.serve(&peer, stream).await;
+                self.serve(peer.as_str(), stream).await;
             }
             tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         }
@@ -108,11 +108,11 @@
     /// its users were told of were acknowledged there.
     fn attests_for(&self, peer: &str) -> bool {
         let contents = self.replica.contents.borrow();
-        let leader = contents.leader.as_ref().and_then(|(record, _)| record.node.as_deref());
+        let leader = contents.leader.as_ref().and_then(|(record, _)| record.node.as_ref());
         self.replica.is_synced()
             && self.replica.proof_age() > HEARTBEAT_TIMEOUT
             && !self.leadership.is_leading()
-            && leader == Some(peer)
+            && leader.is_some_and(|leader| leader.as_str() == peer)
             && self.outbox.all_acknowledged(peer)
     }
 }
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use corkfield_wire::peer::PeerHeartbeat;
-use corkfield_wire::{Incarnation, Term};
+use corkfield_wire::{ControllerName, Incarnation, Term};
 
 #[tokio::test(start_paused = true)]
 async fn a_relayed_heartbeat_brings_the_answer_with_its_number() {
@@ -43,7 +43,7 @@
 async fn leaders_are_those_with_a_link_that_lead_by_their_own_word_or_by_the_record() {
     let (links, peers) = (PeerLinks::new(4), Peers::default());
     let heartbeat = |node: &str, leading| PeerHeartbeat {
-        node: node.to_owned(),
+        node: ControllerName::from(node),
         incarnation: Incarnation::default(),
         process: 1,
         number: 1,
@@ -59,9 +59,12 @@
     peers.record(heartbeat("leads", true), None);
     peers.record(heartbeat("standby", false), None);
     peers.record(heartbeat("unlinked", true), None);
-    let recorded = "recorded".to_owned();
-    assert_eq!(links.linked_leaders(Some(&recorded), &peers), ["leads", "recorded"]);
+    let recorded = ControllerName::from("recorded");
+    assert_eq!(
+        links.linked_leaders(Some(&recorded), &peers),
+        ["leads", "recorded"].map(ControllerName::from)
+    );
     tokio::time::advance(crate::peers::HEARTBEAT_TIMEOUT).await;
-    assert_eq!(links.linked_leaders(Some(&recorded), &peers), ["recorded"]);
+    assert_eq!(links.linked_leaders(Some(&recorded), &peers), [ControllerName::from("recorded")]);
     assert!(links.linked_leaders(None, &peers).is_empty());
 }
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::clock::now;
 use corkfield_wire::peer::PeerHeartbeat;
 use corkfield_wire::settings::Platform;
-use corkfield_wire::Term;
+use corkfield_wire::{ControllerName, Term};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -50,9 +50,9 @@
 /// The view of the other controllers.
 #[derive(Default)]
 pub struct Peers {
-    last: RefCell<BTreeMap<String, LastHeartbeat>>,
+    last: RefCell<BTreeMap<ControllerName, LastHeartbeat>>,
     /// The heartbeats sent to each, the oldest first.
-    sent: RefCell<BTreeMap<String, VecDeque<SentHeartbeat>>>,
+    sent: RefCell<BTreeMap<ControllerName, VecDeque<SentHeartbeat>>>,
 }
 
 impl Peers {
@@ -84,7 +84,7 @@
     /// Records that a heartbeat is sent now; returns its number.
     pub fn record_sent(&self, peer: &str) -> u64 {
         let mut sent = self.sent.borrow_mut();
-        let to_peer = sent.entry(peer.to_owned()).or_default();
+        let to_peer = sent.entry(ControllerName::from(peer)).or_default();
         let number = to_peer.back().map_or(0, |newest| newest.number) + 1;
         to_peer.push_back(SentHeartbeat { number, sent: now() });
         if to_peer.len() > MAX_SENT_HEARTBEATS {
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -8,7 +8,7 @@
     attests_outage: bool,
 ) -> PeerHeartbeat {
     PeerHeartbeat {
-        node: "q".to_owned(),
+        node: ControllerName::from("q"),
         incarnation: Incarnation::default(),
         process,
         number: 1,
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -7,7 +7,7 @@
     CONTROLLERS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY, TRANSFER_REQUESTS_PREFIX,
 };
 use corkfield_wire::store::{Event, Events, Item};
-use corkfield_wire::{JobId, Revision};
+use corkfield_wire::{ControllerName, JobId, Revision};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -31,9 +31,9 @@
     /// The unfinished jobs.
     pub jobs: BTreeMap<JobId, (JobRecord, Revision)>,
     /// The membership records, by controller.
-    pub controllers: BTreeMap<String, (Membership, Revision)>,
+    pub controllers: BTreeMap<ControllerName, (Membership, Revision)>,
     /// By the controller that asks.
-    transfer_requests: BTreeMap<String, SeenTransferRequest>,
+    transfer_requests: BTreeMap<ControllerName, SeenTransferRequest>,
     /// The leader record.
     pub leader: Option<(LeaderRecord, Revision)>,
     /// When the present leader record was first seen.
@@ -79,7 +79,10 @@
     }
 
     /// Controllers that asked for the leader's place within that time.
-    pub fn transfer_requested_within(&self, time: Duration) -> impl Iterator<Item = &String> {
+    pub fn transfer_requested_within(
+        &self,
+        time: Duration,
+    ) -> impl Iterator<Item = &ControllerName> {
         let recent = move |request: &SeenTransferRequest| {
             now().saturating_duration_since(request.first_seen) < time
         };
@@ -112,12 +115,14 @@
             }
         } else if let Some(node) = key.strip_prefix(CONTROLLERS_PREFIX) {
             if let Some(membership) = decode(key, value) {
-                self.controllers.insert(node.to_owned(), (membership, version));
+                self.controllers.insert(ControllerName::from(node), (membership, version));
             }
         } else if let Some(node) = key.strip_prefix(TRANSFER_REQUESTS_PREFIX) {
             if decode::<TransferRequest>(key, value).is_some() {
-                self.transfer_requests
-                    .insert(node.to_owned(), SeenTransferRequest { version, first_seen: now() });
+                self.transfer_requests.insert(
+                    ControllerName::from(node),
+                    SeenTransferRequest { version, first_seen: now() },
+                );
             }
         } else if key == LEADER_KEY {
             self.leader = decode(key, value).map(|record| (record, version));
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -130,7 +130,7 @@
 
     /// Takes a lease and writes the membership key under it.
     async fn take(&self, ttl: Duration) -> Result<HeldLease, StateError> {
-        let key = controller_key(&self.env.name);
+        let key = controller_key(self.env.name.as_str());
         // What a former process of this controller left is written over: whoever it was is gone.
         let found = self.env.state.get(RequestClass::Lease, &key).await?;
         let started = now();
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -15,6 +15,7 @@
 use corkfield_core::{Scheduler, Verdict};
 use corkfield_http::{Connections, Response};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, WorkerHeartbeat};
+use corkfield_wire::ControllerName;
 use redirects::Route;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -77,7 +78,7 @@
         let leader = self.other_leader();
         if let Some(leader) = &leader {
             if self.redirected.record_visit(&heartbeat.machine) == Route::Relay {
-                if let Some(response) = self.links.relay(leader, body).await {
+                if let Some(response) = self.links.relay(leader.as_str(), body).await {
                     return self.check_relayed(response);
                 }
             }
@@ -206,7 +207,7 @@
     }
 
     /// The leader, if it is another controller that is present.
-    fn other_leader(&self) -> Option<String> {
+    fn other_leader(&self) -> Option<ControllerName> {
         let contents = self.replica.contents.borrow();
         let (record, _) = contents.leader.as_ref()?;
         let name = record.node.clone().filter(|name| *name != self.env.name)?;
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -267,7 +267,7 @@
     pub fn elected_leader(&self) -> Option<ElectedLeader> {
         let record: LeaderRecord = serde_json::from_value(self.store.value(LEADER_KEY)?).ok()?;
         let name = record.node?;
-        let controller = CONTROLLERS.iter().position(|controller| *controller == name)?;
+        let controller = CONTROLLERS.iter().position(|controller| *controller == name.as_str())?;
         Some(ElectedLeader { controller, term: record.term })
     }
 
--- a/crates/corkfield/tests/scenarios/cluster/settings.rs
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -5,6 +5,7 @@
 use corkfield_fakes::WorkerSettings;
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Platform;
+use corkfield_wire::ControllerName;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -112,7 +113,7 @@
         lease: Duration::from_secs_f64(LEASE_S),
         heartbeats_after_answers: true,
         controllers: controllers
-            .map(|(number, name)| ((*name).to_owned(), client_addr(number)))
+            .map(|(number, name)| (ControllerName::from(*name), client_addr(number)))
             .collect(),
     }
 }
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::{now, sleep};
 use corkfield_http::Network;
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{AgentEpoch, Attempt, TaskId, Term};
+use corkfield_wire::{AgentEpoch, Attempt, ControllerName, TaskId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     /// scenario then takes less simulated time. A measure of load needs the protocol's own rate.
     pub heartbeats_after_answers: bool,
     /// All controllers, by name.
-    pub controllers: Vec<(String, SocketAddr)>,
+    pub controllers: Vec<(ControllerName, SocketAddr)>,
 }
 
 struct Task {
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -3,6 +3,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
+use std::borrow::Borrow;
 use std::fmt;
 
 /// Low bits of an attempt, which count the attempts of one generation.
@@ -62,6 +63,13 @@
             }
         }
 
+        // So maps whose keys are names are searched by a bare text.
+        impl Borrow<str> for $name {
+            fn borrow(&self) -> &str {
+                &self.0
+            }
+        }
+
         impl From<String> for $name {
             fn from(name: String) -> Self {
                 Self(name)
@@ -175,3 +183,9 @@
     #[derive(BorshSerialize, BorshDeserialize)]
     Incarnation
 }
+
+name! {
+    /// The name of a controller's node.
+    #[derive(BorshSerialize, BorshDeserialize)]
+    ControllerName
+}
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,6 +1,6 @@
 //! What controllers say to one another: borsh, each frame led by its length and a version.
 
-use crate::ids::{Incarnation, Term};
+use crate::ids::{ControllerName, Incarnation, Term};
 use borsh::{BorshDeserialize, BorshSerialize};
 
 /// Version of the frames; others are refused.
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
     /// Name of the sender's node.
-    pub node: String,
+    pub node: ControllerName,
     /// The sender's incarnation; empty while it has no lease.
     pub incarnation: Incarnation,
     /// Drawn anew by each process.
@@ -32,7 +32,7 @@
     /// The state service answered this controller a moment ago.
     pub store_answers: bool,
     /// The leader that it knows of.
-    pub leader: Option<String>,
+    pub leader: Option<ControllerName>,
     /// That leader's term; 0 without one.
     pub term: Term,
 }
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::cloud::MachineType;
-use crate::ids::{Incarnation, Term};
+use crate::ids::{ControllerName, Incarnation, Term};
 use serde::{Deserialize, Serialize};
 
 /// A controller's membership of the cluster; its key is attached to the controller's lease.
@@ -35,14 +35,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The node that holds the record; none after an orderly hand-over.
-    pub node: Option<String>,
+    pub node: Option<ControllerName>,
     /// The incarnation under which the record was claimed.
     pub incarnation: Incarnation,
     /// Raised by every claim of the record, so no two leaders share one. Workers' fencing token.
     pub term: Term,
     /// The node that should take over, after a hand-over.
     #[serde(default)]
-    pub successor: Option<String>,
+    pub successor: Option<ControllerName>,
 }
 
 /// A machine that may hold tasks. Written before the first start on the machine, and deleted
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -4,6 +4,7 @@
 
 pub use validation::SettingsError;
 
+use crate::ids::ControllerName;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 pub struct Platform {
     /// Name of this controller's node (`node_name`).
     #[serde(rename = "node_name")]
-    pub node: String,
+    pub node: ControllerName,
     /// The zone that it is in (`domain`).
     #[serde(rename = "domain")]
     pub zone: String,
@@ -45,7 +46,7 @@
 pub struct Peer {
     /// Name of its node.
     #[serde(rename = "node_name")]
-    pub node: String,
+    pub node: ControllerName,
     /// Its zone.
     #[serde(rename = "domain", default)]
     pub zone: String,
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -41,7 +41,7 @@
     /// Names the first value that is outside its bounds.
     pub(super) fn check(&self) -> Result<(), SettingsError> {
         self.params.check_positive()?;
-        let name = &self.node;
+        let name = self.node.as_str();
         let name_fits =
             !name.is_empty() && name.len() <= MAX_NODE_NAME && !name.contains([' ', '/']);
         require(name_fits, "node_name", "must be 1 to 100 bytes without spaces or slashes")?;
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! What workers send, and the orders they take.
 
-use crate::ids::{AgentEpoch, Attempt, Term};
+use crate::ids::{AgentEpoch, Attempt, ControllerName, Term};
 use crate::job_id::JobId;
 use crate::text::ParsedText;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -202,7 +202,7 @@
 pub struct Redirect {
     /// Name of the node to report to; none sends the worker to the next that it knows.
     #[serde(rename = "upstream", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub report_to: Option<ControllerName>,
 }
 
 /// Orders sent straight to a machine. They can be carried out late, so they never start a task
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -2,11 +2,11 @@
 //! bytes are those that the version at commit 2b8fbd7 wrote.
 
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
-use corkfield_wire::{Incarnation, Term};
+use corkfield_wire::{ControllerName, Incarnation, Term};
 
 fn heartbeat() -> PeerHeartbeat {
     PeerHeartbeat {
-        node: "worker-0".to_owned(),
+        node: ControllerName::from("worker-0"),
         incarnation: Incarnation::from("worker-0-0000002a"),
         process: 5,
         number: 6,
@@ -15,14 +15,14 @@
         attests_outage: true,
         leading: false,
         store_answers: true,
-        leader: Some("worker-1".to_owned()),
+        leader: Some(ControllerName::from("worker-1")),
         term: Term::new(41),
     }
 }
 
 fn heartbeat_without_a_leader() -> PeerHeartbeat {
     PeerHeartbeat {
-        node: "n".to_owned(),
+        node: ControllerName::from("n"),
         incarnation: Incarnation::default(),
         process: 0,
         number: u64::MAX,
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -11,7 +11,8 @@
     WorkerHeartbeat,
 };
 use corkfield_wire::{
-    AgentEpoch, Attempt, JobId, JobSpec, JobStatus, Priority, Revision, TaskId, Term,
+    AgentEpoch, Attempt, ControllerName, JobId, JobSpec, JobStatus, Priority, Revision, TaskId,
+    Term,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -157,7 +158,7 @@
     let orders: DirectOrders = round_trip(r#"{"epoch":41,"tenure":1,"orders":[]}"#);
     assert_eq!((orders.term, orders.agent_epoch), (Term::new(41), AgentEpoch::new(1)));
     let redirect: Redirect = round_trip(r#"{"upstream":"worker-2"}"#);
-    assert_eq!(redirect.report_to.as_deref(), Some("worker-2"));
+    assert_eq!(redirect.report_to, Some(ControllerName::from("worker-2")));
     assert_eq!(round_trip::<Redirect>("{}").report_to, None);
 }
 
--- a/crates/wire/tests/stored_records.rs
+++ b/crates/wire/tests/stored_records.rs
@@ -4,7 +4,9 @@
 
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::*;
-use corkfield_wire::{Generation, Incarnation, JobId, JobSpec, JobStatus, TaskSet, Term};
+use corkfield_wire::{
+    ControllerName, Generation, Incarnation, JobId, JobSpec, JobStatus, TaskSet, Term,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -144,14 +146,15 @@
     let membership = Membership { incarnation: Incarnation::from("worker-2.1"), lease: 7 };
     assert_stored_as(&membership, fixture!("membership"));
     let leader = LeaderRecord {
-        node: Some("worker-2".to_owned()),
+        node: Some(ControllerName::from("worker-2")),
         incarnation: Incarnation::from("worker-2.1"),
         term: Term::new(41),
         successor: None,
     };
     assert_stored_as(&leader, fixture!("leader"));
     assert_eq!(read::<LeaderRecord>(fixture!("older_leader")), leader);
-    let handed_over = LeaderRecord { node: None, successor: Some("worker-3".to_owned()), ..leader };
+    let handed_over =
+        LeaderRecord { node: None, successor: Some(ControllerName::from("worker-3")), ..leader };
     assert_stored_as(&handed_over, fixture!("leader_after_hand_over"));
 }
 
