--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use corkfield_wire::Incarnation;
 
 fn heartbeat(
     process: u64,
@@ -7,8 +8,8 @@
     attests_outage: bool,
 ) -> PeerHeartbeat {
     PeerHeartbeat {
-        node: "q".to_owned(),
-        incarnation: String::new(),
+        node: ControllerName::from("q"),
+        incarnation: Incarnation::default(),
         process,
         number: 1,
         last_received_number,
