--- a/crates/cloud/src/client.rs
+++ b/crates/cloud/src/client.rs
@@ -7,6 +7,7 @@
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, MAX_LIST,
     PATH_DELETE, PATH_MACHINES, PATH_TYPES,
 };
+use corkfield_wire::MachineName;
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -78,7 +79,7 @@
     /// [`CloudError::NoCapacity`] if there are none; after [`CloudError::NoAnswer`] machines may
     /// have been rented, or may be later on. Otherwise if the request is refused or has a
     /// malformed answer.
-    pub async fn rent(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
+    pub async fn rent(&self, request: &RentRequest) -> Result<Vec<MachineName>, CloudError> {
         let rented: MachineNames = self.post(RequestClass::Lease, PATH_MACHINES, request).await?;
         Ok(rented.machines)
     }
@@ -89,7 +90,7 @@
     ///
     /// If the request is refused, has no answer or a malformed one. Unless it was refused they
     /// may be gone, or may go later on.
-    pub async fn delete(&self, machines: Vec<String>) -> Result<(), CloudError> {
+    pub async fn delete(&self, machines: Vec<MachineName>) -> Result<(), CloudError> {
         let names = MachineNames { machines };
         let _: IgnoredAny = self.post(RequestClass::Completion, PATH_DELETE, &names).await?;
         Ok(())
--- a/crates/cloud/tests/answers.rs
+++ b/crates/cloud/tests/answers.rs
@@ -6,6 +6,7 @@
 use corkfield_cloud::{CloudClient, CloudError};
 use corkfield_http::Tcp;
 use corkfield_wire::cloud::RentRequest;
+use corkfield_wire::MachineName;
 use scripted_server::{run, serve_answers, Answer, Received};
 use std::rc::Rc;
 
@@ -46,8 +47,8 @@
         let machines = client.machines().await.unwrap();
         let names: Vec<&str> = machines.iter().map(|machine| machine.name.as_str()).collect();
         assert_eq!(names, ["host-1", "host-2"], "an empty page ends the list");
-        assert_eq!(client.rent(&rental()).await.unwrap(), ["host-3"]);
-        client.delete(vec!["host-3".to_owned()]).await.unwrap();
+        assert_eq!(client.rent(&rental()).await.unwrap(), [MachineName::from("host-3")]);
+        client.delete(vec![MachineName::from("host-3")]).await.unwrap();
         let expected = [
             "GET /flavors ",
             "GET /hosts?limit=500 ",
--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -7,7 +7,7 @@
 use crate::team::{within_guarantee, Usage};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Team;
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, MachineName};
 use std::collections::{BTreeMap, HashMap};
 
 /// Completed tasks of a class from which its estimates are corrected.
@@ -25,7 +25,7 @@
     /// Claimed jobs.
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Known machines, by name.
-    pub(crate) machines: BTreeMap<String, Machine>,
+    pub(crate) machines: BTreeMap<MachineName, Machine>,
     /// Run time seen against the owners' estimates, by class: count and sum of ratios.
     pub(crate) run_time_corrections: HashMap<String, (u32, f64)>,
 }
--- a/crates/core/src/job/failures.rs
+++ b/crates/core/src/job/failures.rs
@@ -1,5 +1,7 @@
 //! Failures of a job's tasks.
 
+use corkfield_wire::MachineName;
+
 /// A job that failed on so many machines backs off.
 const BACK_OFF_MACHINES: usize = 3;
 /// A job that failed on no more machines than this may have failed because of them.
@@ -9,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct JobFailures {
     /// Machines on which its tasks failed, in order.
-    machines: Vec<String>,
+    machines: Vec<MachineName>,
     /// Tasks that failed.
     count: u32,
 }
@@ -19,7 +21,7 @@
     pub(crate) fn add(&mut self, machine: &str) {
         self.count += 1;
         if !self.include(machine) {
-            self.machines.push(machine.to_owned());
+            self.machines.push(MachineName::from(machine));
         }
     }
 
@@ -36,7 +38,7 @@
 
     /// Whether its tasks failed on that machine.
     pub(super) fn include(&self, machine: &str) -> bool {
-        self.machines.iter().any(|failed_on| failed_on == machine)
+        self.machines.iter().any(|failed_on| failed_on.as_str() == machine)
     }
 
     /// Whether its tasks failed on any machine since it was claimed last.
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -18,7 +18,7 @@
 use crate::team::Usage;
 use completion::Completion;
 use corkfield_wire::records::JobRecord;
-use corkfield_wire::{Attempt, JobSpec, Priority, Revision, TaskSet};
+use corkfield_wire::{Attempt, JobSpec, MachineName, Priority, Revision, TaskSet};
 use start_queue::{StartQueue, StartView};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placed {
     /// Its machine.
-    pub machine: String,
+    pub machine: MachineName,
     /// The attempt under which it was started.
     pub attempt: Attempt,
 }
@@ -248,13 +248,13 @@
 
     /// The task is, or is about to be, on that machine.
     pub(crate) fn place(&mut self, index: u32, machine: &str, attempt: Attempt) {
-        self.active.insert(index, Placed { machine: machine.to_owned(), attempt });
+        self.active.insert(index, Placed { machine: MachineName::from(machine), attempt });
     }
 
     /// That attempt is surely no longer on that machine. An earlier attempt that its worker
     /// only now forgets says nothing about a later one, even on the same machine.
     pub(crate) fn release(&mut self, index: u32, machine: &str, attempt: Attempt) {
-        let same = |p: &Placed| p.machine == machine && p.attempt == attempt;
+        let same = |p: &Placed| p.machine.as_str() == machine && p.attempt == attempt;
         if self.active.get(&index).is_some_and(same) {
             self.active.remove(&index);
             if !self.finished().contains(index) {
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -22,7 +22,7 @@
 use corkfield_wire::cloud::{ListedMachine, MachineType};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
-use corkfield_wire::{Attempt, JobSpec, TaskId, Term};
+use corkfield_wire::{Attempt, JobSpec, MachineName, TaskId, Term};
 use health::MachineHealth;
 use image_cache::ImageCache;
 use lease::WorkerLease;
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Machine {
     /// Its name in the cloud.
-    pub name: String,
+    pub name: MachineName,
     /// Where its worker takes direct orders.
     pub addr: String,
     /// Name of its type.
@@ -87,7 +87,7 @@
 impl Machine {
     /// A machine of which nothing is known but that it exists.
     pub(crate) fn new(
-        name: String,
+        name: MachineName,
         type_name: String,
         zone: String,
         spot: bool,
@@ -129,7 +129,7 @@
         now: Instant,
     ) -> Self {
         let MachineRecord { addr, machine_type, zone, spot, .. } = record.clone();
-        let mut machine = Self::new(name.to_owned(), machine_type, zone, spot, types, now);
+        let mut machine = Self::new(MachineName::from(name), machine_type, zone, spot, types, now);
         machine.addr = addr;
         machine.recorded = Recorded::Yes;
         // It existed then, so the first lists may tell already that it is gone.
@@ -145,7 +145,7 @@
         now: Instant,
     ) -> Self {
         let WorkerHeartbeat { machine, machine_type, zone, spot, .. } = heartbeat;
-        tracing::debug!(machine, machine_type, "new machine");
+        tracing::debug!(machine = machine.as_str(), machine_type, "new machine");
         Self::new(machine.clone(), machine_type.clone(), zone.clone(), *spot, types, now)
     }
 
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -5,13 +5,13 @@
 use crate::cluster::Cluster;
 use crate::job::Job;
 use crate::machine::{Machine, Need};
-use corkfield_wire::{JobSpec, Priority};
+use corkfield_wire::{JobSpec, MachineName, Priority};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
 /// A machine with room, during one pass.
 pub(super) struct MachineCapacity {
-    pub(super) name: String,
+    pub(super) name: MachineName,
     pub(super) zone: String,
     pub(super) spot: bool,
     /// What no task takes.
@@ -173,7 +173,7 @@
         &mut self,
         job: &Job,
         scope: PlacementScope,
-        machines: &BTreeMap<String, Machine>,
+        machines: &BTreeMap<MachineName, Machine>,
     ) -> Vec<usize> {
         let Self { machines: capacity, open, smallest_need, .. } = self;
         let need = Need::per_task(job.spec());
@@ -193,7 +193,7 @@
     pub(super) fn task_slots(
         &mut self,
         spec: &JobSpec,
-        machines: &BTreeMap<String, Machine>,
+        machines: &BTreeMap<MachineName, Machine>,
     ) -> Vec<TaskSlots> {
         let Self { machines: capacity, reservable, smallest_need, highest_priority, .. } = self;
         let highest_priority = highest_priority.unwrap_or(spec.priority);
@@ -216,12 +216,12 @@
 }
 
 /// Whether the job may use the machine, and has not failed there.
-fn allows(job: &Job, machine: &MachineCapacity, machines: &BTreeMap<String, Machine>) -> bool {
+fn allows(job: &Job, machine: &MachineCapacity, machines: &BTreeMap<MachineName, Machine>) -> bool {
     let spec = job.spec();
     (spec.spot || !machine.spot)
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
         && (spec.types.is_none() || machines[&machine.name].allows(spec))
-        && !job.has_failed_on(&machine.name)
+        && !job.has_failed_on(machine.name.as_str())
 }
 
 /// How many tasks of that need, which takes CPUs, have room, as a whole number.
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -76,7 +76,9 @@
     fn unaccounted_usage(&self) -> Option<Usage> {
         let mut unaccounted_usage = Usage::default();
         for machine in self.cluster.machines.values() {
-            if self.is_unreconciled(&machine.name) || machine.tasks.totals().has_unknown_tasks {
+            if self.is_unreconciled(machine.name.as_str())
+                || machine.tasks.totals().has_unknown_tasks
+            {
                 let size = machine.size.as_ref()?;
                 let whole_machine = Usage { cpus: size.cpus, gpus: size.gpus };
                 unaccounted_usage = unaccounted_usage.plus(whole_machine);
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -181,7 +181,7 @@
         }
         let index = task.index;
         machine.assign(task, attempt, job, self.now);
-        job.place(index, &machine.name, attempt);
+        job.place(index, machine.name.as_str(), attempt);
         let usage = &mut self.usage[job.team];
         *usage = usage.plus(Usage::of_tasks(job.spec(), 1));
         capacity.place(&Need::per_task(job.spec()), job.spec().priority);
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -13,7 +13,7 @@
 use crate::machine::TaskAttempt;
 use crate::scheduler::direct_orders;
 use crate::team::{within_guarantee, Usage};
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, MachineName};
 use rand::seq::index;
 use std::time::{Duration, Instant};
 use victims::VictimSelection;
@@ -26,7 +26,7 @@
 
 /// A machine that takes tasks, as it was when the search began.
 struct SearchedMachine {
-    name: String,
+    name: MachineName,
     free_cpus: f64,
     /// CPUs that its tasks take, by priority.
     cpus_by_priority: [f64; 4],
@@ -109,7 +109,8 @@
                 return;
             }
             search.searches_left -= 1;
-            wanted -= self.preempt_on(&startable.id, &search.machines[position].name, wanted);
+            wanted -=
+                self.preempt_on(&startable.id, search.machines[position].name.as_str(), wanted);
         }
     }
 
--- a/crates/core/src/placement/preemption/victims.rs
+++ b/crates/core/src/placement/preemption/victims.rs
@@ -67,7 +67,7 @@
         now: Instant,
     ) -> Option<Self> {
         let (job, machine) = (&cluster.jobs[id], &cluster.machines[name]);
-        let has_failed = machine.has_failures() || job.has_failed_on(&machine.name);
+        let has_failed = machine.has_failures() || job.has_failed_on(machine.name.as_str());
         if !machine.allows(job.spec()) || has_failed {
             return None;
         }
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -5,7 +5,7 @@
 use crate::float_order::compare;
 use crate::job::Job;
 use crate::machine::{Machine, Need};
-use corkfield_wire::JobSpec;
+use corkfield_wire::{JobSpec, MachineName};
 use std::collections::BTreeMap;
 
 /// Whether the job's tasks are bound to one zone, or to several.
@@ -28,7 +28,7 @@
     /// the one where the machines given have room for most.
     pub(super) fn new<'a>(
         job: &Job,
-        machines: &BTreeMap<String, Machine>,
+        machines: &BTreeMap<MachineName, Machine>,
         capacity: &[MachineCapacity],
         candidates: impl Iterator<Item = &'a usize>,
     ) -> Self {
@@ -59,7 +59,7 @@
 }
 
 /// How many placed tasks of the job each zone holds.
-fn zones_in_use(machines: &BTreeMap<String, Machine>, job: &Job) -> BTreeMap<String, u32> {
+fn zones_in_use(machines: &BTreeMap<MachineName, Machine>, job: &Job) -> BTreeMap<String, u32> {
     let mut zones = BTreeMap::new();
     for placed in job.active().values() {
         if let Some(machine) = machines.get(&placed.machine) {
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -16,7 +16,7 @@
 use crate::machine::Machine;
 use crate::scheduler::{Action, Scheduler};
 use corkfield_wire::cloud::RentRequest;
-use corkfield_wire::Term;
+use corkfield_wire::{MachineName, Term};
 use demand::RecentDemand;
 use offers::{Offer, OfferBackoff};
 use scale_in::DrainReason;
@@ -38,7 +38,7 @@
 /// A machine that was taken out of use, to be returned once it is empty.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct DrainedMachine {
-    pub(crate) name: String,
+    pub(crate) name: MachineName,
     pub(crate) reason: DrainReason,
 }
 
@@ -78,7 +78,7 @@
         &mut self,
         cluster: &mut Cluster,
         request: &RentRequest,
-        outcome: Result<Vec<String>, RentalFailure>,
+        outcome: Result<Vec<MachineName>, RentalFailure>,
         now: Instant,
     ) {
         self.rentals_in_flight.remove(&request.request);
@@ -124,7 +124,7 @@
 fn add_rented_machines(
     cluster: &mut Cluster,
     request: &RentRequest,
-    names: Vec<String>,
+    names: Vec<MachineName>,
     now: Instant,
 ) {
     let types = &cluster.machine_types;
@@ -143,7 +143,7 @@
     pub fn rental_answered(
         &mut self,
         request: &RentRequest,
-        outcome: Result<Vec<String>, bool>,
+        outcome: Result<Vec<MachineName>, bool>,
         now: Instant,
     ) {
         let outcome = outcome.map_err(|no_capacity| {
@@ -166,7 +166,7 @@
         let decisions = self.scaling.scale(&mut self.cluster, reconciled, now);
         for drained in decisions.drained {
             if let Some(message) = drained.reason.message() {
-                self.note_machine_event(&drained.name, message);
+                self.note_machine_event(drained.name.as_str(), message);
             }
         }
         self.actions.extend(decisions.rentals.into_iter().map(Action::Rent));
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -6,6 +6,7 @@
 use crate::cluster::Cluster;
 use crate::float_order::compare;
 use crate::machine::{Machine, MachineState};
+use corkfield_wire::MachineName;
 use std::time::{Duration, Instant};
 
 /// The fraction of the keeping time after which machines beyond the likely need are returned.
@@ -51,7 +52,7 @@
 
 /// A machine on which nothing runs.
 struct IdleMachine {
-    name: String,
+    name: MachineName,
     cpus: f64,
     price_per_cpu: f64,
     /// Whether it was kept for as long as idle machines are, or is slow.
@@ -67,7 +68,7 @@
     for machine in cluster.machines.values_mut() {
         if is_late_boot(machine, now) {
             machine.enter(MachineState::Draining);
-            decisions.add_drained(&machine.name, DrainReason::LateBoot);
+            decisions.add_drained(machine.name.as_str(), DrainReason::LateBoot);
         }
     }
 }
@@ -105,8 +106,8 @@
         return;
     }
     for name in expensive {
-        cluster.drain(&name);
-        decisions.add_drained(&name, DrainReason::Expensive);
+        cluster.drain(name.as_str());
+        decisions.add_drained(name.as_str(), DrainReason::Expensive);
     }
 }
 
@@ -132,8 +133,8 @@
         }
         spare.cpus -= machine.cpus;
         tracing::debug!(machine = %machine.name, "returning an idle machine");
-        cluster.drain(&machine.name);
-        decisions.add_drained(&machine.name, DrainReason::Idle);
+        cluster.drain(machine.name.as_str());
+        decisions.add_drained(machine.name.as_str(), DrainReason::Idle);
     }
 }
 
@@ -165,6 +166,6 @@
 
 impl ScalingDecisions {
     fn add_drained(&mut self, name: &str, reason: DrainReason) {
-        self.drained.push(DrainedMachine { name: name.to_owned(), reason });
+        self.drained.push(DrainedMachine { name: MachineName::from(name), reason });
     }
 }
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -4,17 +4,17 @@
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::Order;
-use corkfield_wire::AgentEpoch;
+use corkfield_wire::{AgentEpoch, MachineName};
 
 /// What the world outside should do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// A heartbeat whose answer is held back should be answered now.
-    Answer(String),
+    Answer(MachineName),
     /// Orders that are safe at any time (stops), straight to the machine.
     Direct {
         /// The machine's name.
-        machine: String,
+        machine: MachineName,
         /// Where its worker takes direct orders.
         addr: String,
         /// The agent epoch that the orders are for.
@@ -23,13 +23,13 @@
         orders: Vec<Order>,
     },
     /// The key-value store has to know the machine before anything starts on it.
-    Record(String, MachineRecord),
+    Record(MachineName, MachineRecord),
     /// The machine is surely gone, and its record with it.
-    Erase(String),
+    Erase(MachineName),
     /// Machines should be rented.
     Rent(RentRequest),
     /// Machines should be returned.
-    Delete(Vec<String>),
+    Delete(Vec<MachineName>),
 }
 
 /// Orders that go straight to a machine, for its worker's current agent epoch.
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -62,7 +62,7 @@
                     job.finish(index);
                 } else if machine_task.takes_room() && !job.active().contains_key(&index) {
                     machine_task.let_run();
-                    job.place(index, &machine.name, key.attempt);
+                    job.place(index, machine.name.as_str(), key.attempt);
                 }
             }
         }
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -57,7 +57,7 @@
         let unknown: Vec<(u32, Placed)> =
             unknown.map(|(index, placed)| (*index, placed.clone())).collect();
         for (index, placed) in unknown {
-            job.release(index, &placed.machine, placed.attempt);
+            job.release(index, placed.machine.as_str(), placed.attempt);
         }
     }
 
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -4,7 +4,7 @@
 use crate::machine::{Machine, MachineState, MessageNumber, Reachability};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
-use corkfield_wire::AgentEpoch;
+use corkfield_wire::{AgentEpoch, MachineName};
 use std::time::{Duration, Instant};
 
 /// After a failover machines have a heartbeat interval and this long to show what they hold.
@@ -33,18 +33,18 @@
         // S6: the leader before us may have answered it until its fresh state ran out.
         machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
         self.reconciliation.expect(name, now);
-        self.cluster.machines.insert(name.to_owned(), machine);
+        self.cluster.machines.insert(MachineName::from(name), machine);
     }
 
     /// Machines that have to be asked, under our term, what they hold, or whether orders reach
     /// them: name, address and agent epoch of each.
-    pub fn fence_targets(&self) -> Vec<(String, String, AgentEpoch)> {
+    pub fn fence_targets(&self) -> Vec<(MachineName, String, AgentEpoch)> {
         let asked = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
                     || machine.messages.numbering_may_have_restarted()
-                    || self.is_unreconciled(&machine.name))
+                    || self.is_unreconciled(machine.name.as_str()))
         });
         asked
             .map(|machine| {
@@ -72,7 +72,7 @@
     ) -> Verdict {
         let verdict = self.on_heartbeat(heartbeat, false, now);
         if (heartbeat.agent_epoch, heartbeat.sequence) <= known {
-            self.return_restarted(&heartbeat.machine);
+            self.return_restarted(heartbeat.machine.as_str());
         }
         verdict
     }
@@ -117,13 +117,13 @@
             return;
         }
         for name in self.silent_unreconciled() {
-            self.return_at_once(&name, "no answer after the failover; machine returned");
+            self.return_at_once(name.as_str(), "no answer after the failover; machine returned");
         }
     }
 
     /// Unreconciled machines that did not answer several questions in a row.
-    fn silent_unreconciled(&self) -> Vec<String> {
-        let is_silent = |name: &&String| {
+    fn silent_unreconciled(&self) -> Vec<MachineName> {
+        let is_silent = |name: &&MachineName| {
             let machine = self.cluster.machines.get(*name);
             machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
         };
--- a/crates/core/src/scheduler/gone_machines.rs
+++ b/crates/core/src/scheduler/gone_machines.rs
@@ -1,5 +1,6 @@
 //! Names of machines that are gone.
 
+use corkfield_wire::MachineName;
 use std::collections::{HashSet, VecDeque};
 
 /// So many names are kept at the least, and several times as many as there are machines.
@@ -11,9 +12,9 @@
 #[derive(Debug, Default)]
 pub(super) struct GoneMachines {
     /// For look-ups.
-    names: HashSet<String>,
+    names: HashSet<MachineName>,
     /// The same names, the first to go at the front.
-    by_age: VecDeque<String>,
+    by_age: VecDeque<MachineName>,
 }
 
 impl GoneMachines {
@@ -25,8 +26,8 @@
     /// Notes that a machine is gone, beside `machines` that are known, and forgets the oldest
     /// name if there are too many.
     pub(super) fn insert(&mut self, name: &str, machines: usize) {
-        if self.names.insert(name.to_owned()) {
-            self.by_age.push_back(name.to_owned());
+        if self.names.insert(MachineName::from(name)) {
+            self.by_age.push_back(MachineName::from(name));
         }
         if self.by_age.len() > MIN_KEPT.max(machines * KEPT_PER_MACHINE) {
             if let Some(oldest) = self.by_age.pop_front() {
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -50,7 +50,7 @@
         if heartbeat.term > self.term {
             return Verdict::HigherTerm(heartbeat.term);
         }
-        if self.gone.contains(&heartbeat.machine) {
+        if self.gone.contains(heartbeat.machine.as_str()) {
             return Verdict::Stale;
         }
         let our_term = self.term;
@@ -64,7 +64,7 @@
             return Verdict::Stale;
         }
         if machine.messages.has_shown_higher_term(heartbeat.term) {
-            self.return_restarted(&heartbeat.machine);
+            self.return_restarted(heartbeat.machine.as_str());
             return Verdict::Stale;
         }
         let gap = machine.receive(heartbeat, own_heartbeat, now);
@@ -94,9 +94,9 @@
             }
         }
         self.sync_tasks(heartbeat, receipt);
-        self.reconciliation.note_reconciled(name, receipt.now);
+        self.reconciliation.note_reconciled(name.as_str(), receipt.now);
         if heartbeat.notice_s.is_some() {
-            self.save_noticed(name);
+            self.save_noticed(name.as_str());
         }
     }
 
@@ -107,7 +107,7 @@
         let mut start_taken = false;
         for status in &heartbeat.tasks {
             reported.insert(TaskAttempt { task: status.task.clone(), attempt: status.attempt });
-            start_taken |= self.sync_task(name, status, receipt);
+            start_taken |= self.sync_task(name.as_str(), status, receipt);
         }
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -124,7 +124,7 @@
             machine.note_delivery(start_taken);
         }
         for key in lost {
-            self.release_task(name, &key);
+            self.release_task(name.as_str(), &key);
         }
     }
 
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -36,11 +36,11 @@
         }
         match job.active().get(&index) {
             None => Self::Found,
-            Some(placed) if placed.machine == machine && placed.attempt == key.attempt => {
+            Some(placed) if placed.machine.as_str() == machine && placed.attempt == key.attempt => {
                 Self::Known
             }
             Some(placed) => {
-                let other_machine = &placed.machine;
+                let other_machine = placed.machine.as_str();
                 tracing::warn!(task = %key.task, machine, other_machine, "task reported twice");
                 Self::Unwanted
             }
@@ -71,7 +71,8 @@
     if known.is_none_or(|known| known.state != state) {
         let TaskAttempt { task, attempt } = key;
         let attempt = attempt.get();
-        tracing::debug!(task = %task, machine = machine.name, attempt, ?state, "task state");
+        let name = machine.name.as_str();
+        tracing::debug!(task = %task, machine = name, attempt, ?state, "task state");
     }
     let found = || MachineTask::found(state, now);
     let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
--- a/crates/core/src/scheduler/machine_events.rs
+++ b/crates/core/src/scheduler/machine_events.rs
@@ -1,5 +1,6 @@
 //! Log lines of what happens to machines: whole waves of them share a line.
 
+use corkfield_wire::MachineName;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -12,7 +13,7 @@
     /// How many machines it happened to.
     machines: u32,
     /// The first machine that it happened to.
-    first: String,
+    first: MachineName,
 }
 
 /// What happened to machines and was not logged yet.
@@ -33,7 +34,7 @@
         let count = self
             .events
             .entry(event)
-            .or_insert_with(|| EventCount { machines: 0, first: machine.to_owned() });
+            .or_insert_with(|| EventCount { machines: 0, first: MachineName::from(machine) });
         count.machines += 1;
     }
 
@@ -50,7 +51,7 @@
             self.logged_at = Some(now);
         }
         for (event, EventCount { machines, first }) in std::mem::take(&mut self.events) {
-            tracing::info!(machines, machine = first, "{event}");
+            tracing::info!(machines, machine = first.as_str(), "{event}");
             self.logged_at = Some(now);
         }
     }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -3,6 +3,7 @@
 use super::{Action, Scheduler};
 use crate::machine::{Machine, MachineState, MachineTask, Recorded, TaskAttempt};
 use corkfield_wire::cloud::{ListedMachine, ListedState, MachineType, MAX_DELETE};
+use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -72,7 +73,7 @@
         if let Some(machine) = self.cluster.machines.remove(name) {
             tracing::debug!(machine = name, "machine gone");
             if machine.recorded != Recorded::No {
-                self.actions.push(Action::Erase(name.to_owned()));
+                self.actions.push(Action::Erase(MachineName::from(name)));
             }
         }
         self.reconciliation.remove(name);
@@ -80,9 +81,9 @@
     }
 
     /// A deletion was answered with 200.
-    pub fn on_machines_deleted(&mut self, names: &[String]) {
+    pub fn on_machines_deleted(&mut self, names: &[MachineName]) {
         for name in names {
-            self.machine_gone(name);
+            self.machine_gone(name.as_str());
         }
     }
 
@@ -98,21 +99,21 @@
         let missing = machines.filter(|machine| {
             !listed.contains(machine.name.as_str()) && asked >= machine.known_since + settles_after
         });
-        let missing: Vec<String> = missing.map(|machine| machine.name.clone()).collect();
+        let missing: Vec<MachineName> = missing.map(|machine| machine.name.clone()).collect();
         for name in missing {
             tracing::debug!(machine = %name, "machine no longer listed");
-            self.machine_gone(&name);
+            self.machine_gone(name.as_str());
         }
     }
 
     /// Takes one entry of the cloud's list.
     fn take_listed_machine(&mut self, entry: &ListedMachine, now: Instant) {
-        if self.gone.contains(&entry.name) {
+        if self.gone.contains(entry.name.as_str()) {
             return;
         }
         if entry.state == ListedState::Failed {
             if self.cluster.machines.contains_key(&entry.name) {
-                self.machine_gone(&entry.name);
+                self.machine_gone(entry.name.as_str());
                 self.actions.push(Action::Delete(vec![entry.name.clone()]));
             }
             return;
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -121,7 +121,7 @@
         machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
         tracing::debug!(
             task = %key.task,
-            machine = machine.name,
+            machine = machine.name.as_str(),
             attempt = key.attempt.get(),
             agent_epoch = agent_epoch.get(),
             sequence,
--- a/crates/core/src/scheduler/reconciliation.rs
+++ b/crates/core/src/scheduler/reconciliation.rs
@@ -1,5 +1,6 @@
 //! Which machines of earlier leaders have not shown yet what they hold (S7).
 
+use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -11,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Reconciliation {
     /// Their names.
-    machines: BTreeSet<String>,
+    machines: BTreeSet<MachineName>,
     /// Since when there are any.
     since: Option<Instant>,
     /// When the newest of them showed what it holds.
@@ -21,7 +22,7 @@
 impl Reconciliation {
     /// An earlier leader may have started tasks on that machine.
     pub(super) fn expect(&mut self, machine: &str, now: Instant) {
-        self.machines.insert(machine.to_owned());
+        self.machines.insert(MachineName::from(machine));
         self.since.get_or_insert(now);
     }
 
@@ -53,7 +54,7 @@
     }
 
     /// The machines that have not shown yet what they hold.
-    pub(super) fn machines(&self) -> impl Iterator<Item = &String> {
+    pub(super) fn machines(&self) -> impl Iterator<Item = &MachineName> {
         self.machines.iter()
     }
 
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -4,7 +4,7 @@
 use crate::cluster::Cluster;
 use crate::job::{Job, JobState};
 use crate::machine::{Machine, MachineState, MachineTaskState, Reachability};
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, MachineName};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -28,14 +28,14 @@
     fn expire_worker_leases(&mut self, now: Instant) {
         let expiry_after = self.cluster.config.lease_expiry_after();
         let machines = self.cluster.machines.values_mut();
-        let expired: Vec<String> = machines
+        let expired: Vec<MachineName> = machines
             .filter_map(|machine| {
                 machine.expire_lease(now, expiry_after).then(|| machine.name.clone())
             })
             .collect();
         for name in expired {
-            self.reconciliation.remove(&name);
-            self.release_tasks(&name, |_| true);
+            self.reconciliation.remove(name.as_str());
+            self.release_tasks(name.as_str(), |_| true);
         }
     }
 
@@ -47,9 +47,9 @@
         let waiting_in_vain = machines.filter(|machine| {
             !machine.accepts_starts(now, ASSIGNED_KEEP) && !machine.tasks.is_empty()
         });
-        let names: Vec<String> = waiting_in_vain.map(|machine| machine.name.clone()).collect();
+        let names: Vec<MachineName> = waiting_in_vain.map(|machine| machine.name.clone()).collect();
         for name in names {
-            self.release_tasks(&name, |task| task.state == MachineTaskState::Assigned);
+            self.release_tasks(name.as_str(), |task| task.state == MachineTaskState::Assigned);
         }
     }
 
@@ -97,5 +97,5 @@
 fn is_untried(machine: &Machine, job: &Job) -> bool {
     machine.state() == MachineState::Up
         && machine.allows(job.spec())
-        && !job.has_failed_on(&machine.name)
+        && !job.has_failed_on(machine.name.as_str())
 }
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -7,7 +7,9 @@
 use corkfield_core::{Action, Scheduler, Verdict};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{TaskPhase, WorkerHeartbeat};
-use corkfield_wire::{AgentEpoch, Attempt, Generation, JobId, Revision, TaskSet, Term};
+use corkfield_wire::{
+    AgentEpoch, Attempt, Generation, JobId, MachineName, Revision, TaskSet, Term,
+};
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
@@ -46,7 +48,7 @@
 }
 
 /// The machines whose deletion is asked for.
-fn take_deleted_machines(scheduler: &mut Scheduler) -> Vec<String> {
+fn take_deleted_machines(scheduler: &mut Scheduler) -> Vec<MachineName> {
     let deletions = scheduler.take_actions().into_iter().filter_map(|action| match action {
         Action::Delete(names) => Some(names),
         _ => None,
@@ -69,7 +71,7 @@
         );
         for number in silent + 1..=24 {
             let mut heartbeat = heartbeat(9, 7, Vec::new());
-            heartbeat.machine = format!("host-{number}");
+            heartbeat.machine = MachineName::from(format!("host-{number}"));
             scheduler.on_heartbeat(&heartbeat, true, now);
         }
         for number in 1..=silent {
@@ -96,8 +98,10 @@
     // Long after the time that a few are waited for, a network partition ends.
     for number in 0..47 {
         let now = start + Duration::from_secs(8) + Duration::from_millis(200) * number;
-        let again =
-            WorkerHeartbeat { machine: format!("host-{number}"), ..heartbeat(9, 7, Vec::new()) };
+        let again = WorkerHeartbeat {
+            machine: MachineName::from(format!("host-{number}")),
+            ..heartbeat(9, 7, Vec::new())
+        };
         scheduler.on_heartbeat(&again, true, now);
         scheduler.tick(now);
         let returned = |action: &Action| matches!(action, Action::Delete(_));
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -6,7 +6,7 @@
 };
 use corkfield_core::{Action, Scheduler};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
-use corkfield_wire::{AgentEpoch, Priority, Revision, TaskSet};
+use corkfield_wire::{AgentEpoch, MachineName, Priority, Revision, TaskSet};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -16,10 +16,10 @@
         let mut scheduler = scheduler(1);
         for (number, zone) in ["z", "y", "z", "y"].into_iter().enumerate() {
             let mut heartbeat = heartbeat(1, 1, Vec::new());
-            heartbeat.machine = format!("host-{number}");
+            heartbeat.machine = MachineName::from(format!("host-{number}"));
             heartbeat.zone = zone.into();
             scheduler.on_heartbeat(&heartbeat, true, now);
-            scheduler.on_machine_record_written(&heartbeat.machine, true);
+            scheduler.on_machine_record_written(heartbeat.machine.as_str(), true);
         }
         let mut job = job_record(6, 1);
         (job.spec.one_zone, job.spec.spread, job.spec.cpus) = (one_zone, spread, 2.0);
@@ -27,7 +27,7 @@
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
         let in_z = job.active().values().filter(|placed| {
-            scheduler.machine(&placed.machine).is_some_and(|machine| machine.zone == "z")
+            scheduler.machine(placed.machine.as_str()).is_some_and(|machine| machine.zone == "z")
         });
         let (in_z, all) = (in_z.count(), job.active().len());
         if one_zone {
@@ -100,7 +100,7 @@
 }
 
 fn tasks_on(scheduler: &Scheduler, machine: &str) -> usize {
-    active_tasks(scheduler).values().filter(|placed| placed.machine == machine).count()
+    active_tasks(scheduler).values().filter(|placed| placed.machine.as_str() == machine).count()
 }
 
 /// A heartbeat without tasks, answered while no start may be sent.
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -86,7 +86,7 @@
 }
 
 fn deletes_first(action: &Action) -> bool {
-    matches!(action, Action::Delete(names) if names.iter().any(|name| name == "host-1"))
+    matches!(action, Action::Delete(names) if names.iter().any(|name| name.as_str() == "host-1"))
 }
 
 #[test]
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -154,7 +154,9 @@
     fn carry_out_actions(&mut self, now: Moment) {
         for action in self.scheduler.take_actions() {
             match action {
-                Action::Record(name, _) => self.scheduler.on_machine_record_written(&name, true),
+                Action::Record(name, _) => {
+                    self.scheduler.on_machine_record_written(name.as_str(), true)
+                }
                 Action::Direct { machine, orders, .. } => {
                     self.counts.stops += orders.len() as u64;
                     let worker = self.workers.iter_mut().find(|worker| worker.name == machine);
@@ -199,7 +201,7 @@
         let scheduler = &mut self.scheduler;
         let orders = self.costs.replies.measure(|| {
             let orders = scheduler.orders(
-                &worker.name,
+                worker.name.as_str(),
                 AgentEpoch::new(1),
                 pending.sequence,
                 true,
@@ -241,6 +243,6 @@
         return None;
     }
     // A leader asks whether a placement pass might start something there before it replies.
-    let _ = scheduler.may_start_on(&heartbeat.machine, now);
+    let _ = scheduler.may_start_on(heartbeat.machine.as_str(), now);
     Some(heartbeat)
 }
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -3,7 +3,7 @@
 use crate::workload::{mean_run_s, SIZES};
 use crate::Cli;
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{AgentEpoch, Attempt, TaskId, Term};
+use corkfield_wire::{AgentEpoch, Attempt, MachineName, TaskId, Term};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 
 /// A machine's worker. All times are simulated seconds since the start.
 pub struct Worker {
-    pub name: String,
+    pub name: MachineName,
     size: usize,
     zone: String,
     sequence: u64,
@@ -44,7 +44,7 @@
     pub fn start_all(cli: &Cli, rng: &mut SmallRng) -> Vec<Self> {
         (0..cli.machines)
             .map(|number| Self {
-                name: format!("host-{number:06}"),
+                name: MachineName::from(format!("host-{number:06}")),
                 size: SIZE_PATTERN[number % SIZE_PATTERN.len()],
                 zone: if number % 2 == 0 { "north" } else { "south" }.to_owned(),
                 sequence: 0,
--- a/crates/corkfield/examples/loopback.rs
+++ b/crates/corkfield/examples/loopback.rs
@@ -10,7 +10,7 @@
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
 use corkfield_wire::user::{JobView, PATH_JOBS, PATH_READY};
-use corkfield_wire::{ControllerName, JobSpec, JobStatus};
+use corkfield_wire::{ControllerName, JobSpec, JobStatus, MachineName};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -157,7 +157,7 @@
         (ControllerName::from(format!("n{controller}")), controller_addr(controller, CLIENT_PORT))
     });
     WorkerSettings {
-        name: String::new(),
+        name: MachineName::default(),
         addr: store_addr(),
         machine_type: String::new(),
         zone: String::new(),
--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -23,7 +23,7 @@
                     }
                     Action::Erase(machine) => erased.push(machine),
                     Action::Answer(machine) => {
-                        self.context.leadership.held_answers.answer(&machine);
+                        self.context.leadership.held_answers.answer(machine.as_str());
                     }
                     Action::Direct { machine, addr, agent_epoch, orders } => {
                         let target = DirectOrderTarget { machine, addr, agent_epoch };
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -6,7 +6,7 @@
 use corkfield_core::Verdict;
 use corkfield_http::Client;
 use corkfield_wire::worker::{DirectOrders, Order, WorkerHeartbeat, PATH_COMMANDS};
-use corkfield_wire::AgentEpoch;
+use corkfield_wire::{AgentEpoch, MachineName};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct DirectOrderTarget {
     /// Name of the machine.
-    pub(super) machine: String,
+    pub(super) machine: MachineName,
     /// Address at which the machine's worker takes direct orders.
     pub(super) addr: String,
     /// The agent epoch that the orders are for.
@@ -33,7 +33,7 @@
 /// Machines to which direct orders are under way, and how many.
 #[derive(Default)]
 pub(super) struct DirectOrdersInFlight {
-    by_machine: RefCell<HashMap<String, usize>>,
+    by_machine: RefCell<HashMap<MachineName, usize>>,
 }
 
 impl DirectOrdersInFlight {
@@ -44,12 +44,12 @@
         if by_machine.values().sum::<usize>() >= max {
             return None;
         }
-        *by_machine.entry(machine.to_owned()).or_default() += 1;
+        *by_machine.entry(MachineName::from(machine)).or_default() += 1;
         Some(DirectOrderGuard { in_flight: self, machine })
     }
 
     /// Machines to which direct orders are under way.
-    pub(super) fn machines(&self) -> HashSet<String> {
+    pub(super) fn machines(&self) -> HashSet<MachineName> {
         self.by_machine.borrow().keys().cloned().collect()
     }
 }
@@ -131,7 +131,7 @@
     let Ok(heartbeat) = serde_json::from_slice::<WorkerHeartbeat>(&reply.body) else {
         return DirectOrderOutcome::Unusable;
     };
-    if heartbeat.machine != machine {
+    if heartbeat.machine.as_str() != machine {
         tracing::debug!(machine, answered_by = %heartbeat.machine, "another machine answered");
         return DirectOrderOutcome::Unusable;
     }
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -6,7 +6,7 @@
 use crate::clock::now;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
-use corkfield_wire::Term;
+use corkfield_wire::{MachineName, Term};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
     /// its lease has expired or it is gone. Never all at once: each takes a socket, and all answers
     /// together would hold up the heartbeats that come at the same time.
     pub(super) async fn fence_machines(&self) {
-        let mut last_tried: HashMap<String, Instant> = HashMap::new();
+        let mut last_tried: HashMap<MachineName, Instant> = HashMap::new();
         loop {
             let round_started = now();
             let targets = self.next_fence_targets(&last_tried, round_started);
@@ -48,12 +48,12 @@
     /// never asked.
     fn next_fence_targets(
         &self,
-        last_tried: &HashMap<String, Instant>,
+        last_tried: &HashMap<MachineName, Instant>,
         round_started: Instant,
     ) -> Vec<DirectOrderTarget> {
         let targets = self.scheduler.borrow().fence_targets();
         let in_flight = self.context.leadership.direct_orders.machines();
-        let tried_recently = |machine: &String| {
+        let tried_recently = |machine: &MachineName| {
             let tried = last_tried.get(machine);
             tried.is_some_and(|at| round_started.saturating_duration_since(*at) < FENCE_RETRY)
         };
--- a/crates/corkfield/src/leadership/held_answers.rs
+++ b/crates/corkfield/src/leadership/held_answers.rs
@@ -1,5 +1,6 @@
 //! Answers to workers' heartbeats that are held until there are orders for the worker.
 
+use corkfield_wire::MachineName;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,7 +9,7 @@
 /// Held answers by machine, each with what wakes its handler.
 #[derive(Default)]
 pub(super) struct HeldAnswers {
-    due: RefCell<HashMap<String, Rc<Notify>>>,
+    due: RefCell<HashMap<MachineName, Rc<Notify>>>,
 }
 
 impl HeldAnswers {
@@ -16,7 +17,7 @@
     /// is left to its handler's time limit.
     pub(super) fn hold(&self, machine: &str) -> Rc<Notify> {
         let answer_due = Rc::new(Notify::new());
-        self.due.borrow_mut().insert(machine.to_owned(), answer_due.clone());
+        self.due.borrow_mut().insert(MachineName::from(machine), answer_due.clone());
         answer_due
     }
 
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -7,6 +7,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{machine_key, MachineRecord, LEADER_KEY, MACHINE_RECORDS_PREFIX};
 use corkfield_wire::store::{Item, Transaction};
+use corkfield_wire::MachineName;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 /// A machine and the record that is to be written of it.
 pub(super) struct MachineRecordWrite {
     /// Name of the machine.
-    pub(super) machine: String,
+    pub(super) machine: MachineName,
     /// What is to be stored of it; the time of the record is set when it is written.
     pub(super) record: MachineRecord,
 }
@@ -83,7 +84,7 @@
     pub(super) fn update_machine_records(
         &self,
         records: Vec<MachineRecordWrite>,
-        erased: Vec<String>,
+        erased: Vec<MachineName>,
     ) {
         let queue = &self.machine_records;
         if !records.is_empty() {
@@ -123,7 +124,7 @@
         let mut machines = Vec::new();
         for MachineRecordWrite { machine, record } in batch {
             let record = MachineRecord { recorded_ms, ..record };
-            transaction = transaction.put(machine_key(&machine), store_value(&record));
+            transaction = transaction.put(machine_key(machine.as_str()), store_value(&record));
             machines.push(machine);
         }
         let queue = self.machine_records.clone();
@@ -133,7 +134,7 @@
             let class = RequestClass::Completion;
             let stored = context.env.state.transaction(class, &transaction).await.is_ok();
             for machine in &machines {
-                scheduler.borrow_mut().on_machine_record_written(machine, stored);
+                scheduler.borrow_mut().on_machine_record_written(machine.as_str(), stored);
             }
             context.leadership.request_pass();
             drop(in_flight);
@@ -143,14 +144,14 @@
 
     /// A record that is left over holds up the next failover, so this is tried until it
     /// succeeds or another controller leads.
-    fn erase_machine_records(&self, machines: Vec<String>) {
+    fn erase_machine_records(&self, machines: Vec<MachineName>) {
         let (context, claim) = (self.context.clone(), self.claim.clone());
         tokio::task::spawn_local(async move {
             loop {
                 let version = claim.record_version.get();
                 let conditions = Transaction::default().when(LEADER_KEY, version);
                 let transaction = machines.iter().fold(conditions, |transaction, machine| {
-                    transaction.delete(machine_key(machine))
+                    transaction.delete(machine_key(machine.as_str()))
                 });
                 let Err(error) =
                     context.env.state.transaction(RequestClass::Housekeeping, &transaction).await
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -5,6 +5,7 @@
 use crate::environment::Environment;
 use corkfield_cloud::CloudError;
 use corkfield_wire::cloud::{RentRequest, MAX_RENT};
+use corkfield_wire::MachineName;
 use std::time::{Duration, Instant};
 
 /// What only time brings about is looked at this often. Each look costs time for every machine, so
@@ -24,7 +25,7 @@
 /// What came of a rental.
 enum RentalOutcome {
     /// The names of the machines: as many as were asked for, or fewer.
-    Rented(Vec<String>),
+    Rented(Vec<MachineName>),
     /// No machine of that type, zone and kind is to be had.
     NoCapacity,
     /// It was refused, or had no answer. Machines of a late one turn up in the list and in reports.
@@ -38,7 +39,7 @@
     }
 
     /// As the scheduler takes it: names, or whether the cloud had no capacity.
-    fn into_answer(self) -> Result<Vec<String>, bool> {
+    fn into_answer(self) -> Result<Vec<MachineName>, bool> {
         match self {
             Self::Rented(machines) => Ok(machines),
             Self::NoCapacity => Err(true),
@@ -106,7 +107,7 @@
 
     /// Returns machines to the cloud. Without a valid lease this is left for later: it is asked for
     /// again while it is due (S4).
-    pub(super) fn return_machines(&self, machines: Vec<String>) {
+    pub(super) fn return_machines(&self, machines: Vec<MachineName>) {
         if !self.context.may_start() {
             tracing::debug!(machines = machines.len(), "not returned without a valid lease");
             return;
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -77,7 +77,7 @@
     async fn answer_as_standby(&self, heartbeat: &WorkerHeartbeat, body: &[u8]) -> Response {
         let leader = self.other_leader();
         if let Some(leader) = &leader {
-            if self.redirected.record_visit(&heartbeat.machine) == Route::Relay {
+            if self.redirected.record_visit(heartbeat.machine.as_str()) == Route::Relay {
                 if let Some(response) = self.links.relay(leader.as_str(), body).await {
                     return self.check_relayed(response);
                 }
@@ -117,11 +117,11 @@
             return refusal;
         }
         self.leadership.note_heartbeat();
-        if scheduler.borrow().may_start_on(&heartbeat.machine, now()) {
+        if scheduler.borrow().may_start_on(heartbeat.machine.as_str(), now()) {
             self.leadership.wait_for_pass().await;
         }
-        self.hold(&scheduler, &heartbeat.machine).await;
-        self.renew_start_proof(&scheduler, &heartbeat.machine).await;
+        self.hold(&scheduler, heartbeat.machine.as_str()).await;
+        self.renew_start_proof(&scheduler, heartbeat.machine.as_str()).await;
         // The leader may have changed while the answer was held back.
         let same = self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
         if !same || !self.may_answer() {
@@ -130,7 +130,8 @@
         let may_start = self.leadership.may_start(&self.session_lease) && self.has_start_proof();
         let mut scheduler = scheduler.borrow_mut();
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-        let orders = scheduler.orders(&heartbeat.machine, agent_epoch, sequence, may_start, now());
+        let orders =
+            scheduler.orders(heartbeat.machine.as_str(), agent_epoch, sequence, may_start, now());
         json(200, &HeartbeatReply { term: scheduler.term(), orders })
     }
 
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -1,6 +1,7 @@
 //! Workers that were redirected to the leader, and those that can't reach it.
 
 use crate::clock::now;
+use corkfield_wire::MachineName;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -69,7 +70,7 @@
 #[derive(Default)]
 pub struct RedirectedWorkers {
     /// By machine.
-    visitors: RefCell<BTreeMap<String, Visitor>>,
+    visitors: RefCell<BTreeMap<MachineName, Visitor>>,
     swept: Cell<Option<Instant>>,
 }
 
@@ -82,7 +83,7 @@
         let known = visitors.get_mut(machine).filter(|visitor| !visitor.is_forgotten(at));
         let Some(visitor) = known else {
             if visitors.len() < MAX_REDIRECTED || visitors.contains_key(machine) {
-                visitors.insert(machine.to_owned(), Visitor::redirected(at));
+                visitors.insert(MachineName::from(machine), Visitor::redirected(at));
             }
             return Route::Redirect;
         };
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -234,14 +234,14 @@
     /// Cuts the links between a controller and the machines that are up.
     pub fn cut_from_workers(&self, controller: usize) {
         for worker in self.cloud.workers() {
-            self.net.cut(CONTROLLERS[controller], &worker.settings.name);
+            self.net.cut(CONTROLLERS[controller], worker.settings.name.as_str());
         }
     }
 
     /// Heals the links between a controller and the machines that are up.
     pub fn heal_to_workers(&self, controller: usize) {
         for worker in self.cloud.workers() {
-            self.net.heal(CONTROLLERS[controller], &worker.settings.name);
+            self.net.heal(CONTROLLERS[controller], worker.settings.name.as_str());
         }
     }
 
@@ -255,7 +255,7 @@
     /// The worker of the machine that a task is on.
     pub fn worker_of(&self, task: &TaskId) -> Rc<FakeWorker> {
         let machine = self.history.machine_of(task).expect("the task is on a machine");
-        self.cloud.worker(&machine).expect("a worker")
+        self.cloud.worker(machine.as_str()).expect("a worker")
     }
 
     /// Starts that were sent to a machine and did not reach it, as far as its worker can tell.
--- a/crates/corkfield/tests/scenarios/cluster/settings.rs
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -5,7 +5,7 @@
 use corkfield_fakes::WorkerSettings;
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Platform;
-use corkfield_wire::ControllerName;
+use corkfield_wire::{ControllerName, MachineName};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -103,7 +103,7 @@
 pub fn worker_template() -> WorkerSettings {
     let controllers = CONTROLLERS.iter().enumerate();
     WorkerSettings {
-        name: String::new(),
+        name: MachineName::default(),
         addr: client_addr(0),
         machine_type: String::new(),
         zone: String::new(),
--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -24,10 +24,10 @@
         Silence::Hung => worker.set_hung(on),
         Silence::ReceivesNothing => worker.receives_nothing.set(on),
         Silence::CutOff if on => {
-            CONTROLLERS.iter().for_each(|controller| cluster.net.cut(name, controller));
+            CONTROLLERS.iter().for_each(|controller| cluster.net.cut(name.as_str(), controller));
         }
         Silence::CutOff => {
-            CONTROLLERS.iter().for_each(|controller| cluster.net.heal(name, controller));
+            CONTROLLERS.iter().for_each(|controller| cluster.net.heal(name.as_str(), controller));
         }
     }
 }
--- a/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
@@ -48,7 +48,7 @@
                 cluster.submit(&job, 30.0).await;
                 sleep_s(5.0).await;
                 let worker = cluster.worker_of(&task_id(&job, 0));
-                let name = worker.settings.name.clone();
+                let name = worker.settings.name.to_string();
                 // It can't be returned either.
                 cluster.cloud.down.set(true);
                 match kind {
@@ -240,13 +240,13 @@
                 let cuts = || {
                     let outside = ["state", "cloud", "user"].into_iter().map(str::to_owned);
                     let outside =
-                        outside.chain(far.iter().map(|worker| worker.settings.name.clone()));
+                        outside.chain(far.iter().map(|worker| worker.settings.name.to_string()));
                     let others = cluster
                         .other_controllers(inside)
                         .into_iter()
                         .map(|other| CONTROLLERS[other].to_owned());
                     let outside: Vec<String> = outside.chain(others).collect();
-                    let within = near.iter().map(|worker| worker.settings.name.clone());
+                    let within = near.iter().map(|worker| worker.settings.name.to_string());
                     let within: Vec<String> =
                         within.chain([CONTROLLERS[inside].to_owned()]).collect();
                     within
@@ -273,8 +273,12 @@
             let job = job_spec(1, 14);
             cluster.submit(&job, 70.0).await;
             sleep_s(5.0).await;
-            let machines: Vec<String> =
-                cluster.cloud.workers().iter().map(|worker| worker.settings.name.clone()).collect();
+            let machines: Vec<String> = cluster
+                .cloud
+                .workers()
+                .iter()
+                .map(|worker| worker.settings.name.to_string())
+                .collect();
             // Twice the workers lose their leader.
             for _ in 0..2 {
                 let leader = cluster.leader();
--- a/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
@@ -76,7 +76,7 @@
                     cluster.restart(cluster.leader(), 0.2).await;
                     let machine = cluster.cloud.add_machine("z1", false, 0.1);
                     sleep_s(1.0).await;
-                    assert!(cluster.cloud.worker(&machine).is_some());
+                    assert!(cluster.cloud.worker(machine.as_str()).is_some());
                 }
                 let (kept, cancelled) = (job_spec(1, 6), job_spec(2, 4));
                 let submitting = cluster.clone();
--- a/crates/corkfield/tests/scenarios/combined_faults/machines.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/machines.rs
@@ -84,7 +84,7 @@
             sleep_s(5.0).await;
             for worker in cluster.cloud.workers() {
                 if worker.settings.zone == "z1" {
-                    cluster.cloud.reclaim(&worker.settings.name);
+                    cluster.cloud.reclaim(worker.settings.name.as_str());
                 }
             }
             cluster.wait_until_done(&bound.id, 75.0).await;
@@ -138,7 +138,7 @@
             let zone = silent[0].settings.zone.clone();
             for worker in cluster.cloud.workers() {
                 if worker.settings.zone == zone {
-                    cluster.cloud.reclaim(&worker.settings.name);
+                    cluster.cloud.reclaim(worker.settings.name.as_str());
                 }
             }
             for job in [&together, &apart] {
@@ -190,11 +190,11 @@
                 sleep_s(2.5).await;
                 let leader = cluster.leader();
                 let name = &workers[number as usize % 2].settings.name;
-                cluster.net.cut(CONTROLLERS[leader], name);
+                cluster.net.cut(CONTROLLERS[leader], name.as_str());
                 sleep_s(0.2).await;
                 assert_eq!(cluster.cancel(&to_cancel.id).await, Some(JobStatus::Cancelled));
                 sleep_s(held_s).await;
-                cluster.net.heal(CONTROLLERS[leader], name);
+                cluster.net.heal(CONTROLLERS[leader], name.as_str());
             }
             cluster.wait_until_done(&stream.id, 200.0).await;
             sleep_s(LEASE_S).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
@@ -67,8 +67,8 @@
 fn assert_recorded(cluster: &Cluster) {
     for worker in cluster.cloud.workers() {
         let name = &worker.settings.name;
-        let recorded = cluster.store.value(&machine_key(name)).is_some();
-        assert!(recorded || cluster.history.starts_on(name) == 0, "{name} has no record");
+        let recorded = cluster.store.value(&machine_key(name.as_str())).is_some();
+        assert!(recorded || cluster.history.starts_on(name.as_str()) == 0, "{name} has no record");
     }
 }
 
@@ -90,7 +90,7 @@
                 }
             });
             for worker in cluster.cloud.workers() {
-                cluster.cloud.reclaim(&worker.settings.name);
+                cluster.cloud.reclaim(worker.settings.name.as_str());
             }
             // The leader notices, rents anew, and ends as soon as the new ones get work.
             let mut restarted = false;
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -16,7 +16,7 @@
             cluster.submit(&job, 14.0).await;
             sleep_s(5.0).await;
             let worker = cluster.worker_of(&task_id(&job, 0));
-            let name = worker.settings.name.clone();
+            let name = worker.settings.name.to_string();
             cluster.cloud.down.set(true);
             // Its heartbeats to each controller are under way when the leader ends.
             for controller in CONTROLLERS {
@@ -102,8 +102,12 @@
             cluster.submit(&to_cancel, 300.0).await;
             // A hand-over, a crash and a cancellation among them.
             let leader = cluster.leader();
-            let machines: Vec<String> =
-                cluster.cloud.workers().iter().map(|worker| worker.settings.name.clone()).collect();
+            let machines: Vec<String> = cluster
+                .cloud
+                .workers()
+                .iter()
+                .map(|worker| worker.settings.name.to_string())
+                .collect();
             machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
             sleep_s(LEASE_S - 1.0).await;
             machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
--- a/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
@@ -267,7 +267,7 @@
         let leader = cluster.leader();
         let worker = cluster.worker_of(&task_id(&job, 0));
         // Direct orders to it are lost with the connection; its heartbeats go by another controller.
-        let name = worker.settings.name.clone();
+        let name = worker.settings.name.to_string();
         cluster.net.cut(CONTROLLERS[leader], &name);
         sleep_s(1.0).await;
         cluster.cancel_through(cluster.other_controllers(leader)[0], &job.id).await;
--- a/crates/corkfield/tests/scenarios/fleet/mod.rs
+++ b/crates/corkfield/tests/scenarios/fleet/mod.rs
@@ -89,7 +89,7 @@
         assert!(hung.iter().all(|worker| !worker.dead.get()), "too many to be given up");
         // A wave without notice.
         for worker in cluster.cloud.workers().into_iter().step_by(3) {
-            cluster.cloud.reclaim(&worker.settings.name);
+            cluster.cloud.reclaim(worker.settings.name.as_str());
         }
         for job in &jobs {
             cluster.wait_until_done(&job.id, 100.0).await;
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -165,7 +165,7 @@
         sleep_s(5.0).await;
         let old = cluster.leader();
         let machines: Vec<String> =
-            cluster.cloud.workers().iter().map(|worker| worker.settings.name.clone()).collect();
+            cluster.cloud.workers().iter().map(|worker| worker.settings.name.to_string()).collect();
         for machine in &machines {
             cluster.net.cut(CONTROLLERS[old], machine);
         }
--- a/crates/corkfield/tests/scenarios/machines.rs
+++ b/crates/corkfield/tests/scenarios/machines.rs
@@ -12,7 +12,7 @@
         cluster.submit(&job, 15.0).await;
         sleep_s(5.0).await;
         let hung = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
-        let worker = cluster.cloud.worker(&hung).expect("a worker");
+        let worker = cluster.cloud.worker(hung.as_str()).expect("a worker");
         worker.set_hung(true);
         // Otherwise the machine would be returned after a while, which settles it as well.
         cluster.cloud.down.set(true);
@@ -38,7 +38,7 @@
         cluster.submit(&job, 20.0).await;
         sleep_s(5.0).await;
         let hung = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
-        let worker = cluster.cloud.worker(&hung).expect("a worker");
+        let worker = cluster.cloud.worker(hung.as_str()).expect("a worker");
         worker.set_hung(true);
         sleep_s(LEASE_S + 1.0).await;
         // Its worker still holds the tasks, but its lease is over: it forgets them when it wakes.
@@ -56,12 +56,12 @@
         sleep_s(4.0).await;
         cluster.store.set_down(true);
         let victim = cluster.cloud.workers()[0].settings.name.clone();
-        cluster.cloud.reclaim(&victim);
+        cluster.cloud.reclaim(victim.as_str());
         sleep_s(11.0).await;
         cluster.store.set_down(false);
         sleep_s(2.5).await;
         assert!(
-            cluster.store.value(&machine_key(&victim)).is_none(),
+            cluster.store.value(&machine_key(victim.as_str())).is_none(),
             "its record is dropped after all"
         );
         let leader = cluster.leader();
@@ -78,11 +78,14 @@
         sleep_s(4.0).await;
         let leader = cluster.leader();
         let cut_off = cluster.cloud.workers()[0].clone();
-        cluster.net.cut(CONTROLLERS[leader], &cut_off.settings.name);
+        cluster.net.cut(CONTROLLERS[leader], cut_off.settings.name.as_str());
         sleep_s(12.0).await;
-        let before = cluster.history.starts_on(&cut_off.settings.name);
+        let before = cluster.history.starts_on(cut_off.settings.name.as_str());
         sleep_s(12.0).await;
-        assert!(cluster.history.starts_on(&cut_off.settings.name) > before, "it is given work");
+        assert!(
+            cluster.history.starts_on(cut_off.settings.name.as_str()) > before,
+            "it is given work"
+        );
         assert_eq!(cut_off.agent_epoch(), AgentEpoch::new(1), "its lease never ran out");
         assert_eq!(cluster.leader(), leader, "others reach the leader, so it stays");
         cluster.wait_until_done(&job.id, 120.0).await;
@@ -116,7 +119,7 @@
             .workers()
             .iter()
             .take(2)
-            .map(|worker| worker.settings.name.clone())
+            .map(|worker| worker.settings.name.to_string())
             .collect();
         for name in &victims {
             cluster.cloud.reclaim(name);
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -24,14 +24,14 @@
             cluster.submit(job, 4.0).await;
         }
         sleep_s(45.0).await;
-        assert_eq!(cluster.history.starts_on(&name), 0);
-        let in_vain = cluster.undelivered_starts(&name);
+        assert_eq!(cluster.history.starts_on(name.as_str()), 0);
+        let in_vain = cluster.undelivered_starts(name.as_str());
         assert!(in_vain <= 2 * 8, "{in_vain} starts were sent in vain");
         unreachable.receives_nothing.set(false);
         for job in &jobs {
             cluster.wait_until_done(&job.id, 200.0).await;
         }
-        assert!(cluster.history.starts_on(&name) > 0, "it is used again");
+        assert!(cluster.history.starts_on(name.as_str()) > 0, "it is used again");
     });
 }
 
@@ -60,7 +60,7 @@
         cluster.wait_until_done(&job.id, 40.0).await;
         let gone = cluster.cloud.workers()[0].clone();
         let name = gone.settings.name.clone();
-        cluster.cloud.reclaim(&name);
+        cluster.cloud.reclaim(name.as_str());
         // Long enough for the list to tell.
         sleep_s(20.0).await;
         let copies = gone.sent_heartbeats();
@@ -93,7 +93,7 @@
         cluster.submit(&job, 20.0).await;
         sleep_s(6.0).await;
         let lost = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
-        let worker = cluster.cloud.worker(&lost).expect("a worker");
+        let worker = cluster.cloud.worker(lost.as_str()).expect("a worker");
         let old = worker.sent_heartbeats();
         worker.restart();
         sleep_s(0.5).await;
@@ -104,7 +104,7 @@
         // Its tasks did not wait for a lease to lapse.
         let starts = cluster.history.total_starts();
         assert!(starts <= 30 + 8, "{starts} starts");
-        let there = cluster.cloud.worker(&lost);
+        let there = cluster.cloud.worker(lost.as_str());
         assert!(there.is_none(), "the machine was returned");
     });
 }
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -9,6 +9,7 @@
     ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
     PATH_DELETE, PATH_MACHINES, PATH_TYPES,
 };
+use corkfield_wire::MachineName;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -46,9 +47,9 @@
     pub boot_s: Cell<f64>,
     /// The answers to rentals are lost.
     pub lose_answers: Cell<bool>,
-    machines: RefCell<BTreeMap<String, RentedMachine>>,
+    machines: RefCell<BTreeMap<MachineName, RentedMachine>>,
     /// What each rental request was answered with: a repeated one gets the same machines.
-    answered_rentals: RefCell<BTreeMap<String, Vec<String>>>,
+    answered_rentals: RefCell<BTreeMap<String, Vec<MachineName>>>,
     next_machine: Cell<u32>,
     /// Rentals that were carried out.
     pub rentals: Cell<u32>,
@@ -94,10 +95,10 @@
     }
 
     /// Rents a machine whose worker starts after `boot_s` seconds; returns the machine's name.
-    pub fn add_machine(self: &Rc<Self>, zone: &str, spot: bool, boot_s: f64) -> String {
+    pub fn add_machine(self: &Rc<Self>, zone: &str, spot: bool, boot_s: f64) -> MachineName {
         let number = self.next_machine.get();
         self.next_machine.set(number + 1);
-        let name = format!("host-{number:06}");
+        let name = MachineName::from(format!("host-{number:06}"));
         let machine = RentedMachine {
             machine_type: self.types[0].name.clone(),
             zone: zone.to_owned(),
@@ -106,7 +107,7 @@
             worker: None,
         };
         self.machines.borrow_mut().insert(name.clone(), machine);
-        let settings = self.worker_settings(number, &name, zone, spot);
+        let settings = self.worker_settings(number, name.as_str(), zone, spot);
         let cloud = self.clone();
         self.hosts.spawn(Box::pin(async move {
             sleep(boot_s).await;
@@ -118,7 +119,7 @@
     fn worker_settings(&self, number: u32, name: &str, zone: &str, spot: bool) -> WorkerSettings {
         let machine_type = &self.types[0];
         WorkerSettings {
-            name: name.to_owned(),
+            name: MachineName::from(name),
             addr: self.machine_addr(number),
             machine_type: machine_type.name.clone(),
             zone: zone.to_owned(),
@@ -141,7 +142,7 @@
     /// Starts the worker of a machine that has booted, unless the machine is gone by now.
     fn start_worker(&self, settings: WorkerSettings) {
         if let Some(machine) = self.machines.borrow_mut().get_mut(&settings.name) {
-            let network = self.hosts.host(&settings.name);
+            let network = self.hosts.host(settings.name.as_str());
             machine.worker = Some(FakeWorker::start(settings, network, self.history.clone()));
         }
     }
@@ -200,7 +201,7 @@
         }
         self.rentals.set(self.rentals.get() + 1);
         let boot_s = self.boot_s.get();
-        let machines: Vec<String> =
+        let machines: Vec<MachineName> =
             (0..count).map(|_| self.add_machine(&request.zone, request.spot, boot_s)).collect();
         self.answered_rentals.borrow_mut().insert(request.request.clone(), machines.clone());
         json_response(200, &MachineNames { machines })
@@ -210,7 +211,7 @@
         let names: MachineNames =
             serde_json::from_slice(body).unwrap_or(MachineNames { machines: Vec::new() });
         for name in names.machines {
-            self.reclaim(&name);
+            self.reclaim(name.as_str());
         }
         empty_response(200)
     }
@@ -222,7 +223,7 @@
         let mut listed: Vec<ListedMachine> = machines
             .iter()
             .filter(|(name, _)| name.as_str() > after)
-            .map(|(name, machine)| machine.listed(name))
+            .map(|(name, machine)| machine.listed(name.as_str()))
             .collect();
         let more = listed.len() > limit;
         listed.truncate(limit);
@@ -234,7 +235,7 @@
     fn listed(&self, name: &str) -> ListedMachine {
         let state = if self.worker.is_some() { ListedState::Running } else { ListedState::Booting };
         ListedMachine {
-            name: name.to_owned(),
+            name: MachineName::from(name),
             addr: String::new(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -3,7 +3,7 @@
 use crate::now;
 use crate::worker::WorkerSettings;
 use corkfield_wire::settings::Team;
-use corkfield_wire::{JobId, JobSpec, JobStatus, TaskId};
+use corkfield_wire::{JobId, JobSpec, JobStatus, MachineName, TaskId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -49,9 +49,9 @@
         /// The task that was started again.
         task: TaskId,
         /// Where it was running.
-        on: String,
+        on: MachineName,
         /// Where it was started as well.
-        and_on: String,
+        and_on: MachineName,
     },
     /// A team uses more CPUs than its quota allows (S8).
     QuotaExceeded {
@@ -65,7 +65,7 @@
         /// The task that was started.
         task: TaskId,
         /// Where it was started.
-        machine: String,
+        machine: MachineName,
         /// The zone of that machine.
         zone: String,
         /// The zones of all running tasks of the job, this one's among them.
@@ -94,15 +94,15 @@
 #[derive(Default)]
 pub struct ExecutionHistory {
     plans: RefCell<BTreeMap<JobId, JobPlan>>,
-    machine_by_task: RefCell<BTreeMap<TaskId, String>>,
+    machine_by_task: RefCell<BTreeMap<TaskId, MachineName>>,
     completed: RefCell<BTreeMap<JobId, BTreeSet<u32>>>,
     /// When users were first told that a job is cancelled.
     cancelled: RefCell<BTreeMap<JobId, Instant>>,
     teams: RefCell<Vec<Team>>,
     violations: RefCell<Vec<Violation>>,
     starts_by_task: RefCell<BTreeMap<TaskId, u32>>,
-    starts_by_machine: RefCell<BTreeMap<String, u32>>,
-    machines: RefCell<BTreeMap<String, MachinePlace>>,
+    starts_by_machine: RefCell<BTreeMap<MachineName, u32>>,
+    machines: RefCell<BTreeMap<MachineName, MachinePlace>>,
     final_answers: RefCell<BTreeMap<JobId, FinalAnswer>>,
     /// When users were first told that a job is accepted.
     accepted: RefCell<BTreeMap<JobId, Instant>>,
@@ -189,13 +189,14 @@
     }
 
     fn record_start(&self, task: &TaskId, machine: &str) {
-        let before = self.machine_by_task.borrow_mut().insert(task.clone(), machine.to_owned());
+        let before =
+            self.machine_by_task.borrow_mut().insert(task.clone(), MachineName::from(machine));
         if let Some(on) = before {
-            let and_on = machine.to_owned();
+            let and_on = MachineName::from(machine);
             self.note(Violation::RanTwice { task: task.clone(), on, and_on });
         }
         *self.starts_by_task.borrow_mut().entry(task.clone()).or_default() += 1;
-        *self.starts_by_machine.borrow_mut().entry(machine.to_owned()).or_default() += 1;
+        *self.starts_by_machine.borrow_mut().entry(MachineName::from(machine)).or_default() += 1;
     }
 
     fn check_quota(&self, team: &str) {
@@ -232,7 +233,7 @@
             || spec.one_zone && in_zone < job_zones.len()
             || in_zone > spec.zone_cap() as usize;
         if wrong {
-            let (machine, zone) = (machine.to_owned(), zone.clone());
+            let (machine, zone) = (MachineName::from(machine), zone.clone());
             self.note(Violation::WrongPlace { task: task.clone(), machine, zone, job_zones });
         }
     }
@@ -252,7 +253,7 @@
     /// A task no longer runs on a machine.
     pub(crate) fn on_end(&self, task: &TaskId, machine: &str) {
         let mut running = self.machine_by_task.borrow_mut();
-        if running.get(task).is_some_and(|on| on == machine) {
+        if running.get(task).is_some_and(|on| on.as_str() == machine) {
             running.remove(task);
         }
     }
@@ -263,7 +264,7 @@
     }
 
     /// The machine that a task runs on.
-    pub fn machine_of(&self, task: &TaskId) -> Option<String> {
+    pub fn machine_of(&self, task: &TaskId) -> Option<MachineName> {
         self.machine_by_task.borrow().get(task).cloned()
     }
 
--- a/crates/fakes/src/worker/execution.rs
+++ b/crates/fakes/src/worker/execution.rs
@@ -62,7 +62,7 @@
                 let run_s = if fails { RUN_UNTIL_FAILURE_S } else { planned_s };
                 task.phase = TaskPhase::Running;
                 task.until = now() + Duration::from_secs_f64(run_s);
-                self.history.on_start(id, &self.settings.name);
+                self.history.on_start(id, self.settings.name.as_str());
             }
             TaskPhase::Running if fails => self.end_task(id, task, ExitCause::Error),
             TaskPhase::Running => {
@@ -78,7 +78,7 @@
     fn end_task(&self, id: &TaskId, task: &mut Task, cause: ExitCause) {
         task.phase = TaskPhase::Exited;
         task.cause = Some(cause);
-        self.history.on_end(id, &self.settings.name);
+        self.history.on_end(id, self.settings.name.as_str());
     }
 
     /// Executes orders of a leader that was found to be the present one.
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::{now, sleep};
 use corkfield_http::Network;
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus, WorkerHeartbeat};
-use corkfield_wire::{AgentEpoch, Attempt, ControllerName, TaskId, Term};
+use corkfield_wire::{AgentEpoch, Attempt, ControllerName, MachineName, TaskId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct WorkerSettings {
     /// The machine by name.
-    pub name: String,
+    pub name: MachineName,
     /// Where it takes direct orders.
     pub addr: SocketAddr,
     /// Its machine type by name.
@@ -184,7 +184,7 @@
 
     fn drop_tasks(&self) {
         for (task, _) in std::mem::take(&mut self.state.borrow_mut().tasks) {
-            self.history.on_end(&task, &self.settings.name);
+            self.history.on_end(&task, self.settings.name.as_str());
         }
     }
 
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,5 +1,6 @@
 //! What the cloud's interface takes and answers.
 
+use crate::ids::MachineName;
 use serde::{Deserialize, Serialize};
 
 /// Path of the machine types.
@@ -83,7 +84,7 @@
 pub struct MachineNames {
     /// The names.
     #[serde(rename = "hosts")]
-    pub machines: Vec<String>,
+    pub machines: Vec<MachineName>,
 }
 
 /// What the list says of a machine (`status`).
@@ -108,7 +109,7 @@
 pub struct ListedMachine {
     /// Its name; names are in the order of creation.
     #[serde(rename = "name_id")]
-    pub name: String,
+    pub name: MachineName,
     /// Address that takes direct orders, `IP:port`.
     #[serde(default)]
     pub addr: String,
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -189,3 +189,8 @@
     #[derive(BorshSerialize, BorshDeserialize)]
     ControllerName
 }
+
+name! {
+    /// The name of a machine.
+    MachineName
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -20,7 +20,9 @@
 pub mod user;
 pub mod worker;
 
-pub use ids::{AgentEpoch, Attempt, ControllerName, Generation, Incarnation, Revision, Term};
+pub use ids::{
+    AgentEpoch, Attempt, ControllerName, Generation, Incarnation, MachineName, Revision, Term,
+};
 pub use job_id::JobId;
 pub use task_set::TaskSet;
 pub use user::{JobSpec, JobStatus, Priority};
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! What workers send, and the orders they take.
 
-use crate::ids::{AgentEpoch, Attempt, ControllerName, Term};
+use crate::ids::{AgentEpoch, Attempt, ControllerName, MachineName, Term};
 use crate::job_id::JobId;
 use crate::text::ParsedText;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -116,7 +116,7 @@
 pub struct WorkerHeartbeat {
     /// Name of the machine.
     #[serde(rename = "host")]
-    pub machine: String,
+    pub machine: MachineName,
     /// Address that takes direct orders, `IP:port`.
     pub addr: String,
     /// Name of the machine's type.
