--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -8,7 +8,7 @@
 use crate::team::{within_guarantee, Usage};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Team;
-use corkfield_wire::JobId;
+use corkfield_wire::{JobId, MachineName};
 use std::collections::BTreeMap;
 
 /// Jobs, machines and machine types, as known to one scheduler.
@@ -19,7 +19,7 @@
     /// Claimed jobs.
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Known machines, by name.
-    pub(crate) machines: BTreeMap<String, Machine>,
+    pub(crate) machines: BTreeMap<MachineName, Machine>,
     /// Run times seen against the owners' estimates.
     pub(crate) estimate_corrections: EstimateCorrections,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -18,7 +18,9 @@
 
 pub use config::Config;
 pub use job::{Job, JobState, Placed};
-pub use machine::{Machine, MachineState, MachineTask, MachineTaskState, Reachability, Recorded};
+pub use machine::{
+    Machine, MachineState, MachineTask, MachineTaskState, MessageNumber, Reachability, Recorded,
+};
 pub use scaling::RentalFailure;
-pub use scheduler::{Action, CompletionCommit, Overview, Scheduler, Verdict};
+pub use scheduler::{Action, CompletionCommit, DirectOrderTarget, Overview, Scheduler, Verdict};
 pub use team::{check_schedulable, Unschedulable};
--- a/crates/core/src/machine/messages.rs
+++ b/crates/core/src/machine/messages.rs
@@ -9,11 +9,11 @@
 
 /// The number of a worker's message: later messages of a worker compare greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct MessageNumber {
+pub struct MessageNumber {
     /// The agent epoch in which it was sent.
-    pub(crate) agent_epoch: AgentEpoch,
+    pub agent_epoch: AgentEpoch,
     /// Its number in that epoch.
-    pub(crate) sequence: u64,
+    pub sequence: u64,
 }
 
 impl From<&WorkerHeartbeat> for MessageNumber {
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -1,10 +1,10 @@
 //! Failover: which machines earlier leaders may have used, and when each is accounted for (S7).
 
-use super::{Scheduler, Verdict};
+use super::{DirectOrderTarget, Scheduler, Verdict};
 use crate::machine::{Machine, MachineState, MessageNumber, Reachability};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
-use corkfield_wire::AgentEpoch;
+use corkfield_wire::{AgentEpoch, MachineName};
 use std::time::{Duration, Instant};
 
 /// After a failover machines have a heartbeat interval and this long to show what they hold.
@@ -33,46 +33,46 @@
         // S6: the leader before us may have answered it until its fresh state ran out.
         machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
         self.reconciliation.expect(name, now);
-        self.cluster.machines.insert(name.to_owned(), machine);
+        self.cluster.machines.insert(MachineName::from(name), machine);
     }
 
     /// Machines that have to be asked, under our term, what they hold, or whether orders reach
-    /// them: name, address and agent epoch of each.
-    pub fn fence_targets(&self) -> Vec<(String, String, AgentEpoch)> {
+    /// them.
+    pub fn fence_targets(&self) -> Vec<DirectOrderTarget> {
         let asked = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
                     || machine.messages.numbering_may_have_restarted()
-                    || self.is_unreconciled(&machine.name))
+                    || self.is_unreconciled(machine.name.as_str()))
         });
         asked
-            .map(|machine| {
-                let agent_epoch = machine.messages.newest().agent_epoch.max(AgentEpoch::FIRST);
-                (machine.name.clone(), machine.addr.clone(), agent_epoch)
+            .map(|machine| DirectOrderTarget {
+                machine: machine.name.clone(),
+                addr: machine.addr.clone(),
+                agent_epoch: machine.messages.newest().agent_epoch.max(AgentEpoch::FIRST),
             })
             .collect()
     }
 
-    /// The newest message known of a machine, as agent epoch and sequence: what it says in answer
-    /// to a question asked after this is newer.
-    pub fn newest_message(&self, name: &str) -> (AgentEpoch, u64) {
-        let newest = self.cluster.machines.get(name).map(|machine| machine.messages.newest());
-        let MessageNumber { agent_epoch, sequence } = newest.unwrap_or_default();
-        (agent_epoch, sequence)
+    /// The newest message known of a machine: what it says in answer to a question asked after
+    /// this is newer.
+    pub fn newest_message(&self, name: &str) -> MessageNumber {
+        let machine = self.cluster.machines.get(name);
+        machine.map(|machine| machine.messages.newest()).unwrap_or_default()
     }
 
     /// A machine's answer to direct orders that were sent when `known` was the newest message
-    /// known of it, as agent epoch and sequence.
+    /// known of it.
     pub fn on_direct_orders_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        known: (AgentEpoch, u64),
+        known: MessageNumber,
         now: Instant,
     ) -> Verdict {
         let verdict = self.on_heartbeat(heartbeat, false, now);
-        if (heartbeat.agent_epoch, heartbeat.sequence) <= known {
-            self.return_restarted(&heartbeat.machine);
+        if MessageNumber::from(heartbeat) <= known {
+            self.return_restarted(heartbeat.machine.as_str());
         }
         verdict
     }
@@ -117,13 +117,13 @@
             return;
         }
         for name in self.silent_unreconciled() {
-            self.return_at_once(&name, "no answer after the failover; machine returned");
+            self.return_at_once(name.as_str(), "no answer after the failover; machine returned");
         }
     }
 
     /// Unreconciled machines that did not answer several questions in a row.
-    fn silent_unreconciled(&self) -> Vec<String> {
-        let is_silent = |name: &&String| {
+    fn silent_unreconciled(&self) -> Vec<MachineName> {
+        let is_silent = |name: &&MachineName| {
             let machine = self.cluster.machines.get(*name);
             machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
         };
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -17,7 +17,7 @@
 mod reconciliation;
 mod tick;
 
-pub use action::Action;
+pub use action::{Action, DirectOrderTarget};
 pub use completion_commit::CompletionCommit;
 pub use heartbeats::Verdict;
 pub use overview::Overview;
--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -1,9 +1,9 @@
 //! Carries out what the scheduler decided.
 
 use super::active_leader::ActiveLeader;
-use super::direct_orders::{send_direct_orders, DirectOrderTarget};
+use super::direct_orders::send_direct_orders;
 use super::machine_records::MachineRecordWrite;
-use corkfield_core::Action;
+use corkfield_core::{Action, DirectOrderTarget};
 
 impl ActiveLeader {
     /// Takes the scheduler's decisions as they come. None of them holds up the next ones.
@@ -23,7 +23,7 @@
                     }
                     Action::Erase(machine) => erased.push(machine),
                     Action::Answer(machine) => {
-                        self.context.leadership.held_answers.answer(&machine);
+                        self.context.leadership.held_answers.answer(machine.as_str());
                     }
                     Action::Direct { machine, addr, agent_epoch, orders } => {
                         let target = DirectOrderTarget { machine, addr, agent_epoch };
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -3,10 +3,10 @@
 use super::context::LeadershipContext;
 use super::state::SharedScheduler;
 use crate::clock::now;
-use corkfield_core::Verdict;
+use corkfield_core::{DirectOrderTarget, Verdict};
 use corkfield_http::Client;
 use corkfield_wire::worker::{DirectOrders, Order, WorkerHeartbeat, PATH_COMMANDS};
-use corkfield_wire::AgentEpoch;
+use corkfield_wire::{AgentEpoch, MachineName};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -19,21 +19,10 @@
 /// Status with which a worker refuses orders for another agent epoch than its own.
 const STATUS_OTHER_AGENT_EPOCH: u16 = 409;
 
-/// Where direct orders go.
-#[derive(Debug, Clone)]
-pub(super) struct DirectOrderTarget {
-    /// Name of the machine.
-    pub(super) machine: String,
-    /// Address at which the machine's worker takes direct orders.
-    pub(super) addr: String,
-    /// The agent epoch that the orders are for.
-    pub(super) agent_epoch: AgentEpoch,
-}
-
 /// Machines to which direct orders are under way, and how many.
 #[derive(Default)]
 pub(super) struct DirectOrdersInFlight {
-    by_machine: RefCell<HashMap<String, usize>>,
+    by_machine: RefCell<HashMap<MachineName, usize>>,
 }
 
 impl DirectOrdersInFlight {
@@ -44,12 +33,12 @@
         if by_machine.values().sum::<usize>() >= max {
             return None;
         }
-        *by_machine.entry(machine.to_owned()).or_default() += 1;
+        *by_machine.entry(MachineName::from(machine)).or_default() += 1;
         Some(DirectOrderGuard { in_flight: self, machine })
     }
 
     /// Machines to which direct orders are under way.
-    pub(super) fn machines(&self) -> HashSet<String> {
+    pub(super) fn machines(&self) -> HashSet<MachineName> {
         self.by_machine.borrow().keys().cloned().collect()
     }
 }
@@ -131,7 +120,7 @@
     let Ok(heartbeat) = serde_json::from_slice::<WorkerHeartbeat>(&reply.body) else {
         return DirectOrderOutcome::Unusable;
     };
-    if heartbeat.machine != machine {
+    if heartbeat.machine.as_str() != machine {
         tracing::debug!(machine, answered_by = %heartbeat.machine, "another machine answered");
         return DirectOrderOutcome::Unusable;
     }
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -6,6 +6,7 @@
 use corkfield_cloud::CloudError;
 use corkfield_core::RentalFailure;
 use corkfield_wire::cloud::{RentRequest, MAX_RENT};
+use corkfield_wire::MachineName;
 use std::time::{Duration, Instant};
 
 /// What only time brings about is looked at this often. Each look costs time for every machine, so
@@ -81,7 +82,7 @@
 
     /// Returns machines to the cloud. Without a valid lease this is left for later: it is asked for
     /// again while it is due (S4).
-    pub(super) fn return_machines(&self, machines: Vec<String>) {
+    pub(super) fn return_machines(&self, machines: Vec<MachineName>) {
         if !self.context.may_start() {
             tracing::debug!(machines = machines.len(), "not returned without a valid lease");
             return;
@@ -105,12 +106,12 @@
 }
 
 /// Whether as many machines were to be had as were asked for.
-fn is_filled(request: &RentRequest, outcome: &Result<Vec<String>, RentalFailure>) -> bool {
+fn is_filled(request: &RentRequest, outcome: &Result<Vec<MachineName>, RentalFailure>) -> bool {
     outcome.as_ref().is_ok_and(|machines| machines.len() >= request.count as usize)
 }
 
 /// Sends a rental until it is answered, or has been tried often enough.
-async fn rent(env: &Environment, request: &RentRequest) -> Result<Vec<String>, RentalFailure> {
+async fn rent(env: &Environment, request: &RentRequest) -> Result<Vec<MachineName>, RentalFailure> {
     for _ in 0..RENTAL_TRIES {
         match env.cloud.rent(request).await {
             Ok(machines) => return Ok(machines),
