--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -61,7 +61,7 @@
             now,
         };
         pass.run(&queue);
-        self.steps.set(self.steps.get() + pass.steps);
+        self.steps += pass.steps;
     }
 
     /// Whether a job that is claimed now may be expected to begin soon.
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -21,9 +21,7 @@
 
     /// Drains a machine: it gets no new tasks, and is returned once it is empty.
     pub fn drain(&mut self, name: &str) {
-        if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.enter(MachineState::Draining);
-        }
+        self.cluster.drain(name);
     }
 
     /// The write of the machine's record was answered: it is `stored`, or the write failed.
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -35,7 +35,6 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use reconciliation::Reconciliation;
-use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
@@ -64,7 +63,7 @@
     /// What happened to machines and was not logged yet.
     machine_events: MachineEventLog,
     /// Machines and tasks looked at in placement passes.
-    pub(crate) steps: Cell<u64>,
+    pub(crate) steps: u64,
 }
 
 impl Scheduler {
@@ -82,7 +81,7 @@
             last_delete: None,
             passes: 0,
             machine_events: MachineEventLog::default(),
-            steps: Cell::new(0),
+            steps: 0,
         }
     }
 
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -40,7 +40,7 @@
             jobs: self.cluster.jobs.len(),
             unreconciled: self.reconciliation.len(),
             passes: self.passes,
-            steps: self.steps.get(),
+            steps: self.steps,
             ..Overview::default()
         };
         self.count_jobs(&mut overview, now);
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -2,7 +2,8 @@
 
 use crate::support::{
     active_task_count, active_tasks, first_job_id, heartbeat, heartbeat_from, job_record,
-    scheduler, scheduler_with_machines, scheduler_with_start_sent, task_status,
+    scheduler, scheduler_with_machines, scheduler_with_start_sent, scheduler_with_task_assigned,
+    task_status,
 };
 use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
@@ -30,17 +31,7 @@
 #[test]
 fn a_start_leaves_only_with_the_newest_heartbeat_and_a_valid_lease() {
     let now = Instant::now();
-    let mut scheduler = scheduler(1);
-    scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
-    scheduler.on_machine_record_written("host-1", true);
-    scheduler.on_job_claimed(
-        job_record(1, 1),
-        TaskSet::default(),
-        Revision::new(5),
-        Duration::ZERO,
-        now,
-    );
-    scheduler.run_placement_pass(now);
+    let mut scheduler = scheduler_with_task_assigned(now);
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
     assert!(scheduler.orders("host-1", AgentEpoch::new(1), 2, false, now).is_empty(), "S4");
     assert!(
@@ -94,17 +85,7 @@
     let now = Instant::now();
     let later = now + Duration::from_secs(1);
     for notice in [true, false] {
-        let mut scheduler = scheduler(1);
-        scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
-        scheduler.on_machine_record_written("host-1", true);
-        scheduler.on_job_claimed(
-            job_record(1, 1),
-            TaskSet::default(),
-            Revision::new(5),
-            Duration::ZERO,
-            now,
-        );
-        scheduler.run_placement_pass(now);
+        let mut scheduler = scheduler_with_task_assigned(now);
         assert!(scheduler.has_starts_for("host-1"));
         // While no start may leave, say in an outage of the store, its machine has to go.
         if notice {
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -115,9 +115,8 @@
     TaskStatus { task, attempt, phase, cause, saved: None }
 }
 
-/// A scheduler that has just sent the start of the only task in the reply to heartbeat 2, and the
-/// attempt of that start.
-pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, Attempt) {
+/// A scheduler that has assigned the only task of the first job to `host-1`; no order has left.
+pub fn scheduler_with_task_assigned(now: Instant) -> Scheduler {
     let mut scheduler = scheduler(1);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now), Verdict::Accept);
     scheduler.on_machine_record_written("host-1", true);
@@ -129,6 +128,13 @@
         now,
     );
     scheduler.run_placement_pass(now);
+    scheduler
+}
+
+/// A scheduler that has just sent the start of the only task in the reply to heartbeat 2, and the
+/// attempt of that start.
+pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, Attempt) {
+    let mut scheduler = scheduler_with_task_assigned(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now), Verdict::Accept);
     let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
     let [Order::Start { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -1,8 +1,8 @@
 //! What the cloud says: its list of machines, and the machine types with their prices.
 
 use super::active_leader::ActiveLeader;
-use super::store_value::store_value;
 use crate::clock::now;
+use crate::store_value::store_value;
 use corkfield_state::RequestClass;
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{MachineTypesRecord, MACHINE_TYPES_KEY};
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -5,8 +5,8 @@
 use super::context::LeadershipContext;
 use super::in_flight::{InFlight, InFlightGuard};
 use super::state::SharedScheduler;
-use super::store_value::{serialized_bytes, store_value};
 use crate::clock::now;
+use crate::store_value::{serialized_bytes, store_value};
 use corkfield_core::CompletionCommit;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -2,9 +2,9 @@
 
 use super::context::LeadershipContext;
 use super::state::LeadershipState;
-use super::store_value::store_value;
 use crate::replica::ReplicaContents;
 use crate::session_lease::Current;
+use crate::store_value::store_value;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -2,8 +2,8 @@
 
 use super::active_leader::ActiveLeader;
 use super::direct_orders::send_direct_orders;
-use super::store_value::store_value;
 use crate::clock::now;
+use crate::store_value::store_value;
 use corkfield_core::DirectOrderTarget;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -3,7 +3,7 @@
 use super::active_leader::ActiveLeader;
 use super::context::LeadershipContext;
 use super::state::LeadershipEnd;
-use super::store_value::store_value;
+use crate::store_value::store_value;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{transfer_request_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -2,8 +2,8 @@
 
 use super::active_leader::ActiveLeader;
 use super::in_flight::{InFlight, InFlightGuard};
-use super::store_value::store_value;
 use crate::clock::{now, unix_time_ms};
+use crate::store_value::store_value;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{machine_key, MachineRecord, LEADER_KEY, MACHINE_RECORDS_PREFIX};
 use corkfield_wire::store::{Item, Transaction};
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -35,7 +35,6 @@
 mod scaling;
 mod shared;
 mod state;
-mod store_value;
 
 use crate::environment::Environment;
 use active_leader::ActiveLeader;
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Modules depend on each other one way, each line on those above it:
 //!
-//! - `clock`, `responses`, `timers`, `settings`: of use to all;
+//! - `clock`, `responses`, `store_value`, `timers`, `settings`: of use to all;
 //! - `environment`: settings, clients of outside services, random numbers;
 //! - `replica`, `session_lease`, `peers`, `outbox`: what this controller
 //!   knows of the store, of its lease and of the other controllers;
@@ -26,6 +26,7 @@
 mod routes;
 mod session_lease;
 pub mod settings;
+mod store_value;
 mod timers;
 mod users;
 mod workers;
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -2,6 +2,7 @@
 
 use crate::clock::now;
 use crate::environment::Environment;
+use crate::store_value::store_value;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{controller_key, Membership};
 use corkfield_wire::store::{Item, Transaction};
@@ -150,7 +151,7 @@
         found: Option<Item>,
         membership: Membership,
     ) -> Result<Revision, StateError> {
-        let value = serde_json::to_value(&membership).unwrap_or_default();
+        let value = store_value(&membership);
         let transaction = Transaction::default()
             .when(key.to_owned(), found.map_or(Revision::NONE, |item| item.version))
             .put_leased(key.to_owned(), value, membership.lease);
--- a/crates/corkfield/src/leadership/store_value.rs
+++ b/crates/corkfield/src/store_value.rs
@@ -8,12 +8,12 @@
 ///
 /// Every record is a plain struct whose maps, if any, have string keys; serialization fails for
 /// nothing else, as it writes to memory.
-pub(super) fn store_value(record: &impl Serialize) -> Value {
+pub fn store_value(record: &impl Serialize) -> Value {
     serde_json::to_value(record).expect("records are plain structs with string keys")
 }
 
 /// Bytes that a record or a transaction takes when it is sent, without keeping them.
-pub(super) fn serialized_bytes(value: &impl Serialize) -> usize {
+pub fn serialized_bytes(value: &impl Serialize) -> usize {
     let mut counter = ByteCounter(0);
     serde_json::to_writer(&mut counter, value).expect("records are plain structs with string keys");
     counter.0
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -7,6 +7,7 @@
 use crate::notifications::CancellationNotifier;
 use crate::replica::StoreReplica;
 use crate::responses::{error, json, retry_later};
+use crate::store_value::store_value;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
@@ -85,7 +86,7 @@
         version: Revision,
         cancelled: &FinalRecord,
     ) -> Result<Revision, StateError> {
-        let value = serde_json::to_value(cancelled).unwrap_or_default();
+        let value = store_value(&cancelled);
         let transaction = Transaction::default()
             .when(job_key(id), version)
             .when(final_key(id), Revision::NONE)
@@ -103,7 +104,7 @@
             return error(409, "the job is not set aside");
         }
         let record = JobRecord { dead_lettered: false, claims: 0, owner: None, ..*record };
-        let value = serde_json::to_value(&record).unwrap_or_default();
+        let value = store_value(&record);
         let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
         match self.env.state.transaction(RequestClass::Submission, &transaction).await {
             Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
