--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -1,31 +1,30 @@
-//! The view of the cluster that all parts of the scheduler share: claimed jobs, known machines
-//! and machine types.
+//! The state that all parts of the scheduler share: claimed jobs, known machines and machine types.
 
 use crate::config::Config;
 use crate::estimate_correction::EstimateCorrections;
 use crate::job::Job;
 use crate::machine::{Machine, MachineState};
-use crate::team::{within_guarantee, Usage};
+use crate::team::{is_within_guarantee, Usage};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::settings::Team;
 use corkfield_wire::{JobId, MachineName};
 use std::collections::BTreeMap;
 
-/// Jobs, machines and machine types, as known to one scheduler.
+/// The jobs, machines and machine types that one scheduler knows.
 pub(crate) struct Cluster {
     pub(crate) config: Config,
-    /// What the cloud rents; empty until it is known.
+    /// Machine types that the cloud offers; empty until the cloud has listed them.
     pub(crate) machine_types: Vec<MachineType>,
-    /// Claimed jobs.
+    /// Jobs claimed by this controller, by id.
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Known machines, by name.
     pub(crate) machines: BTreeMap<MachineName, Machine>,
-    /// Run times seen against the owners' estimates.
+    /// Corrections of the users' run time estimates, by class of jobs.
     pub(crate) estimate_corrections: EstimateCorrections,
 }
 
 impl Cluster {
-    /// A cluster of which nothing is known yet.
+    /// Creates a cluster without jobs, machines or machine types.
     pub(crate) fn new(config: Config) -> Self {
         Self {
             config,
@@ -36,7 +35,8 @@
         }
     }
 
-    /// What all tasks on machines use, by position of the team in the settings.
+    /// Returns the usage of each team, summed over the tasks on all machines and indexed by the
+    /// team's position in the settings.
     pub(crate) fn usage_by_team(&self) -> Vec<Usage> {
         let mut usage = vec![Usage::default(); self.config.teams.len()];
         for machine in self.machines.values() {
@@ -47,24 +47,26 @@
         usage
     }
 
-    /// The team of a job.
+    /// Returns the settings of the job's team.
     pub(crate) fn team_of(&self, job: &Job) -> &Team {
         &self.config.teams[job.team]
     }
 
-    /// Whether one more task of the job is within its team's guarantee, beside this usage.
-    pub(crate) fn next_task_guaranteed(&self, job: &Job, usage: &[Usage]) -> bool {
+    /// Returns whether the job's team stays within its guarantee if one more task of the job is
+    /// added to `usage`.
+    pub(crate) fn is_next_task_guaranteed(&self, job: &Job, usage: &[Usage]) -> bool {
         let next = usage[job.team].plus(Usage::of_tasks(job.spec(), 1));
-        within_guarantee(self.team_of(job), next)
+        is_within_guarantee(self.team_of(job), next)
     }
 
-    /// The expected run time in seconds of a task of the job.
+    /// Returns the expected run time of one task of the job, in seconds.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
-        job.expected_run_s(self.estimate_corrections.factor(&job.spec().class))
+        job.expected_run_s(self.estimate_corrections.correction_factor(&job.spec().class))
     }
 
-    /// Takes a machine out of use: it gets no new work, and is returned once it is empty.
-    pub(crate) fn drain(&mut self, name: &str) {
+    /// Drains a machine: no new task starts on it, and it is returned to the cloud once it is
+    /// empty.
+    pub(crate) fn drain_machine(&mut self, name: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.enter(MachineState::Draining);
         }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,61 +1,65 @@
-//! What the scheduler has to know of its deployment, and the intervals that follow from it.
+//! Deployment settings that the scheduler needs, and the timeouts derived from them.
 
 use corkfield_wire::settings::{Objective, Team};
 use std::time::Duration;
 
-/// A worker's clock may run this many times as fast, or as slow, as ours.
+/// Largest ratio allowed between the rate of a worker's clock and that of the controller's clock,
+/// in either direction.
 const CLOCK_RATE_TOLERANCE: f64 = 1.002;
-/// Room for scheduling delays of our own process before a lease is taken for expired.
+/// Added to the worker lease because the controller's own process may be scheduled late.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Heartbeat intervals without a heartbeat after which one is overdue, and the margin on top.
-const OVERDUE_HEARTBEAT_INTERVALS: f64 = 2.0;
-const OVERDUE_HEARTBEAT_MARGIN: Duration = Duration::from_secs(1);
+/// A heartbeat is overdue after this many heartbeat intervals, plus the margin.
+const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 2.0;
+const HEARTBEAT_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The cloud's list is at most twice its lag old; a little more, and the margin on top, for clocks
-/// and requests that are under way.
-const LIST_LAGS_UNTIL_SETTLED: f64 = 2.2;
-const LIST_SETTLES_MARGIN: Duration = Duration::from_secs(2);
+/// The cloud's machine list is at most twice its lag old. The factor exceeds 2, and the margin is
+/// added, to allow for clock errors and requests in flight.
+const MISSING_MACHINE_TIMEOUT_LAGS: f64 = 2.2;
+const MISSING_MACHINE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// What the scheduler has to know of its deployment: "the platform's settings" is the settings file
-/// that a controller is started with, "the operator's settings" are those of `docs/operations.md`.
+/// Deployment settings that the scheduler needs. "The platform's settings" are the settings file
+/// that a controller is started with; "the operator's settings" are those of `docs/operations.md`.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Teams, with their guarantees and limits, from the platform's settings. Elsewhere a team
-    /// is its position in this list.
+    /// Teams with their guarantees and limits, from the platform's settings. The rest of this crate
+    /// identifies a team by its position in this list.
     pub teams: Vec<Team>,
-    /// Service-level objectives of each class of jobs, from the platform's settings.
+    /// Service-level objectives of the job classes, from the platform's settings.
     pub objectives: Vec<Objective>,
-    /// How long a worker runs tasks after its last accepted answer, from the platform's settings.
+    /// How long a worker keeps running tasks after the last heartbeat answer that it accepted, from
+    /// the platform's settings.
     pub worker_lease: Duration,
     /// Time between two heartbeats of a worker, from the platform's settings.
     pub heartbeat_interval: Duration,
-    /// A controller without fresh state answers heartbeats no longer than this (S6); what the
-    /// time allowed for a cancellation leaves beside a worker's lease.
+    /// How long a controller without fresh state keeps answering heartbeats (S6): the time allowed
+    /// for a cancellation minus the worker lease.
     pub answer_limit: Duration,
-    /// How far the cloud's list lags behind, from the platform's settings: it describes a moment
+    /// Lag of the cloud's machine list, from the platform's settings. A list describes the state of
     /// up to twice this long ago.
     pub list_lag: Duration,
-    /// Machines looked at for one placement, from the operator's settings; more candidates than
-    /// this are sampled.
+    /// Number of machines examined for one placement, from the operator's settings. If there are
+    /// more candidates, a random sample of this size is examined.
     pub placement_sample: usize,
-    /// How long an idle machine is kept before it is returned, from the operator's settings.
+    /// How long an idle machine is kept before it is returned to the cloud, from the operator's
+    /// settings.
     pub idle_keep: Duration,
 }
 
-/// What an objective promises. The settings name the kinds as [`ObjectiveKind::name`] has them.
+/// What a service-level objective promises. [`ObjectiveKind::name`] returns the name of each kind
+/// in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObjectiveKind {
-    /// A job of the class is complete within a time from its acceptance.
+    /// A job of the class completes within a given time of its acceptance.
     Finished,
-    /// A job of the class starts within a time from its acceptance.
+    /// A job of the class starts within a given time of its acceptance.
     Wait,
-    /// What a team's guarantee holds starts within a time from its acceptance.
+    /// Tasks within their team's guarantee start within a given time of the job's acceptance.
     Guarantee,
 }
 
 impl ObjectiveKind {
-    /// Its name in the settings.
+    /// Returns the name of this kind in the settings.
     fn name(self) -> &'static str {
         match self {
             Self::Finished => "finished",
@@ -64,36 +68,39 @@
         }
     }
 
-    /// Whether an objective is of this kind.
-    pub(crate) fn is_kind_of(self, objective: &Objective) -> bool {
+    /// Returns whether the objective is of this kind.
+    pub(crate) fn matches(self, objective: &Objective) -> bool {
         objective.kind == self.name()
     }
 }
 
 impl Config {
-    /// The longest after its last accepted answer that a worker can still run tasks, by a
-    /// clock that may be fast against it, with room for scheduling delays of our own.
-    pub fn lease_expiry_after(&self) -> Duration {
+    /// Returns how long after the last accepted answer a worker may still run tasks, as measured by
+    /// the controller's clock. The result allows for the difference between the clock rates and for
+    /// scheduling delays of the controller's own process.
+    pub fn lease_expiry_timeout(&self) -> Duration {
         self.worker_lease.mul_f64(CLOCK_RATE_TOLERANCE) + LEASE_EXPIRY_MARGIN
     }
 
-    /// A machine without a heartbeat for this long should have sent one.
-    pub(crate) fn heartbeat_overdue_after(&self) -> Duration {
-        self.heartbeat_interval.mul_f64(OVERDUE_HEARTBEAT_INTERVALS) + OVERDUE_HEARTBEAT_MARGIN
+    /// Returns the time since the last heartbeat after which a machine's next heartbeat is overdue.
+    pub(crate) fn heartbeat_timeout(&self) -> Duration {
+        self.heartbeat_interval.mul_f64(HEARTBEAT_TIMEOUT_INTERVALS) + HEARTBEAT_TIMEOUT_MARGIN
     }
 
-    /// After this a machine that is missing in a list, and existed before, is surely gone.
-    pub fn missing_machine_gone_after(&self) -> Duration {
-        self.list_lag.mul_f64(LIST_LAGS_UNTIL_SETTLED) + LIST_SETTLES_MARGIN
+    /// Returns how long after a machine was first known a list has to be requested so that the
+    /// absence of the machine from the list proves that it no longer exists.
+    pub fn missing_machine_timeout(&self) -> Duration {
+        self.list_lag.mul_f64(MISSING_MACHINE_TIMEOUT_LAGS) + MISSING_MACHINE_TIMEOUT_MARGIN
     }
 
-    /// The time in seconds within which an objective for jobs of that very class is to be met.
+    /// Returns the time limit in seconds of the first objective of this kind that names the class.
     pub(crate) fn class_objective_s(&self, kind: ObjectiveKind, class: &str) -> Option<f64> {
         self.first_objective_s(kind, |objective_class| objective_class == Some(class))
     }
 
-    /// The same, where an objective without a class is for jobs of all classes.
-    pub(crate) fn general_objective_s(&self, kind: ObjectiveKind, class: &str) -> Option<f64> {
+    /// Returns the time limit in seconds of the first objective of this kind that names the class
+    /// or applies to all classes.
+    pub(crate) fn applicable_objective_s(&self, kind: ObjectiveKind, class: &str) -> Option<f64> {
         self.first_objective_s(kind, |objective_class| objective_class.is_none_or(|c| c == class))
     }
 
@@ -102,9 +109,8 @@
         kind: ObjectiveKind,
         is_for: impl Fn(Option<&str>) -> bool,
     ) -> Option<f64> {
-        let matching = |objective: &&Objective| {
-            kind.is_kind_of(objective) && is_for(objective.class.as_deref())
-        };
+        let matching =
+            |objective: &&Objective| kind.matches(objective) && is_for(objective.class.as_deref());
         self.objectives.iter().find(matching)?.within_s
     }
 }
--- a/crates/core/src/estimate_correction.rs
+++ b/crates/core/src/estimate_correction.rs
@@ -1,33 +1,34 @@
-//! How wrong the owners' estimates of run times are, by class of jobs.
+//! Corrects the users' run time estimates by measured run times, separately for each class of jobs.
 
 use std::collections::HashMap;
 
-/// Samples of a class from which its estimates are corrected.
+/// Number of samples of a class that are needed before its estimates are corrected.
 const MIN_SAMPLES: u32 = 3;
-/// From so many samples of a class on, earlier ones count half as much.
+/// When a class has this many samples, the weight of the earlier ones is halved.
 const MAX_SAMPLES: u32 = 200;
-/// Bounds of a correction: what lies beyond them is an error, not an estimate.
+/// Bounds of the correction factor. A mean ratio outside these bounds is treated as an error in the
+/// data rather than as the error of the estimates.
 const MIN_CORRECTION: f64 = 0.1;
 const MAX_CORRECTION: f64 = 10.0;
 
-/// Run times seen against the estimates of one class.
+/// Ratios of measured to estimated run times in one class.
 #[derive(Debug, Default)]
 struct Samples {
-    /// How many ratios are known.
+    /// Number of ratios in the sum.
     count: u32,
-    /// Their sum.
+    /// Sum of the ratios.
     ratio_sum: f64,
 }
 
-/// Run times seen against the estimates, by class.
+/// Ratios of measured to estimated run times, by class of jobs.
 #[derive(Debug, Default)]
 pub(crate) struct EstimateCorrections {
     by_class: HashMap<String, Samples>,
 }
 
 impl EstimateCorrections {
-    /// A task of that class ran `ratio` times as long as its owner's estimate.
-    pub(crate) fn add(&mut self, class: &str, ratio: f64) {
+    /// Records that a task of the class ran `ratio` times as long as estimated by the user.
+    pub(crate) fn add_sample(&mut self, class: &str, ratio: f64) {
         let samples = self.by_class.entry(class.to_owned()).or_default();
         if samples.count >= MAX_SAMPLES {
             samples.count /= 2;
@@ -37,8 +38,9 @@
         samples.ratio_sum += ratio;
     }
 
-    /// The factor by which estimates of a class were wrong on average; 1 while too few are known.
-    pub(crate) fn factor(&self, class: &str) -> f64 {
+    /// Returns the factor by which estimates of the class have to be multiplied; 1 while there are
+    /// fewer than [`MIN_SAMPLES`] samples.
+    pub(crate) fn correction_factor(&self, class: &str) -> f64 {
         match self.by_class.get(class) {
             Some(samples) if samples.count >= MIN_SAMPLES => {
                 let mean = samples.ratio_sum / f64::from(samples.count);
--- a/crates/core/src/machine/resources.rs
+++ b/crates/core/src/machine/resources.rs
@@ -1,6 +1,6 @@
 //! Amounts of CPUs, GPUs and memory.
 
-use crate::team::EPSILON;
+use crate::team::AMOUNT_TOLERANCE;
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::JobSpec;
 
@@ -57,8 +57,8 @@
 
     /// Whether `need` fits into this amount, with a tolerance for sums of decimal numbers.
     pub(crate) fn holds(&self, need: &Need) -> bool {
-        need.cpus <= self.cpus + EPSILON
-            && need.gpus <= self.gpus + EPSILON
-            && need.memory_gb <= self.memory_gb + EPSILON
+        need.cpus <= self.cpus + AMOUNT_TOLERANCE
+            && need.gpus <= self.gpus + AMOUNT_TOLERANCE
+            && need.memory_gb <= self.memory_gb + AMOUNT_TOLERANCE
     }
 }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -1,31 +1,33 @@
-//! Machines that one job may use, in the order in which they are preferred.
+//! Candidate machines for the tasks of one job, in order of preference.
 
 use super::capacity::MachineCapacity;
 use super::PlacementScope;
-use crate::float_order::compare;
+use crate::float_order::compare_f64;
 use rand::rngs::SmallRng;
 use rand::seq::index;
 
-/// Which machines are preferred: one holding the image, however few of them there are; else the
-/// roomiest.
+/// Preference among candidates. A machine that holds the image is preferred, even if there are only
+/// few of them; among machines of the same preference, one with more free CPUs is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Preference {
-    /// Holds the image of the job.
+    /// The machine holds the job's image.
     HoldsImage,
-    /// Has to fetch the image.
+    /// The machine has to fetch the job's image.
     LacksImage,
-    /// Only for a job of which nothing runs, where there is no other.
+    /// The machine is slow. It is used only for a job that has no placed task, and only if there is
+    /// no other candidate.
     Slow,
 }
 
-/// The candidate that was chosen: an entry of the list of that preference.
+/// A chosen candidate: its preference, and its index in the list of that preference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Choice {
     pub(super) preference: Preference,
     entry: usize,
 }
 
-/// Positions of machines in the capacity of the pass.
+/// Candidates by preference, as positions in the list of machines of the pass's
+/// [`ClusterCapacity`](super::capacity::ClusterCapacity).
 pub(super) struct Candidates {
     holding_image: Vec<usize>,
     lacking_image: Vec<usize>,
@@ -33,8 +35,8 @@
 }
 
 impl Candidates {
-    /// Sorts machines by preference. Which of them hold the image is looked up once: a job may
-    /// place thousands of tasks. `image_holders` is sorted.
+    /// Sorts the candidates by preference. `image_holders` has to be sorted. The image is looked up
+    /// only once for each machine, because a job may place thousands of tasks.
     pub(super) fn new(
         candidates: Vec<usize>,
         machines: &[MachineCapacity],
@@ -42,7 +44,7 @@
         scope: PlacementScope,
     ) -> Self {
         let (mut slow, others): (Vec<usize>, Vec<usize>) =
-            candidates.into_iter().partition(|position| machines[*position].slow);
+            candidates.into_iter().partition(|position| machines[*position].is_slow);
         if scope != PlacementScope::OneTask {
             slow.clear();
         }
@@ -51,19 +53,20 @@
         Self { holding_image, lacking_image, slow }
     }
 
-    /// All of them, preferred ones first.
+    /// Returns the positions of all candidates, the preferred ones first.
     pub(super) fn all(&self) -> impl Iterator<Item = &usize> {
         self.holding_image.iter().chain(&self.lacking_image).chain(&self.slow)
     }
 
-    /// Leaves out those that do not fit any more.
+    /// Removes the candidates that do not satisfy `fits`.
     pub(super) fn retain(&mut self, fits: impl Fn(&usize) -> bool) {
         self.holding_image.retain(&fits);
         self.lacking_image.retain(&fits);
         self.slow.retain(&fits);
     }
 
-    /// The preferred machine: the roomiest among a sample of those of the highest preference.
+    /// Chooses the machine with the most free CPUs from a sample of those candidates that have the
+    /// highest preference. Returns `None` if there is no candidate.
     pub(super) fn choose(
         &self,
         machines: &[MachineCapacity],
@@ -77,21 +80,22 @@
         } else {
             Preference::Slow
         };
-        let entry = roomiest(machines, self.list(preference), sample, rng)?;
+        let entry = entry_with_most_free_cpus(machines, self.positions(preference), sample, rng)?;
         Some(Choice { preference, entry })
     }
 
-    /// The machine that was chosen gets a task, and so the image. Its position in the capacity.
-    pub(super) fn take(&mut self, choice: Choice) -> usize {
+    /// Records that the chosen machine gets a task and therefore fetches the image if it lacks it.
+    /// Returns the position of the machine.
+    pub(super) fn record_choice(&mut self, choice: Choice) -> usize {
         if choice.preference != Preference::LacksImage {
-            return self.list(choice.preference)[choice.entry];
+            return self.positions(choice.preference)[choice.entry];
         }
         let position = self.lacking_image.swap_remove(choice.entry);
         self.holding_image.push(position);
         position
     }
 
-    fn list(&self, preference: Preference) -> &[usize] {
+    fn positions(&self, preference: Preference) -> &[usize] {
         match preference {
             Preference::HoldsImage => &self.holding_image,
             Preference::LacksImage => &self.lacking_image,
@@ -100,15 +104,16 @@
     }
 }
 
-/// Which entry of the list is the roomiest machine, among a sample if they are many.
-fn roomiest(
+/// Returns the index in `list` of the machine with the most free CPUs. A longer list than `sample`
+/// is sampled.
+fn entry_with_most_free_cpus(
     machines: &[MachineCapacity],
     list: &[usize],
     sample: usize,
     rng: &mut SmallRng,
 ) -> Option<usize> {
     let free_cpus = |entry: &usize| machines[list[*entry]].free.cpus;
-    let by_free_cpus = |left: &usize, right: &usize| compare(free_cpus(left), free_cpus(right));
+    let by_free_cpus = |left: &usize, right: &usize| compare_f64(free_cpus(left), free_cpus(right));
     let sample = sample.max(1);
     if list.len() > sample {
         index::sample(rng, list.len(), sample).into_iter().max_by(by_free_cpus)
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity of machines during one placement pass.
+//! Free capacity of the machines during one placement pass.
 
 use super::queue::StartableJob;
 use super::PlacementScope;
@@ -9,34 +9,36 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-/// A machine with room, during one pass.
+/// Capacity of one machine that accepts starts, during one placement pass.
 pub(super) struct MachineCapacity {
     pub(super) name: MachineName,
     pub(super) zone: String,
     pub(super) spot: bool,
-    /// What no task takes.
+    /// Resources that no task uses.
     pub(super) free: Need,
-    /// Failed its last task, or is slow: gets one at a time until one completes well.
-    pub(super) probing: bool,
-    /// Left to jobs of which nothing runs, where there is no other room for them.
-    pub(super) slow: bool,
-    /// Kept for tasks of higher priority, whether it is free yet or not.
+    /// Whether the machine gets only one task at a time, because its last task failed or because it
+    /// is slow.
+    pub(super) is_limited_to_one_task: bool,
+    /// Whether the machine is slow. A slow machine is left to jobs that have no placed task and for
+    /// which no other machine has room.
+    pub(super) is_slow: bool,
+    /// Resources reserved for urgent tasks. They may still be in use by tasks of lower priority.
     pub(super) reserved: Need,
-    /// What the tasks there take, by priority.
-    pub(super) by_priority: [Need; 4],
+    /// Resources used by the machine's tasks, by priority.
+    pub(super) used_by_priority: [Need; 4],
 }
 
 impl MachineCapacity {
-    /// The capacity of a machine that takes work; none while its free room is not known, or if it
-    /// is being probed and holds a task already.
+    /// Returns the capacity of a machine that accepts starts. Returns `None` if its free resources
+    /// are unknown, or if it gets only one task at a time and already has one.
     fn new(machine: &Machine) -> Option<Self> {
-        // Left out altogether, a machine that is slow no more, or was taken for slow by mistake,
-        // would never show it, and tasks would wait beside it for ever. So it is left to jobs of
-        // which nothing runs.
-        let slow = machine.is_slow();
-        let probing = machine.has_failures() || slow;
+        // If slow machines were excluded entirely, a machine that has recovered or was classified
+        // as slow by mistake could never show it, and tasks would wait indefinitely while it stays
+        // idle. Slow machines are therefore left to jobs that have no placed task.
+        let is_slow = machine.is_slow();
+        let is_limited_to_one_task = machine.has_failures() || is_slow;
         let free = machine.free()?;
-        if probing && !machine.is_empty() {
+        if is_limited_to_one_task && !machine.is_empty() {
             return None;
         }
         Some(Self {
@@ -44,95 +46,105 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             free,
-            probing,
-            slow,
+            is_limited_to_one_task,
+            is_slow,
             reserved: Need::default(),
-            by_priority: machine.tasks.totals().by_priority,
+            used_by_priority: machine.tasks.totals().by_priority,
         })
     }
 
-    /// Whether a task of that need fits, in so much of the room as the scope allows.
+    /// Returns whether a task with this need fits. [`PlacementScope::OneTask`] may use reserved
+    /// resources.
     pub(super) fn has_room_for(&self, need: &Need, scope: PlacementScope) -> bool {
         match scope {
             PlacementScope::OneTask => self.free.holds(need),
-            PlacementScope::Guaranteed | PlacementScope::All => self.fits(need),
+            PlacementScope::Guaranteed | PlacementScope::All => self.fits_unreserved(need),
         }
     }
 
-    /// Whether a task of that need fits beside what is reserved.
-    pub(super) fn fits(&self, need: &Need) -> bool {
+    /// Returns whether a task with this need fits into the resources that are free and not
+    /// reserved.
+    pub(super) fn fits_unreserved(&self, need: &Need) -> bool {
         let mut unreserved = self.free;
         unreserved.subtract(&self.reserved);
         unreserved.holds(need)
     }
 
-    /// The room there would be without what has a lower priority, beyond what is reserved.
-    pub(super) fn room_above(&self, priority: Priority) -> Need {
+    /// Returns the unreserved resources that would be free if no task of a lower priority than
+    /// `priority` ran on the machine.
+    pub(super) fn room_for_priority(&self, priority: Priority) -> Need {
         let mut room = self.free;
-        for lower in &self.by_priority[priority as usize + 1..] {
+        for lower in &self.used_by_priority[priority as usize + 1..] {
             room.add(lower);
         }
         room.subtract(&self.reserved);
         room
     }
 
-    /// A task of that need and priority was placed there.
-    pub(super) fn place(&mut self, need: &Need, priority: Priority) {
+    /// Accounts for a task with this need and priority that was placed on the machine.
+    pub(super) fn allocate(&mut self, need: &Need, priority: Priority) {
         self.free.subtract(need);
-        self.by_priority[priority as usize].add(need);
-        if self.probing {
+        self.used_by_priority[priority as usize].add(need);
+        if self.is_limited_to_one_task {
+            // No further task fits, not even one that needs 0 CPUs.
             self.free.cpus = -1.0;
         }
     }
 }
 
-/// How many tasks of an urgent job a machine will have room for.
+/// Number of tasks of an urgent job that a machine can hold once its tasks of lower priority have
+/// ended.
 pub(super) struct TaskSlots {
-    /// The machine's position in the capacity.
+    /// Position of the machine in [`ClusterCapacity::machines`].
     pub(super) position: usize,
     pub(super) tasks: u32,
     pub(super) free_cpus: f64,
 }
 
-/// The free capacity of all machines during one pass. Looking at each of them for each waiting job
-/// is what a pass costs, so those that no waiting task fits into any more are left out.
+/// Free capacity of all machines during one placement pass. Examining every machine for every
+/// waiting job dominates the cost of a pass, so a machine that fits no waiting task any more is
+/// excluded.
 pub(super) struct ClusterCapacity {
     pub(super) machines: Vec<MachineCapacity>,
-    /// Positions of those into which the smallest need may still fit.
-    pub(super) open: Vec<usize>,
-    /// Positions of those into which it may fit now, or once lower priorities are gone.
+    /// Positions of the machines that may still fit the smallest need.
+    pub(super) with_room: Vec<usize>,
+    /// Positions of the machines that may fit the smallest need now or after their tasks of lower
+    /// priority have ended.
     pub(super) reservable: Vec<usize>,
-    /// The least that a waiting task takes, of each resource.
+    /// Smallest amount of each resource that any waiting task needs.
     smallest_need: Need,
-    /// The highest priority of a waiting task.
+    /// Highest priority of any waiting task.
     highest_priority: Option<Priority>,
-    /// Positions of the machines that hold an image that a waiting task needs, in order.
+    /// For each image that a waiting task needs, the sorted positions of the machines that hold it.
     image_holders: HashMap<String, Vec<usize>>,
 }
 
 impl ClusterCapacity {
-    /// What there is room in for the jobs that wait.
+    /// Collects the capacity of all machines that accept starts, for the jobs in `queue`.
     pub(super) fn new(cluster: &Cluster, queue: &[StartableJob], now: Instant) -> Self {
         let mut capacity = Self {
             machines: Vec::new(),
-            open: Vec::new(),
+            with_room: Vec::new(),
             reservable: Vec::new(),
             smallest_need: Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX },
             highest_priority: None,
             image_holders: HashMap::new(),
         };
         for startable in queue {
-            capacity.expect_job(cluster.jobs[&startable.id].spec());
+            capacity.add_waiting_job(cluster.jobs[&startable.id].spec());
         }
-        let overdue_after = cluster.config.heartbeat_overdue_after();
-        for machine in cluster.machines.values().filter(|m| m.accepts_starts(now, overdue_after)) {
+        let heartbeat_timeout = cluster.config.heartbeat_timeout();
+        for machine in
+            cluster.machines.values().filter(|m| m.accepts_starts(now, heartbeat_timeout))
+        {
             capacity.add_machine(machine);
         }
         capacity
     }
 
-    /// Takes a job into account that is to be placed in this pass.
-    fn expect_job(&mut self, spec: &JobSpec) {
+    /// Accounts for a job of the queue in the smallest need, the highest priority and the needed
+    /// images.
+    fn add_waiting_job(&mut self, spec: &JobSpec) {
         self.smallest_need = self.smallest_need.minimum(&Need::per_task(spec));
         let highest = self.highest_priority.map_or(spec.priority, |p| p.min(spec.priority));
         self.highest_priority = Some(highest);
@@ -145,7 +157,7 @@
         let Some(capacity) = MachineCapacity::new(machine) else { return };
         let position = self.machines.len();
         self.machines.push(capacity);
-        self.open.push(position);
+        self.with_room.push(position);
         self.reservable.push(position);
         for image in machine.images.names() {
             if let Some(holders) = self.image_holders.get_mut(image) {
@@ -154,12 +166,12 @@
         }
     }
 
-    /// Positions of the machines that hold an image, in order.
+    /// Returns the sorted positions of the machines that hold the image.
     pub(super) fn image_holders(&self, image: &str) -> &[usize] {
         self.image_holders.get(image).map_or(&[], Vec::as_slice)
     }
 
-    /// Notes that a machine is going to hold an image.
+    /// Records that the machine will hold the image.
     pub(super) fn add_image_holder(&mut self, image: &str, position: usize) {
         let holders = self.image_holders.entry(image.to_owned()).or_default();
         if let Err(entry) = holders.binary_search(&position) {
@@ -167,29 +179,30 @@
         }
     }
 
-    /// Positions of the machines that the job may use, and that have room for one of its tasks.
-    /// Those that no waiting task fits into any more are left out of the pass for good.
-    pub(super) fn eligible(
+    /// Returns the positions of the machines that the job may use and that have room for one of its
+    /// tasks. Machines that fit no waiting task any more are excluded for the rest of the pass.
+    pub(super) fn eligible_machines(
         &mut self,
         job: &Job,
         scope: PlacementScope,
         machines: &BTreeMap<MachineName, Machine>,
     ) -> Vec<usize> {
-        let Self { machines: capacity, open, smallest_need, .. } = self;
+        let Self { machines: capacity, with_room, smallest_need, .. } = self;
         let need = Need::per_task(job.spec());
         let eligible = |position: &usize| {
             let machine = &capacity[*position];
-            machine.has_room_for(&need, scope) && allows(job, machine, machines)
+            machine.has_room_for(&need, scope) && may_use_machine(job, machine, machines)
         };
         if scope == PlacementScope::OneTask {
             return (0..capacity.len()).filter(eligible).collect();
         }
-        open.retain(|position| capacity[*position].fits(smallest_need));
-        open.iter().copied().filter(eligible).collect()
+        with_room.retain(|position| capacity[*position].fits_unreserved(smallest_need));
+        with_room.iter().copied().filter(eligible).collect()
     }
 
-    /// Machines on which room for tasks of the job is free or will come free by itself. Those that
-    /// nothing can be reserved on are left out of the pass for good.
+    /// Returns the machines that have room for tasks of the job, now or after their tasks of lower
+    /// priority have ended. Machines on which nothing can be reserved any more are excluded for the
+    /// rest of the pass.
     pub(super) fn task_slots(
         &mut self,
         spec: &JobSpec,
@@ -199,24 +212,29 @@
         let highest_priority = highest_priority.unwrap_or(spec.priority);
         reservable.retain(|position| {
             let machine = &capacity[*position];
-            !machine.probing && machine.room_above(highest_priority).holds(smallest_need)
+            !machine.is_limited_to_one_task
+                && machine.room_for_priority(highest_priority).holds(smallest_need)
         });
         let need = Need::per_task(spec);
         let slots = reservable.iter().filter_map(|&position| {
             let machine = &capacity[position];
-            let count = tasks_that_fit(&machine.room_above(spec.priority), &need);
-            let suits = count >= 1.0
+            let count = count_fitting_tasks(&machine.room_for_priority(spec.priority), &need);
+            let is_suitable = count >= 1.0
                 && (spec.spot || !machine.spot)
                 && machines[&machine.name].allows(spec);
             let free_cpus = machine.free.cpus;
-            suits.then_some(TaskSlots { position, tasks: count as u32, free_cpus })
+            is_suitable.then_some(TaskSlots { position, tasks: count as u32, free_cpus })
         });
         slots.collect()
     }
 }
 
-/// Whether the job may use the machine, and has not failed there.
-fn allows(job: &Job, machine: &MachineCapacity, machines: &BTreeMap<MachineName, Machine>) -> bool {
+/// Returns whether the job may use the machine and has not failed there.
+fn may_use_machine(
+    job: &Job,
+    machine: &MachineCapacity,
+    machines: &BTreeMap<MachineName, Machine>,
+) -> bool {
     let spec = job.spec();
     (spec.spot || !machine.spot)
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
@@ -224,8 +242,9 @@
         && !job.has_failed_on(machine.name.as_str())
 }
 
-/// How many tasks of that need, which takes CPUs, have room, as a whole number.
-fn tasks_that_fit(room: &Need, need: &Need) -> f64 {
+/// Returns how many tasks with this need fit into `room`, as a whole number. `need.cpus` must not
+/// be 0.
+fn count_fitting_tasks(room: &Need, need: &Need) -> f64 {
     let by_cpus = room.cpus / need.cpus;
     let by_memory = if need.memory_gb > 0.0 { room.memory_gb / need.memory_gb } else { by_cpus };
     by_cpus.min(by_memory).floor()
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -1,51 +1,54 @@
-//! When the record of a job is to allow its first starts.
+//! Decides when a job's record gets its first start watermark, which permits the job's first
+//! starts.
 //!
-//! What a record allows counts as begun after a failover, and then has to wait until all machines
-//! have shown what they hold (S7). So a record allows first starts only once there is room for
-//! them, or others can be stopped for them.
+//! After a failover, every task below the watermark counts as possibly started and has to wait
+//! until all machines have reported what they run (S7). A job therefore gets a watermark only once
+//! there is room for its tasks or other tasks may be preempted for them.
 
 use crate::cluster::Cluster;
-use crate::team::{within_guarantee, Usage};
+use crate::team::{is_within_guarantee, Usage};
 use corkfield_wire::{JobId, JobSpec, Priority};
 use std::time::Instant;
 
-/// Has the records of jobs that need not wait for room allow first starts at once.
-pub(super) fn allow_without_room(cluster: &mut Cluster, usage: &[Usage]) {
-    let preempting: Vec<JobId> = cluster
+/// Requests the first start watermark for all jobs that need not wait for room because they may
+/// preempt other tasks.
+pub(super) fn request_watermarks_of_preempting_jobs(cluster: &mut Cluster, usage: &[Usage]) {
+    let preempting_jobs: Vec<JobId> = cluster
         .jobs
         .iter()
         .filter(|(_, job)| job.needs_first_watermark())
-        .filter(|(_, job)| may_preempt_for(cluster, job.spec(), usage))
+        .filter(|(_, job)| may_preempt(cluster, job.spec(), usage))
         .map(|(id, _)| id.clone())
         .collect();
-    for id in preempting {
+    for id in preempting_jobs {
         if let Some(job) = cluster.jobs.get_mut(&id) {
             job.raise_start_watermark();
         }
     }
 }
 
-/// Whether a job that is claimed now may be expected to begin soon.
+/// Returns whether a job that is claimed at `now` is expected to start soon.
 pub(super) fn may_start_soon(cluster: &Cluster, spec: &JobSpec, now: Instant) -> bool {
-    if may_preempt_for(cluster, spec, &cluster.usage_by_team()) {
+    if may_preempt(cluster, spec, &cluster.usage_by_team()) {
         return true;
     }
     let others_wait = cluster.jobs.values().any(|job| job.needs_first_watermark());
     !others_wait && spare_cpus(cluster, now) > 0.0
 }
 
-/// Whether others may be stopped for the job, so that it need not wait for room.
-fn may_preempt_for(cluster: &Cluster, spec: &JobSpec, usage: &[Usage]) -> bool {
+/// Returns whether the job may preempt other tasks, so that it need not wait for room.
+fn may_preempt(cluster: &Cluster, spec: &JobSpec, usage: &[Usage]) -> bool {
     let teams = &cluster.config.teams;
-    let guaranteed = |team: usize| {
-        let next = usage[team].plus(Usage::of_tasks(spec, 1));
-        within_guarantee(&teams[team], next)
+    let is_guaranteed = |team: usize| {
+        let usage_with_next_task = usage[team].plus(Usage::of_tasks(spec, 1));
+        is_within_guarantee(&teams[team], usage_with_next_task)
     };
     spec.priority <= Priority::High
-        || teams.iter().position(|team| team.name == spec.team).is_some_and(guaranteed)
+        || teams.iter().position(|team| team.name == spec.team).is_some_and(is_guaranteed)
 }
 
-/// CPUs that are free beyond what waits for them and may be started.
+/// Returns the free CPUs that remain after all waiting tasks below their jobs' start watermarks
+/// have been placed. The result may be negative.
 fn spare_cpus(cluster: &Cluster, now: Instant) -> f64 {
     let waiting: f64 = cluster
         .jobs
@@ -56,13 +59,13 @@
     free_cpus(cluster, now) - waiting
 }
 
-/// CPUs that no task takes, on machines that take work.
+/// Returns the CPUs that no task uses on machines that accept starts.
 fn free_cpus(cluster: &Cluster, now: Instant) -> f64 {
-    let overdue_after = cluster.config.heartbeat_overdue_after();
+    let heartbeat_timeout = cluster.config.heartbeat_timeout();
     cluster
         .machines
         .values()
-        .filter(|machine| machine.accepts_starts(now, overdue_after))
+        .filter(|machine| machine.accepts_starts(now, heartbeat_timeout))
         .filter_map(|machine| machine.free())
         .map(|free| free.cpus.max(0.0))
         .sum()
--- a/crates/core/src/placement/long_waiting.rs
+++ b/crates/core/src/placement/long_waiting.rs
@@ -1,20 +1,21 @@
-//! Jobs of which nothing ran for long.
+//! Jobs that have had no placed task for a long time.
 
 use super::queue::StartableJob;
 use crate::cluster::Cluster;
 use corkfield_wire::JobId;
 use std::time::{Duration, Instant};
 
-/// So many of these get a task placed ahead of others in one pass.
-const LONG_WAITING_JOBS: usize = 8;
+/// Maximum number of long-waiting jobs that get a task placed ahead of other jobs in one pass.
+const MAX_LONG_WAITING_JOBS: usize = 8;
 
-/// A job of which nothing runs for this long gets the next room that one of its tasks fits into,
-/// also if that is kept for an urgent job that needs more: such room is not free for long, but
-/// under lasting overload some machine always has some.
-const LONG_WAIT: Duration = Duration::from_secs(60);
+/// A job without a placed task for longer than this gets the next free capacity that fits one of
+/// its tasks, even if that capacity is reserved for an urgent job with larger tasks. Reserved
+/// capacity is idle only briefly, but under sustained overload some machine always has some.
+const LONG_WAIT_THRESHOLD: Duration = Duration::from_secs(60);
 
 impl Cluster {
-    /// Jobs that are not urgent and of which nothing ran for long, the longest first.
+    /// Returns the jobs that are not urgent and have had no placed task for longer than
+    /// [`LONG_WAIT_THRESHOLD`], the longest-waiting job first.
     pub(super) fn long_waiting_jobs(&self, queue: &[StartableJob], now: Instant) -> Vec<JobId> {
         let mut waiting: Vec<(Instant, &JobId)> = queue
             .iter()
@@ -23,12 +24,12 @@
             })
             .collect();
         waiting.sort();
-        waiting.into_iter().take(LONG_WAITING_JOBS).map(|(_, id)| id.clone()).collect()
+        waiting.into_iter().take(MAX_LONG_WAITING_JOBS).map(|(_, id)| id.clone()).collect()
     }
 
     fn long_waiting_since(&self, id: &JobId, now: Instant) -> Option<Instant> {
         let job = &self.jobs[id];
         let since = job.unplaced_since.filter(|_| !job.is_urgent())?;
-        (now.saturating_duration_since(since) > LONG_WAIT).then_some(since)
+        (now.saturating_duration_since(since) > LONG_WAIT_THRESHOLD).then_some(since)
     }
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Placement: which waiting tasks go to which machines. A machine holding the image comes first,
-//! else the roomiest in the job's zone, if it has one.
+//! Placement: assigns waiting tasks to machines. A machine that already holds the image is
+//! preferred; otherwise the machine with the most free CPUs, within the job's zone if it is bound
+//! to one.
 //!
-//! One [`PlacementPass`] places what has room, in the order of [`queue`]; keeps room for urgent
-//! jobs ([`reservation`]); and stops running tasks for jobs that still wait ([`preemption`]).
+//! A [`PlacementPass`] places tasks in the order of [`queue`], reserves capacity for urgent jobs
+//! ([`reservation`]) and preempts running tasks for jobs that still wait ([`preemption`]).
 
 mod candidates;
 mod capacity;
@@ -20,31 +21,31 @@
 use pass::PlacementPass;
 use std::time::Instant;
 
-/// Tasks without need of CPUs count as needing this many, where CPUs are shared out among tasks.
+/// Minimum number of CPUs that a task counts as in divisions, because tasks may need 0 CPUs.
 const MIN_TASK_CPUS: f64 = 0.01;
 
-/// How much of a job is placed.
+/// Which of a job's waiting tasks may be placed, and in which capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlacementScope {
-    /// One task, in any room, reserved or not.
+    /// One task, which may use capacity that is reserved for urgent jobs.
     OneTask,
-    /// What its team's guarantee still holds; all of an urgent job.
+    /// Tasks within the team's guarantee; for an urgent job, all tasks that fit.
     Guaranteed,
-    /// All that has room.
+    /// All tasks that fit.
     All,
 }
 
 impl Scheduler {
-    /// Assigns waiting tasks to machines with room, and stops running tasks for those that have
-    /// waited for long enough.
+    /// Runs one placement pass: assigns waiting tasks to machines with room, and preempts running
+    /// tasks for jobs that have waited long enough.
     pub fn run_placement_pass(&mut self, now: Instant) {
         self.passes += 1;
         if self.cluster.jobs.is_empty() {
             return;
         }
-        let reconciled = self.is_reconciled();
+        let is_reconciled = self.is_reconciled();
         let usage = self.cluster.usage_by_team();
-        let queue = self.cluster.placement_queue(&usage, reconciled, now);
+        let queue = self.cluster.placement_queue(&usage, is_reconciled, now);
         if queue.is_empty() {
             return;
         }
@@ -55,7 +56,7 @@
             cluster: &mut self.cluster,
             usage,
             unaccounted_usage,
-            reconciled,
+            is_reconciled,
             rng: &mut self.rng,
             actions: &mut self.actions,
             now,
@@ -64,15 +65,15 @@
         self.steps += pass.steps;
     }
 
-    /// Whether a job that is claimed now may be expected to begin soon.
+    /// Returns whether a job that is claimed at `now` is expected to start soon.
     pub fn may_start_soon(&self, spec: &JobSpec, now: Instant) -> bool {
         first_starts::may_start_soon(&self.cluster, spec, now)
     }
 
-    /// The most that tasks not known yet can use (S8): all of each machine that has not shown
-    /// what it holds, or holds tasks of jobs that are not known. A worker starts nothing beyond
-    /// its machine's size, and any team may be the one that uses it. `None` while a size is not
-    /// known.
+    /// Returns an upper bound of the usage by tasks that this leader does not know yet (S8): the
+    /// full size of each machine that has not reported its tasks since the failover or that holds
+    /// tasks of unknown jobs. A worker never exceeds its machine's size, and the usage may belong
+    /// to any team. Returns `None` while the size of such a machine is unknown.
     fn unaccounted_usage(&self) -> Option<Usage> {
         let mut unaccounted_usage = Usage::default();
         for machine in self.cluster.machines.values() {
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -1,61 +1,63 @@
-//! Preemption: running tasks are stopped for jobs that wait, the cheapest loss first.
+//! Preemption: stops running tasks for waiting jobs, those with the lowest cost first.
 
-mod grace;
-mod loss;
+mod cost;
+mod delay;
 mod victims;
 
 use super::pass::PlacementPass;
 use super::queue::StartableJob;
 use super::MIN_TASK_CPUS;
 use crate::cluster::Cluster;
-use crate::float_order::compare;
+use crate::float_order::compare_f64;
 use crate::job::Job;
 use crate::machine::TaskAttempt;
 use crate::scheduler::direct_orders;
-use crate::team::{within_guarantee, Usage};
+use crate::team::{is_within_guarantee, Usage};
 use corkfield_wire::{JobId, MachineName};
 use rand::seq::index;
 use std::time::{Duration, Instant};
 use victims::VictimSelection;
 
-/// Machines searched for tasks to stop in one pass, in samples.
+/// Maximum number of machines that one pass searches for tasks to stop, as a multiple of the
+/// placement sample.
 const SAMPLES_PER_PASS: usize = 8;
 
-/// Machines searched for each task that waits for room, at the least.
+/// Minimum number of machines to search for each task that needs room.
 const MACHINES_PER_TASK: usize = 2;
 
-/// A machine that takes tasks, as it was when the search began.
-struct SearchedMachine {
+/// Snapshot of a machine that accepts starts, taken at the beginning of the search.
+struct MachineSnapshot {
     name: MachineName,
     free_cpus: f64,
-    /// CPUs that its tasks take, by priority.
+    /// CPUs that the machine's tasks use, by priority.
     cpus_by_priority: [f64; 4],
 }
 
-/// The machines to search in one pass, and what is being freed already.
+/// The machines to search in one pass, and the CPUs that are already being freed.
 struct PreemptionSearch {
-    /// Where most is free, and least has to be stopped, first.
-    machines: Vec<SearchedMachine>,
-    /// Machines that may still be searched for tasks to stop.
+    /// The machines in descending order of free CPUs: those with the most free CPUs need the fewest
+    /// tasks stopped.
+    machines: Vec<MachineSnapshot>,
+    /// How many more machines may be searched for tasks to stop.
     searches_left: usize,
-    /// CPUs of tasks that are being stopped, and not yet meant for a job.
+    /// CPUs of tasks that are being stopped and that are not yet attributed to a waiting job.
     freeing_cpus: f64,
 }
 
 impl PreemptionSearch {
     fn new(cluster: &Cluster, now: Instant) -> Self {
-        let overdue_after = cluster.config.heartbeat_overdue_after();
-        let mut machines: Vec<SearchedMachine> = cluster
+        let heartbeat_timeout = cluster.config.heartbeat_timeout();
+        let mut machines: Vec<MachineSnapshot> = cluster
             .machines
             .values()
-            .filter(|machine| machine.accepts_starts(now, overdue_after))
-            .map(|machine| SearchedMachine {
+            .filter(|machine| machine.accepts_starts(now, heartbeat_timeout))
+            .map(|machine| MachineSnapshot {
                 name: machine.name.clone(),
                 free_cpus: machine.free().map_or(0.0, |free| free.cpus),
                 cpus_by_priority: machine.tasks.totals().by_priority.map(|need| need.cpus),
             })
             .collect();
-        machines.sort_by(|left, right| compare(right.free_cpus, left.free_cpus));
+        machines.sort_by(|left, right| compare_f64(right.free_cpus, left.free_cpus));
         let totals = cluster.machines.values().map(|machine| machine.tasks.totals());
         Self {
             machines,
@@ -64,20 +66,20 @@
         }
     }
 
-    /// How many of the job's tasks need others to be stopped, beyond those that fit into what is
-    /// being freed already; that is theirs then.
-    fn tasks_without_room(&mut self, startable: &StartableJob, task_cpus: f64) -> u32 {
+    /// Returns how many of the job's tasks need other tasks to be stopped. CPUs that are already
+    /// being freed are attributed to the job first.
+    fn tasks_needing_preemption(&mut self, startable: &StartableJob, task_cpus: f64) -> u32 {
         let slots = (self.freeing_cpus / task_cpus.max(MIN_TASK_CPUS)).floor();
-        let covered = slots.min(f64::from(startable.tasks));
-        self.freeing_cpus -= covered * task_cpus;
-        startable.tasks - covered as u32
+        let covered_tasks = slots.min(f64::from(startable.tasks));
+        self.freeing_cpus -= covered_tasks * task_cpus;
+        startable.tasks - covered_tasks as u32
     }
 }
 
 impl PlacementPass<'_> {
-    /// Stops tasks of lower priority, or beyond their team's guarantee, for jobs that wait.
-    pub(super) fn preempt(&mut self) {
-        let queue = self.cluster.placement_queue(&self.usage, self.reconciled, self.now);
+    /// Stops tasks of lower priority, and tasks beyond their team's guarantee, for waiting jobs.
+    pub(super) fn preempt_for_waiting_jobs(&mut self) {
+        let queue = self.cluster.placement_queue(&self.usage, self.is_reconciled, self.now);
         if queue.is_empty() {
             return;
         }
@@ -86,88 +88,95 @@
             if search.searches_left == 0 {
                 return;
             }
-            self.preempt_for(startable, &mut search);
+            self.preempt_for_job(startable, &mut search);
         }
     }
 
-    /// Stops tasks for one job, if it has waited for long enough.
-    fn preempt_for(&mut self, startable: &StartableJob, search: &mut PreemptionSearch) {
+    /// Stops tasks for one job if it has waited long enough.
+    fn preempt_for_job(&mut self, startable: &StartableJob, search: &mut PreemptionSearch) {
         let Some(job) = self.cluster.jobs.get(&startable.id) else { return };
-        let guaranteed = self.cluster.next_task_guaranteed(job, &self.usage);
+        let is_guaranteed = self.cluster.is_next_task_guaranteed(job, &self.usage);
         let waited = self.now.saturating_duration_since(job.accepted_at);
-        if waited < self.cluster.preemption_grace(job, guaranteed) {
+        if waited < self.cluster.preemption_delay(job, is_guaranteed) {
             return;
         }
-        let mut wanted = search.tasks_without_room(startable, job.spec().cpus);
-        if wanted == 0 {
+        let mut missing_slots = search.tasks_needing_preemption(startable, job.spec().cpus);
+        if missing_slots == 0 {
             return;
         }
-        let candidates = self.machines_with_victims(job, guaranteed, &search.machines);
-        let machines = self.sample_machines(candidates, wanted, search.searches_left);
+        let candidates = self.machines_with_possible_victims(job, is_guaranteed, &search.machines);
+        let machines = self.sample_machines(candidates, missing_slots, search.searches_left);
         for position in machines {
-            if wanted == 0 {
+            if missing_slots == 0 {
                 return;
             }
             search.searches_left -= 1;
-            wanted -=
-                self.preempt_on(&startable.id, search.machines[position].name.as_str(), wanted);
+            missing_slots -= self.preempt_on_machine(
+                &startable.id,
+                search.machines[position].name.as_str(),
+                missing_slots,
+            );
         }
     }
 
-    /// Positions of the machines that may hold something to be stopped for the job: most hold
-    /// nothing.
-    fn machines_with_victims(
+    /// Returns the positions of the machines that may hold tasks to be stopped for the job. Most
+    /// machines hold none.
+    fn machines_with_possible_victims(
         &self,
         job: &Job,
-        guaranteed: bool,
-        machines: &[SearchedMachine],
+        is_guaranteed: bool,
+        machines: &[MachineSnapshot],
     ) -> Vec<usize> {
-        let others_beyond_guarantee = || {
+        let has_other_team_beyond_guarantee = || {
             (0..self.usage.len())
-                .any(|team| team != job.team && self.cluster.beyond_guarantee(team, &self.usage))
+                .any(|team| team != job.team && self.cluster.is_beyond_guarantee(team, &self.usage))
         };
-        let any_machine = guaranteed && others_beyond_guarantee();
-        let lower = job.spec().priority as usize + 1;
-        let runs_lower = |machine: &SearchedMachine| {
-            machine.cpus_by_priority[lower..].iter().any(|cpus| *cpus > 0.0)
+        let may_use_any_machine = is_guaranteed && has_other_team_beyond_guarantee();
+        let first_lower_priority = job.spec().priority as usize + 1;
+        let has_lower_priority_tasks = |machine: &MachineSnapshot| {
+            machine.cpus_by_priority[first_lower_priority..].iter().any(|cpus| *cpus > 0.0)
         };
         (0..machines.len())
-            .filter(|position| any_machine || runs_lower(&machines[*position]))
+            .filter(|position| {
+                may_use_any_machine || has_lower_priority_tasks(&machines[*position])
+            })
             .collect()
     }
 
-    /// A sample of the machines, another one in the next pass: searching hundreds of them for
-    /// hundreds of jobs costs too much.
+    /// Returns a random sample of the candidates, a different one in each pass. Searching hundreds
+    /// of machines for hundreds of jobs would cost too much.
     fn sample_machines(
         &mut self,
         candidates: Vec<usize>,
-        wanted: u32,
+        missing_slots: u32,
         searches_left: usize,
     ) -> Vec<usize> {
         let sample = self.cluster.config.placement_sample;
-        let most = sample.max(wanted as usize * MACHINES_PER_TASK).min(searches_left);
-        if candidates.len() <= most {
+        let max_machines =
+            sample.max(missing_slots as usize * MACHINES_PER_TASK).min(searches_left);
+        if candidates.len() <= max_machines {
             return candidates;
         }
-        let sample = index::sample(self.rng, candidates.len(), most);
+        let sample = index::sample(self.rng, candidates.len(), max_machines);
         let mut sampled: Vec<usize> = sample.into_iter().map(|entry| candidates[entry]).collect();
         sampled.sort_unstable();
         sampled
     }
 
-    /// Stops tasks on one machine for up to `wanted` tasks of a job; for how many.
-    fn preempt_on(&mut self, id: &JobId, name: &str, wanted: u32) -> u32 {
+    /// Stops tasks on one machine for up to `missing_slots` tasks of a job. Returns for how many
+    /// tasks it made room.
+    fn preempt_on_machine(&mut self, id: &JobId, name: &str, missing_slots: u32) -> u32 {
         let cluster = &*self.cluster;
         self.steps += cluster.machines[name].tasks.len() as u64;
         let Some(selection) = VictimSelection::new(cluster, id, name, &self.usage, self.now) else {
             return 0;
         };
-        let victims = selection.select(wanted, &mut self.usage);
+        let victims = selection.select(missing_slots, &mut self.usage);
         self.stop_tasks(id, name, victims.tasks);
-        victims.places
+        victims.slots
     }
 
-    /// Orders tasks to stop, with time to save for those that can.
+    /// Orders the worker to stop tasks. Tasks that save checkpoints get time to save.
     fn stop_tasks(&mut self, id: &JobId, name: &str, tasks: Vec<TaskAttempt>) {
         let Some(machine) = self.cluster.machines.get_mut(name) else { return };
         if tasks.is_empty() {
@@ -185,8 +194,9 @@
 }
 
 impl Cluster {
-    /// Whether a team uses more than its guarantee, or has none.
-    fn beyond_guarantee(&self, team: usize, usage: &[Usage]) -> bool {
-        !within_guarantee(&self.config.teams[team], usage[team])
+    /// Returns whether the team uses more than its guarantee. A team without a guarantee is always
+    /// beyond it.
+    fn is_beyond_guarantee(&self, team: usize, usage: &[Usage]) -> bool {
+        !is_within_guarantee(&self.config.teams[team], usage[team])
     }
 }
--- a/crates/core/src/placement/preemption/victims.rs
+++ b/crates/core/src/placement/preemption/victims.rs
@@ -1,64 +1,64 @@
-//! Which tasks on one machine are stopped for a job.
+//! Selection of the tasks on one machine that are stopped for a waiting job.
 
 use crate::cluster::Cluster;
-use crate::float_order::compare;
+use crate::float_order::compare_f64;
 use crate::job::Job;
 use crate::machine::TaskAttempt;
 use crate::machine::{Machine, Need};
-use crate::team::{within_guarantee, within_limit, Usage};
+use crate::team::{is_within_guarantee, is_within_limit, Usage};
 use corkfield_wire::{JobId, Priority};
 use std::time::Instant;
 
-/// Tasks to stop on a machine.
+/// The tasks to stop on one machine.
 #[derive(Default)]
 pub(super) struct Victims {
     pub(super) tasks: Vec<TaskAttempt>,
-    /// How many tasks of the waiting job get room.
-    pub(super) places: u32,
+    /// For how many tasks of the waiting job the machine then has room.
+    pub(super) slots: u32,
 }
 
 /// A task that may be stopped.
-struct Candidate<'a> {
+struct VictimCandidate<'a> {
     key: &'a TaskAttempt,
-    owner: &'a Job,
-    /// CPU seconds lost with it.
-    loss: f64,
+    victim_job: &'a Job,
+    /// CPU seconds lost if the task is stopped.
+    cost_cpu_s: f64,
 }
 
-/// Where a job stands in the queue, the best first. Tasks are only stopped for a job that stands
-/// before theirs: otherwise each would be placed before the other and stopped for it, again and
-/// again.
+/// Rank of a job for preemption; the lowest rank goes first. Tasks are stopped only for a job of a
+/// lower rank than their own job's. Otherwise two jobs could preempt each other in turn,
+/// indefinitely.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Standing {
-    not_urgent: bool,
-    beyond_guarantee: bool,
+struct PreemptionRank {
+    is_not_urgent: bool,
+    is_beyond_guarantee: bool,
     priority: Priority,
 }
 
-/// The tasks that make room for one more task of the waiting job, and what is left once they are
-/// gone.
-struct Batch {
+/// The tasks to stop for one more task of the waiting job, and the state after they have stopped.
+struct VictimBatch {
     tasks: Vec<TaskAttempt>,
     free: Need,
     usage: Vec<Usage>,
 }
 
-/// The selection of tasks on one machine that are stopped for a waiting job.
+/// Selects the tasks on one machine that are stopped for a waiting job.
 pub(super) struct VictimSelection<'a> {
     cluster: &'a Cluster,
-    job: &'a Job,
-    /// What a task of the job takes, of the machine and of its team's share.
+    waiting_job: &'a Job,
+    /// Resources that one task of the waiting job needs on the machine.
     need: Need,
     task_usage: Usage,
-    /// What is free on the machine, with what was selected.
+    /// Free resources of the machine, including those of the tasks selected so far.
     free: Need,
-    /// Tasks not looked at yet, the cheapest loss first.
-    candidates: std::vec::IntoIter<Candidate<'a>>,
+    /// Tasks that have not been considered yet, the lowest cost first.
+    candidates: std::vec::IntoIter<VictimCandidate<'a>>,
 }
 
 impl<'a> VictimSelection<'a> {
-    /// A selection for the job on the machine of that name; `None` if the job may not use the
-    /// machine, or its team has reached its limit.
+    /// Creates a selection for the job on the machine. Returns `None` if the job may not use the
+    /// machine, if the job has failed there, if the machine's last task failed, if the machine's
+    /// free resources are unknown or if the job's team has reached its limit.
     pub(super) fn new(
         cluster: &'a Cluster,
         id: &JobId,
@@ -66,106 +66,117 @@
         usage: &[Usage],
         now: Instant,
     ) -> Option<Self> {
-        let (job, machine) = (&cluster.jobs[id], &cluster.machines[name]);
-        let has_failed = machine.has_failures() || job.has_failed_on(machine.name.as_str());
-        if !machine.allows(job.spec()) || has_failed {
+        let (waiting_job, machine) = (&cluster.jobs[id], &cluster.machines[name]);
+        let has_failed = machine.has_failures() || waiting_job.has_failed_on(machine.name.as_str());
+        if !machine.allows(waiting_job.spec()) || has_failed {
             return None;
         }
         let mut selection = Self {
             cluster,
-            job,
-            need: Need::per_task(job.spec()),
-            task_usage: Usage::of_tasks(job.spec(), 1),
+            waiting_job,
+            need: Need::per_task(waiting_job.spec()),
+            task_usage: Usage::of_tasks(waiting_job.spec(), 1),
             free: machine.free()?,
             candidates: Vec::new().into_iter(),
         };
-        if !selection.within_limit(usage) {
+        if !selection.is_next_task_within_limit(usage) {
             return None;
         }
-        selection.candidates = candidates(cluster, job, machine, now).into_iter();
+        selection.candidates = victim_candidates(cluster, waiting_job, machine, now).into_iter();
         Some(selection)
     }
 
-    /// Selects the tasks to stop for up to `wanted` tasks of the job, and takes both into account
-    /// in the usage.
-    pub(super) fn select(mut self, wanted: u32, usage: &mut [Usage]) -> Victims {
+    /// Selects the tasks to stop for up to `missing_slots` tasks of the waiting job, and updates
+    /// the usage for the stopped tasks and for the tasks that replace them.
+    pub(super) fn select(mut self, missing_slots: u32, usage: &mut [Usage]) -> Victims {
         let mut victims = Victims::default();
-        while victims.places < wanted && self.within_limit(usage) {
+        while victims.slots < missing_slots && self.is_next_task_within_limit(usage) {
             let Some(batch) = self.next_batch(usage) else { break };
             self.free = batch.free;
             self.free.subtract(&self.need);
             usage.copy_from_slice(&batch.usage);
-            usage[self.job.team] = usage[self.job.team].plus(self.task_usage);
-            victims.places += 1;
+            usage[self.waiting_job.team] = usage[self.waiting_job.team].plus(self.task_usage);
+            victims.slots += 1;
             victims.tasks.extend(batch.tasks);
         }
         victims
     }
 
-    /// The next tasks that together make room for one task of the job; `None` if there are too few,
-    /// or if it fits as it is, and is held up by something else.
-    fn next_batch(&mut self, usage: &[Usage]) -> Option<Batch> {
-        let standing = self.standing(self.job, usage[self.job.team].plus(self.task_usage));
-        let mut batch = Batch { tasks: Vec::new(), free: self.free, usage: usage.to_vec() };
+    /// Returns the next tasks whose stop makes room for one task of the waiting job. Returns `None`
+    /// if there are too few, or if the task already fits and is therefore waiting for another
+    /// reason.
+    fn next_batch(&mut self, usage: &[Usage]) -> Option<VictimBatch> {
+        let waiting_rank = self
+            .preemption_rank(self.waiting_job, usage[self.waiting_job.team].plus(self.task_usage));
+        let mut batch = VictimBatch { tasks: Vec::new(), free: self.free, usage: usage.to_vec() };
         while !batch.free.holds(&self.need) {
             let candidate = self.candidates.next()?;
-            if self.may_stop_for(&standing, candidate.owner, &batch.usage) {
+            if self.may_preempt(&waiting_rank, candidate.victim_job, &batch.usage) {
                 batch.add(&candidate);
             }
         }
         (!batch.tasks.is_empty()).then_some(batch)
     }
 
-    /// Whether tasks of the owner may be stopped for the job: those of lower priority, or those
-    /// beyond their team's guarantee for what is within one, if the owner stands behind the job.
-    fn may_stop_for(&self, standing: &Standing, owner: &Job, usage: &[Usage]) -> bool {
-        let lower_priority = owner.spec().priority > self.job.spec().priority;
-        let owed = owner.team != self.job.team
-            && !standing.beyond_guarantee
-            && self.cluster.beyond_guarantee(owner.team, usage);
-        (lower_priority || owed) && *standing < self.standing(owner, usage[owner.team])
+    /// Returns whether tasks of `victim_job` may be stopped for the waiting job. They have to be of
+    /// lower priority, or beyond their team's guarantee while the waiting job is within its own. In
+    /// both cases `victim_job` must have a higher rank value than the waiting job.
+    fn may_preempt(
+        &self,
+        waiting_rank: &PreemptionRank,
+        victim_job: &Job,
+        usage: &[Usage],
+    ) -> bool {
+        let has_lower_priority = victim_job.spec().priority > self.waiting_job.spec().priority;
+        let reclaims_guarantee = victim_job.team != self.waiting_job.team
+            && !waiting_rank.is_beyond_guarantee
+            && self.cluster.is_beyond_guarantee(victim_job.team, usage);
+        (has_lower_priority || reclaims_guarantee)
+            && *waiting_rank < self.preemption_rank(victim_job, usage[victim_job.team])
     }
 
-    fn standing(&self, job: &Job, usage: Usage) -> Standing {
-        Standing {
-            not_urgent: !job.is_urgent(),
-            beyond_guarantee: !within_guarantee(self.cluster.team_of(job), usage),
+    fn preemption_rank(&self, job: &Job, usage: Usage) -> PreemptionRank {
+        PreemptionRank {
+            is_not_urgent: !job.is_urgent(),
+            is_beyond_guarantee: !is_within_guarantee(self.cluster.team_of(job), usage),
             priority: job.spec().priority,
         }
     }
 
-    /// Whether the limit of the job's team holds one more task.
-    fn within_limit(&self, usage: &[Usage]) -> bool {
-        let next = usage[self.job.team].plus(self.task_usage);
-        within_limit(self.cluster.team_of(self.job), next)
+    /// Returns whether one more task of the waiting job is within its team's limit.
+    fn is_next_task_within_limit(&self, usage: &[Usage]) -> bool {
+        let usage = usage[self.waiting_job.team].plus(self.task_usage);
+        is_within_limit(self.cluster.team_of(self.waiting_job), usage)
     }
 }
 
-impl Batch {
-    /// Takes a task to be stopped into account.
-    fn add(&mut self, candidate: &Candidate<'_>) {
-        let spec = candidate.owner.spec();
-        let usage = &mut self.usage[candidate.owner.team];
+impl VictimBatch {
+    /// Adds a task to be stopped.
+    fn add(&mut self, candidate: &VictimCandidate<'_>) {
+        let spec = candidate.victim_job.spec();
+        let usage = &mut self.usage[candidate.victim_job.team];
         *usage = usage.minus(Usage::of_tasks(spec, 1));
         self.free.add(&Need::per_task(spec));
         self.tasks.push(candidate.key.clone());
     }
 }
 
-/// The tasks on the machine that may be stopped, the cheapest loss first.
-fn candidates<'a>(
+/// Returns the tasks on the machine that may be stopped, the lowest cost first.
+fn victim_candidates<'a>(
     cluster: &'a Cluster,
-    job: &Job,
+    waiting_job: &Job,
     machine: &'a Machine,
     now: Instant,
-) -> Vec<Candidate<'a>> {
+) -> Vec<VictimCandidate<'a>> {
     let mut candidates = Vec::new();
     for (key, machine_task) in machine.tasks.iter() {
-        let Some(owner) = cluster.jobs.get(&key.task.job) else { continue };
-        if let Some(loss) = cluster.preemption_loss(job, owner, machine_task, now) {
-            candidates.push(Candidate { key, owner, loss });
+        let Some(victim_job) = cluster.jobs.get(&key.task.job) else { continue };
+        if let Some(cost_cpu_s) =
+            cluster.preemption_cost_cpu_s(waiting_job, victim_job, machine_task, now)
+        {
+            candidates.push(VictimCandidate { key, victim_job, cost_cpu_s });
         }
     }
-    candidates.sort_by(|left, right| compare(left.loss, right.loss));
+    candidates.sort_by(|left, right| compare_f64(left.cost_cpu_s, right.cost_cpu_s));
     candidates
 }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -3,67 +3,69 @@
 use super::first_starts;
 use crate::cluster::Cluster;
 use crate::config::ObjectiveKind;
-use crate::float_order::compare;
+use crate::float_order::compare_f64;
 use crate::job::Job;
 use crate::team::Usage;
 use corkfield_wire::{JobId, Priority};
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
-/// A job of which nothing has begun for this long gets what comes free next: under lasting
-/// overload the largest, the latest and idle ones would otherwise wait for its end. Once
-/// something of it has begun it is queued as before.
-const STARVED_AFTER: Duration = Duration::from_secs(120);
+/// A job that has not started anything for this long is placed before other jobs. Without this
+/// rule, the largest jobs, late jobs and jobs of low priority would wait for the end of a sustained
+/// overload. The rule no longer applies once a task of the job has been placed.
+const STARVATION_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A job is late once less than this fraction of its expected run time is left until it is due.
-const LATE_BELOW_RUN_TIME_FRACTION: f64 = 0.5;
+/// A job is late if the time left until it is due is less than this fraction of a task's expected
+/// run time.
+const LATE_RUN_TIME_FRACTION: f64 = 0.5;
 
 /// A job with tasks that may be started now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StartableJob {
     pub(super) id: JobId,
-    /// How many tasks, at the most.
+    /// Upper bound of the number of tasks that may be started now.
     pub(super) tasks: u32,
 }
 
-/// What a job's place in the queue depends on.
+/// The properties that determine a job's position in the queue.
 struct QueueRank {
-    urgent: bool,
-    starved: bool,
-    guaranteed: bool,
+    is_urgent: bool,
+    is_starved: bool,
+    is_guaranteed: bool,
     priority: Priority,
-    late: bool,
-    /// Expected run time of a task, in seconds.
-    run_s: f64,
-    /// CPU seconds that its unfinished tasks are expected to take.
+    is_late: bool,
+    /// Expected run time of one task, in seconds.
+    expected_run_s: f64,
+    /// Expected CPU seconds of all unfinished tasks.
     remaining_cpu_s: f64,
     accepted_at: Instant,
 }
 
 impl QueueRank {
-    /// `Less` if this one is placed before the other.
+    /// Returns `Less` if this job is placed before the other.
     fn compare(&self, other: &Self) -> Ordering {
-        let urgent_first = other.urgent.cmp(&self.urgent);
-        let starved_first = other.starved.cmp(&self.starved);
-        let guaranteed_first = other.guaranteed.cmp(&self.guaranteed);
+        let urgent_first = other.is_urgent.cmp(&self.is_urgent);
+        let starved_first = other.is_starved.cmp(&self.is_starved);
+        let guaranteed_first = other.is_guaranteed.cmp(&self.is_guaranteed);
         let higher_priority_first = self.priority.cmp(&other.priority);
-        let late_last = self.late.cmp(&other.late);
-        let shortest_first = compare(self.remaining_cpu_s, other.remaining_cpu_s);
+        let late_last = self.is_late.cmp(&other.is_late);
+        let shortest_first = compare_f64(self.remaining_cpu_s, other.remaining_cpu_s);
         let oldest_first = self.accepted_at.cmp(&other.accepted_at);
         urgent_first
             .then(starved_first)
             .then(guaranteed_first)
             .then(higher_priority_first)
             .then(late_last)
-            .then(self.compare_late(other))
+            .then(self.compare_if_late(other))
             .then(shortest_first)
             .then(oldest_first)
     }
 
-    /// What is late anyway should at least not end last of all: longest tasks first.
-    fn compare_late(&self, other: &Self) -> Ordering {
-        if self.late {
-            compare(other.run_s, self.run_s)
+    /// Compares two late jobs: the one with the longer tasks comes first, so that a job that misses
+    /// its due time anyway does not also finish last.
+    fn compare_if_late(&self, other: &Self) -> Ordering {
+        if self.is_late {
+            compare_f64(other.expected_run_s, self.expected_run_s)
         } else {
             Ordering::Equal
         }
@@ -71,16 +73,17 @@
 }
 
 impl Cluster {
-    /// Jobs with tasks that may be started now, in the order in which they are placed (S7: while
-    /// machines have not shown what they hold, only tasks that no earlier owner can have started).
+    /// Returns the jobs with tasks that may be started now, in placement order. Until
+    /// reconciliation is complete, only tasks that no earlier controller can have started are
+    /// included (S7).
     pub(super) fn placement_queue(
         &mut self,
         usage: &[Usage],
-        reconciled: bool,
+        is_reconciled: bool,
         now: Instant,
     ) -> Vec<StartableJob> {
-        first_starts::allow_without_room(self, usage);
-        let startable = self.startable_jobs(reconciled);
+        first_starts::request_watermarks_of_preempting_jobs(self, usage);
+        let startable = self.startable_jobs(is_reconciled);
         let mut ranked: Vec<(QueueRank, StartableJob)> = startable
             .into_iter()
             .map(|startable| (self.queue_rank(&self.jobs[&startable.id], usage, now), startable))
@@ -89,18 +92,18 @@
         ranked.into_iter().map(|(_, startable)| startable).collect()
     }
 
-    /// Jobs with tasks that may be started now, by id.
-    fn startable_jobs(&mut self, reconciled: bool) -> Vec<StartableJob> {
+    /// Returns the jobs with tasks that may be started now, in order of their ids.
+    fn startable_jobs(&mut self, is_reconciled: bool) -> Vec<StartableJob> {
         let mut startable = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.may_start()) {
             let waiting = job.waiting();
             if waiting == 0 {
                 continue;
             }
-            // One whose record allows no start yet is queued all the same: its record is to allow
-            // first starts once there is room for it.
+            // A job without a start watermark is queued as well: its watermark is requested once
+            // there is room for one of its tasks.
             let tasks =
-                if job.needs_first_watermark() { waiting } else { job.startable(!reconciled) };
+                if job.needs_first_watermark() { waiting } else { job.startable(!is_reconciled) };
             if tasks > 0 {
                 startable.push(StartableJob { id: id.clone(), tasks });
             }
@@ -109,29 +112,29 @@
     }
 
     fn queue_rank(&self, job: &Job, usage: &[Usage], now: Instant) -> QueueRank {
-        let run_s = self.expected_run_s(job);
+        let expected_run_s = self.expected_run_s(job);
         let waited = now.saturating_duration_since(job.accepted_at);
         QueueRank {
-            urgent: job.is_urgent(),
-            starved: job.has_not_begun() && waited > STARVED_AFTER,
-            guaranteed: self.next_task_guaranteed(job, usage),
+            is_urgent: job.is_urgent(),
+            is_starved: job.has_not_begun() && waited > STARVATION_TIMEOUT,
+            is_guaranteed: self.is_next_task_guaranteed(job, usage),
             priority: job.spec().priority,
-            late: self.is_late(job, run_s, now),
-            run_s,
-            remaining_cpu_s: job.demand().cpus * run_s,
+            is_late: self.is_late(job, expected_run_s, now),
+            expected_run_s,
+            remaining_cpu_s: job.demand().cpus * expected_run_s,
             accepted_at: job.accepted_at,
         }
     }
 
-    /// Whether the job is unlikely to be complete when it is due.
-    fn is_late(&self, job: &Job, run_s: f64, now: Instant) -> bool {
-        let needed =
-            Duration::try_from_secs_f64(run_s * LATE_BELOW_RUN_TIME_FRACTION).unwrap_or_default();
-        self.due(job).is_some_and(|due| now + needed > due)
+    /// Returns whether the job is unlikely to complete before it is due.
+    fn is_late(&self, job: &Job, expected_run_s: f64, now: Instant) -> bool {
+        let needed_run_time = Duration::try_from_secs_f64(expected_run_s * LATE_RUN_TIME_FRACTION)
+            .unwrap_or_default();
+        self.due_at(job).is_some_and(|due_at| now + needed_run_time > due_at)
     }
 
-    /// When the job should be complete, by its own deadline or its class's objective.
-    pub(super) fn due(&self, job: &Job) -> Option<Instant> {
+    /// Returns when the job is due, by its own deadline or else by the objective of its class.
+    pub(super) fn due_at(&self, job: &Job) -> Option<Instant> {
         job.due_at.or_else(|| {
             let class = job.spec().class.as_str();
             let within_s = self.config.class_objective_s(ObjectiveKind::Finished, class)?;
--- a/crates/core/src/placement/reservation.rs
+++ b/crates/core/src/placement/reservation.rs
@@ -1,13 +1,14 @@
-//! Room that is kept for urgent jobs.
+//! Reservation of capacity for urgent jobs.
 
 use super::pass::PlacementPass;
-use crate::float_order::compare;
+use crate::float_order::compare_f64;
 use crate::machine::Need;
 use corkfield_wire::JobId;
 
 impl PlacementPass<'_> {
-    /// Keeps room for the waiting tasks of an urgent job, on machines where it will come free
-    /// by itself: otherwise smaller tasks of less important jobs would fill each gap first.
+    /// Reserves capacity for the waiting tasks of an urgent job on machines where it is free or
+    /// becomes free when tasks of lower priority end. Without a reservation, smaller tasks of lower
+    /// priority would fill each gap first.
     pub(super) fn reserve_for_urgent(&mut self, id: &JobId) {
         let Some(job) = self.cluster.jobs.get(id) else { return };
         let mut unreserved_tasks = job.waiting();
@@ -17,7 +18,7 @@
         let need = Need::per_task(job.spec());
         self.steps += self.capacity.reservable.len() as u64;
         let mut slots = self.capacity.task_slots(job.spec(), &self.cluster.machines);
-        slots.sort_by(|left, right| compare(right.free_cpus, left.free_cpus));
+        slots.sort_by(|left, right| compare_f64(right.free_cpus, left.free_cpus));
         for slot in slots {
             let tasks = slot.tasks.min(unreserved_tasks);
             self.capacity.machines[slot.position].reserved.add(&need.times(tasks));
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -1,9 +1,8 @@
-//! Scaling: machines are rented for the tasks that there are, and returned when they are not
-//! needed.
+//! Scaling: rents machines for the unfinished tasks and returns machines that are not needed.
 //!
-//! [`Scaling`] owns what has to be remembered between two rounds. In each round it compares the
-//! [`demand`] with the [`supply`], rents the cheapest [`offers`] for what is missing ([`scale_out`])
-//! and drains what is too much ([`scale_in`]).
+//! The [`Autoscaler`] keeps the state between two rounds. Each round compares the [`demand`] with
+//! the [`supply`], rents missing capacity from the cheapest [`offers`] ([`scale_out`]) and drains
+//! excess machines ([`scale_in`]).
 
 mod demand;
 mod offers;
@@ -23,37 +22,37 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Rental requests that were sent and not answered yet, by their names.
+/// Rental requests that have not been answered yet, by request name.
 type RentalsInFlight = BTreeMap<String, RentRequest>;
 
-/// What becomes of machines in a round of scaling.
+/// Decisions of one scaling round.
 #[derive(Debug, Default)]
 pub(crate) struct ScalingDecisions {
-    /// Machines to be rented, in this order.
+    /// Rental requests to send, in this order.
     pub(crate) rentals: Vec<RentRequest>,
-    /// Machines that were taken out of use.
+    /// Machines that were drained.
     pub(crate) drained: Vec<DrainedMachine>,
 }
 
-/// A machine that was taken out of use, to be returned once it is empty.
+/// A drained machine, which is returned to the cloud once it is empty.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct DrainedMachine {
     pub(crate) name: MachineName,
     pub(crate) reason: DrainReason,
 }
 
-/// Why a rental brought no machines.
+/// The reason why a rental request brought no machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RentalFailure {
-    /// The cloud has no such machines at the moment.
+    /// The cloud has no capacity for this offer at the moment.
     NoCapacity,
-    /// It was refused for another reason, or given up without an answer.
+    /// The request was refused for another reason, or abandoned without an answer.
     Other,
 }
 
-/// What scaling remembers of its rentals and of the demand.
-pub(crate) struct Scaling {
-    /// The leader's first term, part of the names of its requests.
+/// Scaling state that is kept between rounds: rentals, failed offers and recent demand.
+pub(crate) struct Autoscaler {
+    /// First term of the leader. It is part of the names of the rental requests.
     term: Term,
     requests_sent: u64,
     backoff: OfferBackoff,
@@ -61,8 +60,8 @@
     recent_demand: RecentDemand,
 }
 
-impl Scaling {
-    /// Scaling under a term that nobody else ever holds.
+impl Autoscaler {
+    /// Creates the scaling state for a leader. `term` must be unique to this leader.
     pub(crate) fn new(term: Term) -> Self {
         Self {
             term,
@@ -73,8 +72,8 @@
         }
     }
 
-    /// Takes the answer to a rental, with the names of the machines.
-    pub(crate) fn rental_answered(
+    /// Handles the answer to a rental request: the names of the rented machines, or a failure.
+    pub(crate) fn on_rental_answered(
         &mut self,
         cluster: &mut Cluster,
         request: &RentRequest,
@@ -86,41 +85,42 @@
         match outcome {
             Ok(names) => {
                 if names.len() < request.count as usize {
-                    self.backoff.partly_filled(offer, now);
+                    self.backoff.record_partial_fill(offer, now);
                 } else {
-                    self.backoff.filled(&offer);
+                    self.backoff.clear(&offer);
                 }
                 add_rented_machines(cluster, request, names, now);
             }
-            Err(failure) => self.backoff.failed(offer, failure, now),
+            Err(failure) => self.backoff.record_failure(offer, failure, now),
         }
     }
 
-    /// One round: rents what the unfinished tasks need, and takes out of use what they do not.
-    /// Nothing expensive is let go before all earlier tasks are accounted for (S7, `reconciled`).
+    /// Runs one scaling round: rents capacity that the unfinished tasks need, and drains machines
+    /// that they do not need. Expensive machines are drained only after reconciliation, when all
+    /// tasks of earlier leaders are accounted for (S7).
     pub(crate) fn scale(
         &mut self,
         cluster: &mut Cluster,
-        reconciled: bool,
+        is_reconciled: bool,
         now: Instant,
     ) -> ScalingDecisions {
         let mut decisions = ScalingDecisions::default();
-        scale_in::drain_late_boots(cluster, &mut decisions, now);
-        let demand = demand::wanted_cpus(cluster);
+        scale_in::drain_unbooted_machines(cluster, &mut decisions, now);
+        let demand = demand::total_demand(cluster);
         let supply_cpus = supply::supply_cpus(cluster, &self.rentals_in_flight, now);
         self.scale_out(cluster, demand, supply_cpus, &mut decisions, now);
         self.scale_out_for_constrained(cluster, &mut decisions, now);
-        if reconciled {
+        if is_reconciled {
             scale_in::drain_expensive(cluster, demand.cpus, &mut decisions);
         }
         let headroom_cpus = self.recent_demand.update(cluster, now);
-        let spare = scale_in::Spare { cpus: supply_cpus - demand.cpus, headroom_cpus };
+        let spare = scale_in::SpareCapacity { cpus: supply_cpus - demand.cpus, headroom_cpus };
         scale_in::drain_idle(cluster, spare, &mut decisions, now);
         decisions
     }
 }
 
-/// Machines that a rental brought are booting, unless their workers have reported already.
+/// Adds rented machines as booting, unless their workers' heartbeats have already added them.
 fn add_rented_machines(
     cluster: &mut Cluster,
     request: &RentRequest,
@@ -138,25 +138,26 @@
 }
 
 impl Scheduler {
-    /// A rental was answered with the names of its machines, or brought none. Machines of a late
-    /// answer turn up in the list and in heartbeats.
-    pub fn rental_answered(
+    /// Handles the answer to a rental request: the names of the rented machines, or a failure. If
+    /// an answer comes after the request was abandoned, its machines become known from the cloud's
+    /// list and from heartbeats.
+    pub fn on_rental_answered(
         &mut self,
         request: &RentRequest,
         outcome: Result<Vec<MachineName>, RentalFailure>,
         now: Instant,
     ) {
-        self.scaling.rental_answered(&mut self.cluster, request, outcome, now);
+        self.scaling.on_rental_answered(&mut self.cluster, request, outcome, now);
     }
 
-    /// Rents what the unfinished tasks need and returns what they do not. Nothing happens while
-    /// the cloud's machine types are not known.
+    /// Runs one scaling round: rents machines that the unfinished tasks need and drains machines
+    /// that they do not need. Does nothing while the cloud's machine types are unknown.
     pub fn scale(&mut self, now: Instant) {
         if self.cluster.machine_types.is_empty() {
             return;
         }
-        let reconciled = self.is_reconciled();
-        let decisions = self.scaling.scale(&mut self.cluster, reconciled, now);
+        let is_reconciled = self.is_reconciled();
+        let decisions = self.scaling.scale(&mut self.cluster, is_reconciled, now);
         for drained in decisions.drained {
             if let Some(message) = drained.reason.message() {
                 self.note_machine_event(drained.name.as_str(), message);
--- a/crates/core/src/scaling/offers.rs
+++ b/crates/core/src/scaling/offers.rs
@@ -1,4 +1,4 @@
-//! The cloud's offers: their prices, and which of them are open.
+//! The cloud's offers: their prices, and which of them may be requested now.
 
 use super::{RentalFailure, RentalsInFlight};
 use crate::cluster::Cluster;
@@ -8,28 +8,29 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// An on-demand machine that costs more than this many times a spot one is expensive.
+/// On-demand machines are expensive if they cost more than this many times the spot price.
 const EXPENSIVE_RATIO: f64 = 2.0;
 
-/// Machines with fewer CPUs count as having this many, where prices are compared.
+/// Minimum number of CPUs that a machine counts as in price comparisons, to avoid division by 0.
 const MIN_MACHINE_CPUS: f64 = 0.1;
 
-/// Prices for a CPU that differ by less are the same.
+/// Prices per CPU that differ by less than this are equal.
 const PRICE_TOLERANCE: f64 = 1e-9;
 
-/// The first wait for an offer that there was no capacity for, in seconds; it doubles with each
+/// Initial backoff in seconds of an offer without capacity; it doubles with each consecutive
 /// failure.
 const NO_CAPACITY_BACKOFF_S: f64 = 5.0;
-/// The same, after any other failure.
+/// Initial backoff in seconds of an offer after any other failure; it doubles in the same way.
 const FAILURE_BACKOFF_S: f64 = 2.0;
-/// Failures in a row up to which the wait doubles.
+/// Number of consecutive failures after which the backoff no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// No wait for an offer is longer.
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// An offer of which only a part was to be had is not asked for again before this time.
-const PARTLY_FILLED_BACKOFF: Duration = Duration::from_secs(10);
+/// Backoff of an offer after a request that brought only some of the requested machines.
+const PARTIAL_FILL_BACKOFF: Duration = Duration::from_secs(10);
 
-/// What the cloud rents out: machines of a type, in a zone, spot or on demand.
+/// Something that the cloud rents out: machines of one type in one zone, as spot or on-demand
+/// machines.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Offer {
     machine_type: String,
@@ -38,7 +39,7 @@
 }
 
 impl From<&RentRequest> for Offer {
-    /// The offer that a rental asks for.
+    /// Returns the offer that a rental request is for.
     fn from(request: &RentRequest) -> Self {
         let RentRequest { machine_type, zone, spot, .. } = request.clone();
         Self { machine_type, zone, spot }
@@ -46,14 +47,14 @@
 }
 
 impl Offer {
-    fn is_asked_for_by(&self, request: &RentRequest) -> bool {
+    fn is_requested_by(&self, request: &RentRequest) -> bool {
         self.machine_type == request.machine_type
             && self.zone == request.zone
             && self.spot == request.spot
     }
 }
 
-/// An offer with its price.
+/// An offer and its price per CPU.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PricedOffer<'a> {
     pub(super) machine_type: &'a MachineType,
@@ -63,8 +64,9 @@
 }
 
 impl PricedOffer<'_> {
-    /// Whether a task of the job may run on such a machine, and fits into an empty one.
-    pub(super) fn suits(&self, spec: &JobSpec) -> bool {
+    /// Returns whether a task of the job may run on a machine of this offer and fits into an empty
+    /// one.
+    pub(super) fn can_run(&self, spec: &JobSpec) -> bool {
         let machine_type = self.machine_type;
         allows(spec, &machine_type.name, self.zone, self.spot)
             && spec.cpus <= machine_type.cpus
@@ -72,95 +74,96 @@
             && spec.memory_gb <= machine_type.memory_gb
     }
 
-    /// Whether it costs the same as another.
-    pub(super) fn costs_as_much_as(&self, other: &Self) -> bool {
+    /// Returns whether both offers have the same price per CPU.
+    pub(super) fn has_same_price_as(&self, other: &Self) -> bool {
         (self.price_per_cpu - other.price_per_cpu).abs() < PRICE_TOLERANCE
     }
 
-    /// CPUs of one machine, where amounts are divided by them.
-    pub(super) fn divisor_cpus(&self) -> f64 {
-        divisor_cpus(self.machine_type)
+    /// Returns the CPUs of one machine, at least [`MIN_MACHINE_CPUS`], for use as a divisor.
+    pub(super) fn nonzero_cpus(&self) -> f64 {
+        nonzero_cpus(self.machine_type)
     }
 }
 
-/// The price of a CPU on a machine of that type.
+/// Returns the price per CPU of a spot or on-demand machine of this type.
 pub(super) fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
     let price = if spot { machine_type.spot_price } else { machine_type.price };
-    price / divisor_cpus(machine_type)
+    price / nonzero_cpus(machine_type)
 }
 
-fn divisor_cpus(machine_type: &MachineType) -> f64 {
+fn nonzero_cpus(machine_type: &MachineType) -> f64 {
     machine_type.cpus.max(MIN_MACHINE_CPUS)
 }
 
-/// Whether on-demand machines of that type are expensive beside its spot machines.
+/// Returns whether on-demand machines of this type are expensive compared to its spot machines.
 pub(super) fn is_expensive(machine_type: &MachineType) -> bool {
     machine_type.spot_price > 0.0 && machine_type.price > EXPENSIVE_RATIO * machine_type.spot_price
 }
 
-/// Offers that were not refused lately and are not asked for at the moment.
-pub(super) fn open_offers<'a>(
+/// Returns the offers that are neither in backoff nor requested by a rental in flight.
+pub(super) fn available_offers<'a>(
     cluster: &'a Cluster,
     backoff: &OfferBackoff,
     rentals_in_flight: &RentalsInFlight,
     now: Instant,
 ) -> Vec<PricedOffer<'a>> {
-    let mut open = Vec::new();
+    let mut offers = Vec::new();
     for machine_type in &cluster.machine_types {
         for zone in &machine_type.zones {
             for spot in [true, false] {
                 let offer =
                     Offer { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
-                let asked_for =
-                    rentals_in_flight.values().any(|request| offer.is_asked_for_by(request));
-                if !asked_for && !backoff.is_waiting(&offer, now) {
+                let is_requested =
+                    rentals_in_flight.values().any(|request| offer.is_requested_by(request));
+                if !is_requested && !backoff.is_backing_off(&offer, now) {
                     let price_per_cpu = price_per_cpu(machine_type, spot);
-                    open.push(PricedOffer { machine_type, zone, spot, price_per_cpu });
+                    offers.push(PricedOffer { machine_type, zone, spot, price_per_cpu });
                 }
             }
         }
     }
-    open
+    offers
 }
 
-/// Offers that are not asked for until a time.
+/// Offers that are not requested again before a certain time.
 #[derive(Debug, Default)]
 pub(super) struct OfferBackoff {
-    waits: BTreeMap<Offer, BackoffWait>,
+    backoffs: BTreeMap<Offer, Backoff>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct BackoffWait {
+struct Backoff {
     until: Instant,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
 }
 
 impl OfferBackoff {
-    /// All machines that were asked for are there.
-    pub(super) fn filled(&mut self, offer: &Offer) {
-        self.waits.remove(offer);
+    /// Ends the backoff of an offer after all requested machines were rented.
+    pub(super) fn clear(&mut self, offer: &Offer) {
+        self.backoffs.remove(offer);
     }
 
-    /// Only some of the machines that were asked for are there.
-    pub(super) fn partly_filled(&mut self, offer: Offer, now: Instant) {
-        let wait = BackoffWait { until: now + PARTLY_FILLED_BACKOFF, failures: 1 };
-        self.waits.insert(offer, wait);
+    /// Starts the backoff of an offer after only some of the requested machines were rented.
+    pub(super) fn record_partial_fill(&mut self, offer: Offer, now: Instant) {
+        let backoff = Backoff { until: now + PARTIAL_FILL_BACKOFF, failures: 1 };
+        self.backoffs.insert(offer, backoff);
     }
 
-    /// No machines are there: the wait doubles with each failure in a row.
-    pub(super) fn failed(&mut self, offer: Offer, failure: RentalFailure, now: Instant) {
-        let failures = self.waits.get(&offer).map_or(0, |wait| wait.failures) + 1;
-        let first_s = match failure {
+    /// Starts the backoff of an offer after no machine was rented. The backoff doubles with each
+    /// consecutive failure.
+    pub(super) fn record_failure(&mut self, offer: Offer, failure: RentalFailure, now: Instant) {
+        let failures = self.backoffs.get(&offer).map_or(0, |backoff| backoff.failures) + 1;
+        let initial_s = match failure {
             RentalFailure::NoCapacity => NO_CAPACITY_BACKOFF_S,
             RentalFailure::Other => FAILURE_BACKOFF_S,
         };
         let doublings = failures.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
-        let wait = Duration::from_secs_f64(first_s * 2f64.powi(doublings)).min(MAX_BACKOFF);
-        self.waits.insert(offer, BackoffWait { until: now + wait, failures });
+        let wait = Duration::from_secs_f64(initial_s * 2f64.powi(doublings)).min(MAX_BACKOFF);
+        self.backoffs.insert(offer, Backoff { until: now + wait, failures });
     }
 
-    fn is_waiting(&self, offer: &Offer, now: Instant) -> bool {
-        self.waits.get(offer).is_some_and(|wait| now < wait.until)
+    fn is_backing_off(&self, offer: &Offer, now: Instant) -> bool {
+        self.backoffs.get(offer).is_some_and(|backoff| now < backoff.until)
     }
 }
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -1,17 +1,17 @@
-//! Scale out: which offers are rented for what is missing.
+//! Scale-out: selects the offers to rent for missing capacity.
 
-use super::demand::{constrained_demand, waits, Demand};
-use super::offers::{is_expensive, open_offers, PricedOffer};
+use super::demand::{constrained_demand, has_waiting_tasks, Demand};
+use super::offers::{available_offers, is_expensive, PricedOffer};
 use super::spot_balance::SpotBalance;
 use super::supply::supply_cpus_for;
-use super::{Scaling, ScalingDecisions};
+use super::{Autoscaler, ScalingDecisions};
 use crate::cluster::Cluster;
-use crate::float_order::compare;
+use crate::float_order::compare_f64;
 use corkfield_wire::cloud::{RentRequest, MAX_RENT};
 use std::time::Instant;
 
-impl Scaling {
-    /// Rents what the demand lacks.
+impl Autoscaler {
+    /// Rents the capacity that is missing for the demand of all jobs.
     pub(super) fn scale_out(
         &mut self,
         cluster: &Cluster,
@@ -25,21 +25,22 @@
             return;
         }
         let balance = SpotBalance::from_cluster(cluster);
-        let spot_unanswered = self.rentals_in_flight.values().any(|request| request.spot);
-        let mut offers = open_offers(cluster, &self.backoff, &self.rentals_in_flight, now);
+        let has_spot_rental_in_flight = self.rentals_in_flight.values().any(|request| request.spot);
+        let mut offers = available_offers(cluster, &self.backoff, &self.rentals_in_flight, now);
         offers.retain(|offer| {
-            let useful = if offer.spot {
+            let is_useful = if offer.spot {
                 demand.spot_cpus > 0.0
             } else {
-                !is_needless(offer, demand, balance, spot_unanswered)
+                !is_unneeded(offer, demand, balance, has_spot_rental_in_flight)
             };
-            useful && suits_waiting_job(offer, cluster)
+            is_useful && can_run_waiting_job(offer, cluster)
         });
         self.request_rentals(missing_cpus, offers, decisions);
     }
 
-    /// Jobs bound to a zone, to machine types or to on-demand machines find no use in what there
-    /// is elsewhere: what the machines that suit them lack is rented besides.
+    /// Rents the capacity that is missing for jobs bound to a zone, to machine types or to
+    /// on-demand machines. Such jobs cannot use spare capacity elsewhere, so only machines that
+    /// they may use count as their supply.
     pub(super) fn scale_out_for_constrained(
         &mut self,
         cluster: &Cluster,
@@ -48,44 +49,46 @@
     ) {
         for demand in constrained_demand(cluster) {
             let supply_cpus =
-                supply_cpus_for(&demand.largest, cluster, &self.rentals_in_flight, now);
+                supply_cpus_for(&demand.largest_spec, cluster, &self.rentals_in_flight, now);
             let missing_cpus = demand.cpus - supply_cpus;
             if missing_cpus <= 0.0 {
                 continue;
             }
-            let mut offers = open_offers(cluster, &self.backoff, &self.rentals_in_flight, now);
-            offers.retain(|offer| offer.suits(&demand.largest));
+            let mut offers = available_offers(cluster, &self.backoff, &self.rentals_in_flight, now);
+            offers.retain(|offer| offer.can_run(&demand.largest_spec));
             self.request_rentals(missing_cpus, offers, decisions);
         }
     }
 
-    /// Rents machines with so many CPUs, the cheapest offers first.
+    /// Requests machines with `missing_cpus` CPUs in total from the cheapest offers.
     fn request_rentals(
         &mut self,
         mut missing_cpus: f64,
         mut offers: Vec<PricedOffer<'_>>,
         decisions: &mut ScalingDecisions,
     ) {
-        offers.sort_by(|left, right| compare(left.price_per_cpu, right.price_per_cpu));
+        offers.sort_by(|left, right| compare_f64(left.price_per_cpu, right.price_per_cpu));
         for (position, offer) in offers.iter().enumerate() {
             if missing_cpus <= 0.0 {
                 return;
             }
-            // Offers of the same price share the need, all asked for at once: capacity shows
-            // only when it is refused, and the cloud takes few requests a second.
-            let same_price = offers[position..].iter().take_while(|o| o.costs_as_much_as(offer));
-            let share_cpus = missing_cpus / offer.divisor_cpus() / same_price.count() as f64;
-            let machines = share_cpus.ceil().max(1.0);
+            // The missing capacity is divided among all offers of the same price, and all of them
+            // are requested in the same round: only a refused request shows that an offer has no
+            // capacity, and the cloud limits the rate of requests.
+            let same_price = offers[position..].iter().take_while(|o| o.has_same_price_as(offer));
+            let machine_share = missing_cpus / offer.nonzero_cpus() / same_price.count() as f64;
+            let machines = machine_share.ceil().max(1.0);
             missing_cpus -= machines * offer.machine_type.cpus;
             decisions.rentals.push(self.request_rental(offer, machines as u32));
         }
     }
 
-    /// A request for so many machines of an offer, at most as many as one request may ask for.
+    /// Creates a request for `machines` machines of an offer, limited to [`MAX_RENT`].
     fn request_rental(&mut self, offer: &PricedOffer<'_>, machines: u32) -> RentRequest {
         self.requests_sent += 1;
         let request = RentRequest {
-            // Terms are never taken twice, so neither is a name (request names must not be).
+            // Request names must never be reused. The name contains the leader's term, which no
+            // other leader ever holds.
             request: format!("r-{}-{}", self.term, self.requests_sent),
             machine_type: offer.machine_type.name.clone(),
             zone: offer.zone.to_owned(),
@@ -98,24 +101,25 @@
     }
 }
 
-/// Whether an on-demand offer is too expensive for what it would add: it would be returned as soon
-/// as it is up; or how many spot machines are to be had is not known yet, and an offer that was
-/// asked for already is none at the moment.
-fn is_needless(
+/// Returns whether an on-demand offer is too expensive to rent. This is the case if its machines
+/// would be drained as soon as they are up. It is also the case while a spot request is unanswered:
+/// the number of available spot machines is unknown until then, and requested offers are missing
+/// from the available ones, so that only expensive offers might remain.
+fn is_unneeded(
     offer: &PricedOffer<'_>,
     demand: Demand,
     balance: SpotBalance,
-    spot_unanswered: bool,
+    has_spot_rental_in_flight: bool,
 ) -> bool {
-    let all_may_use_spot = demand.cpus <= demand.spot_cpus;
+    let can_all_run_on_spot = demand.cpus <= demand.spot_cpus;
     let on_demand_cpus = balance.on_demand_cpus + offer.machine_type.cpus;
-    let with_offer = SpotBalance { on_demand_cpus, ..balance };
-    all_may_use_spot
+    let balance_with_offer = SpotBalance { on_demand_cpus, ..balance };
+    can_all_run_on_spot
         && is_expensive(offer.machine_type)
-        && (spot_unanswered || with_offer.makes_expensive_needless(demand.cpus))
+        && (has_spot_rental_in_flight || balance_with_offer.is_spot_sufficient(demand.cpus))
 }
 
-/// Whether a task of some waiting job may run on such a machine.
-fn suits_waiting_job(offer: &PricedOffer<'_>, cluster: &Cluster) -> bool {
-    cluster.jobs.values().any(|job| waits(job) && offer.suits(job.spec()))
+/// Returns whether a task of any waiting job may run on a machine of this offer.
+fn can_run_waiting_job(offer: &PricedOffer<'_>, cluster: &Cluster) -> bool {
+    cluster.jobs.values().any(|job| has_waiting_tasks(job) && offer.can_run(job.spec()))
 }
--- a/crates/core/src/scaling/spot_balance.rs
+++ b/crates/core/src/scaling/spot_balance.rs
@@ -1,15 +1,16 @@
-//! Whether expensive machines are needed beside the spot machines that there are.
+//! Decides whether expensive on-demand machines are needed in addition to the spot machines.
 
 use super::supply::is_up_or_booting;
 use crate::cluster::Cluster;
 
-/// Expensive machines are not needed when the spot machines have this many times their CPUs and
-/// suffice for the demand.
-const SPOT_MAJORITY: f64 = 4.0;
-/// Above this they are not needed in any case: what they add is not worth their price.
-const OVERWHELMING_SPOT_MAJORITY: f64 = 6.0;
+/// Expensive machines are not needed if spot machines have this many times their CPUs and meet the
+/// whole demand.
+const SUFFICIENT_SPOT_RATIO: f64 = 4.0;
+/// Expensive machines are not needed if spot machines have this many times their CPUs, whatever the
+/// demand: the capacity that they add is not worth their price.
+const DOMINANT_SPOT_RATIO: f64 = 6.0;
 
-/// CPUs of spot machines and of others.
+/// CPUs of spot machines and of on-demand machines.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct SpotBalance {
     pub(super) spot_cpus: f64,
@@ -17,7 +18,7 @@
 }
 
 impl SpotBalance {
-    /// The balance of all machines in use or on their way.
+    /// Returns the balance of all machines that are up or booting.
     pub(super) fn from_cluster(cluster: &Cluster) -> Self {
         let mut balance = Self::default();
         for machine in cluster.machines.values().filter(|machine| is_up_or_booting(machine)) {
@@ -31,10 +32,10 @@
         balance
     }
 
-    /// Whether expensive machines are not needed beside so many spot machines.
-    pub(super) fn makes_expensive_needless(&self, wanted_cpus: f64) -> bool {
-        let exceeds = |ratio: f64| self.spot_cpus >= ratio * self.on_demand_cpus;
-        exceeds(OVERWHELMING_SPOT_MAJORITY)
-            || (exceeds(SPOT_MAJORITY) && self.spot_cpus >= wanted_cpus)
+    /// Returns whether expensive machines are not needed in addition to the spot machines.
+    pub(super) fn is_spot_sufficient(&self, demand_cpus: f64) -> bool {
+        let has_ratio = |ratio: f64| self.spot_cpus >= ratio * self.on_demand_cpus;
+        has_ratio(DOMINANT_SPOT_RATIO)
+            || (has_ratio(SUFFICIENT_SPOT_RATIO) && self.spot_cpus >= demand_cpus)
     }
 }
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -1,4 +1,4 @@
-//! What capacity there is, or is on its way.
+//! Supply: the capacity of the machines that are up, booting or requested.
 
 use super::RentalsInFlight;
 use crate::cluster::Cluster;
@@ -7,7 +7,7 @@
 use corkfield_wire::JobSpec;
 use std::time::{Duration, Instant};
 
-/// CPUs of the machines that take tasks or are on their way.
+/// Returns the CPUs of all machines that accept tasks, are booting or are requested.
 pub(super) fn supply_cpus(
     cluster: &Cluster,
     rentals_in_flight: &RentalsInFlight,
@@ -16,7 +16,8 @@
     matching_cpus(cluster, rentals_in_flight, now, |_| true, |_| true)
 }
 
-/// The same, of those machines that the job allows.
+/// Returns the CPUs of those machines that the job allows and that accept tasks, are booting or are
+/// requested.
 pub(super) fn supply_cpus_for(
     spec: &JobSpec,
     cluster: &Cluster,
@@ -35,42 +36,42 @@
     matches: impl Fn(&Machine) -> bool,
     rental_matches: impl Fn(&RentRequest) -> bool,
 ) -> f64 {
-    let overdue_after = cluster.config.heartbeat_overdue_after();
+    let heartbeat_timeout = cluster.config.heartbeat_timeout();
     let present: f64 = cluster
         .machines
         .values()
-        .filter(|machine| is_supply(machine, overdue_after, now) && matches(machine))
+        .filter(|machine| provides_supply(machine, heartbeat_timeout, now) && matches(machine))
         .filter_map(|machine| machine.size.as_ref().map(|size| size.cpus))
         .sum();
-    let coming: f64 = rentals_in_flight
+    let in_flight: f64 = rentals_in_flight
         .values()
         .filter(|request| rental_matches(request))
-        .filter_map(|request| rented_cpus(cluster, request))
+        .filter_map(|request| requested_cpus(cluster, request))
         .sum();
-    present + coming
+    present + in_flight
 }
 
-/// Whether the machine takes tasks, or will once it is up.
-fn is_supply(machine: &Machine, overdue_after: Duration, now: Instant) -> bool {
+/// Returns whether the machine accepts tasks, or is expected to once it is up.
+fn provides_supply(machine: &Machine, heartbeat_timeout: Duration, now: Instant) -> bool {
     is_up_or_booting(machine)
         && !machine.notice
         && machine.reachability() != Reachability::Unreachable
-        && !is_heartbeat_overdue(machine, overdue_after, now)
+        && !is_heartbeat_overdue(machine, heartbeat_timeout, now)
 }
 
-/// Whether the machine is in use or on its way, and its worker's lease has not expired.
+/// Returns whether the machine is up or booting and its worker's lease has not expired.
 pub(super) fn is_up_or_booting(machine: &Machine) -> bool {
     matches!(machine.state(), MachineState::Up | MachineState::Booting) && !machine.lease_expired()
 }
 
-/// A machine whose heartbeat is overdue is probably gone. What that means for its tasks is decided
-/// by S5; another machine may be rented meanwhile.
-fn is_heartbeat_overdue(machine: &Machine, overdue_after: Duration, now: Instant) -> bool {
-    machine.heard_at.is_some_and(|at| now.saturating_duration_since(at) > overdue_after)
+/// Returns whether the machine's heartbeat is overdue, so that the machine has probably failed. A
+/// replacement may be rented at once; rule S5 decides what happens to its tasks.
+fn is_heartbeat_overdue(machine: &Machine, heartbeat_timeout: Duration, now: Instant) -> bool {
+    machine.heard_at.is_some_and(|at| now.saturating_duration_since(at) > heartbeat_timeout)
 }
 
-/// CPUs of the machines that a rental asks for; `None` if their type is not known.
-fn rented_cpus(cluster: &Cluster, request: &RentRequest) -> Option<f64> {
+/// Returns the CPUs of the machines that a rental requests, or `None` if their type is unknown.
+fn requested_cpus(cluster: &Cluster, request: &RentRequest) -> Option<f64> {
     let machine_type =
         cluster.machine_types.iter().find(|known| known.name == request.machine_type)?;
     Some(machine_type.cpus * f64::from(request.count))
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -122,7 +122,7 @@
     /// hold, though their heartbeats come: neither answers nor questions reach them, so what runs
     /// there has lost its lease.
     pub(super) fn return_doubtful_machines(&mut self, now: Instant) {
-        let expiry_after = self.cluster.config.lease_expiry_after();
+        let expiry_after = self.cluster.config.lease_expiry_timeout();
         let mut returned = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             let Some(doubt) = machine.doubt.as_mut() else { continue };
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -51,7 +51,7 @@
         let estimate_s = job.spec().estimate_s;
         if estimate_s > 0.0 {
             let ratio = clamp(ran_s / estimate_s, &ESTIMATE_RATIO);
-            corrections.add(&job.spec().class, ratio);
+            corrections.add_sample(&job.spec().class, ratio);
         }
     }
 }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -21,7 +21,7 @@
 
     /// Drains a machine: it gets no new tasks, and is returned once it is empty.
     pub fn drain(&mut self, name: &str) {
-        self.cluster.drain(name);
+        self.cluster.drain_machine(name);
     }
 
     /// The write of the machine's record was answered: it is `stored`, or the write failed.
@@ -91,7 +91,7 @@
             self.take_listed_machine(entry, now);
         }
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
-        let settles_after = self.cluster.config.missing_machine_gone_after();
+        let settles_after = self.cluster.config.missing_machine_timeout();
         let machines = self.cluster.machines.values();
         // It existed when we came to know it, and this list describes a later moment.
         let missing = machines.filter(|machine| {
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -29,7 +29,7 @@
 use crate::config::Config;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::scaling::Scaling;
+use crate::scaling::Autoscaler;
 use corkfield_wire::{JobId, Term};
 use gone_machines::GoneMachines;
 use machine_events::MachineEventLog;
@@ -56,7 +56,7 @@
     /// Draws samples of machines.
     pub(crate) rng: SmallRng,
     /// Rentals under way, and what was learned of earlier ones.
-    pub(crate) scaling: Scaling,
+    pub(crate) scaling: Autoscaler,
     /// When deletions were requested again last.
     last_delete: Option<Instant>,
     /// Placement passes so far.
@@ -78,7 +78,7 @@
             reconciliation: Reconciliation::default(),
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            scaling: Scaling::new(term),
+            scaling: Autoscaler::new(term),
             last_delete: None,
             passes: 0,
             machine_events: MachineEventLog::default(),
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -27,7 +27,7 @@
     /// Ends the leases of workers that no controller can have answered for longer than they last:
     /// their tasks are surely stopped (S5c).
     fn expire_worker_leases(&mut self, now: Instant) {
-        let expiry_after = self.cluster.config.lease_expiry_after();
+        let expiry_after = self.cluster.config.lease_expiry_timeout();
         let machines = self.cluster.machines.values_mut();
         let expired: Vec<MachineName> = machines
             .filter_map(|machine| {
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -143,8 +143,8 @@
     scheduler.orders("host-1", AgentEpoch::FIRST, 2, true, start);
     let renewed_until = config().answer_limit;
     for (after, is_over) in [
-        (config().lease_expiry_after() + Duration::from_secs(1), false),
-        (renewed_until + config().lease_expiry_after() + Duration::from_secs(1), true),
+        (config().lease_expiry_timeout() + Duration::from_secs(1), false),
+        (renewed_until + config().lease_expiry_timeout() + Duration::from_secs(1), true),
     ] {
         scheduler.tick(start + after);
         assert_eq!(scheduler.is_reconciled(), is_over, "after {after:?}");
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -57,7 +57,7 @@
         spot: false,
         count: 1,
     };
-    scheduler.rental_answered(&request, Ok(vec!["host-1".into()]), start);
+    scheduler.on_rental_answered(&request, Ok(vec!["host-1".into()]), start);
     // It took far longer than a worker's lease to boot.
     let up = start + Duration::from_secs(50);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, up), Verdict::Accept);
@@ -131,7 +131,7 @@
     let soon = now + Duration::from_millis(200);
     scheduler.scale(soon);
     assert_eq!(on_demand_rentals(&mut scheduler), Vec::new());
-    scheduler.rental_answered(spot, Err(RentalFailure::NoCapacity), soon);
+    scheduler.on_rental_answered(spot, Err(RentalFailure::NoCapacity), soon);
     scheduler.scale(soon);
     assert!(!on_demand_rentals(&mut scheduler).is_empty(), "no spot machine is to be had");
 }
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -165,7 +165,7 @@
                     }
                 }
                 Action::Rent(request) => {
-                    self.scheduler.rental_answered(
+                    self.scheduler.on_rental_answered(
                         &request,
                         Err(RentalFailure::NoCapacity),
                         now.instant,
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -73,7 +73,7 @@
         tokio::task::spawn_local(async move {
             let outcome = rent(&context.env, &request).await;
             let filled = is_filled(&request, &outcome);
-            scheduler.borrow_mut().rental_answered(&request, outcome, now());
+            scheduler.borrow_mut().on_rental_answered(&request, outcome, now());
             if filled && request.count >= MAX_RENT {
                 scaling_wanted.notify_one();
             }
