--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -6,8 +6,8 @@
 use rand::rngs::SmallRng;
 use rand::seq::index;
 
-/// Preference among candidates. A machine that holds the image is preferred, even if there are only
-/// few of them; among machines of the same preference, one with more free CPUs is preferred.
+/// Preference among candidates. Machines that hold the image are preferred, even if there are only
+/// few of them. Among machines of the same preference, those with more free CPUs are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Preference {
     /// The machine holds the job's image.
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -32,8 +32,8 @@
     if may_preempt(cluster, spec, &cluster.usage_by_team()) {
         return true;
     }
-    let others_wait = cluster.jobs.values().any(|job| job.needs_first_watermark());
-    !others_wait && spare_cpus(cluster, now) > 0.0
+    let has_job_without_watermark = cluster.jobs.values().any(|job| job.needs_first_watermark());
+    !has_job_without_watermark && spare_cpus(cluster, now) > 0.0
 }
 
 /// Returns whether the job may preempt other tasks, so that it need not wait for room.
@@ -50,13 +50,13 @@
 /// Returns the free CPUs that remain after all waiting tasks below their jobs' start watermarks
 /// have been placed. The result may be negative.
 fn spare_cpus(cluster: &Cluster, now: Instant) -> f64 {
-    let waiting: f64 = cluster
+    let waiting_cpus: f64 = cluster
         .jobs
         .values()
         .filter(|job| job.may_start())
         .map(|job| f64::from(job.waiting_below_watermark()) * job.spec().cpus)
         .sum();
-    free_cpus(cluster, now) - waiting
+    free_cpus(cluster, now) - waiting_cpus
 }
 
 /// Returns the CPUs that no task uses on machines that accept starts.
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -62,7 +62,7 @@
     }
 
     /// Compares two late jobs: the one with the longer tasks comes first, so that a job that misses
-    /// its due time anyway does not also finish last.
+    /// its due time anyway does not also finish last. Returns `Equal` if this job is not late.
     fn compare_if_late(&self, other: &Self) -> Ordering {
         if self.is_late {
             compare_f64(other.expected_run_s, self.expected_run_s)
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -69,13 +69,13 @@
     machines: &BTreeMap<MachineName, Machine>,
     job: &Job,
 ) -> BTreeMap<String, u32> {
-    let mut zones = BTreeMap::new();
+    let mut tasks_by_zone = BTreeMap::new();
     for placed in job.active().values() {
         if let Some(machine) = machines.get(&placed.machine) {
-            *zones.entry(machine.zone.clone()).or_default() += 1;
+            *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
     }
-    zones
+    tasks_by_zone
 }
 
 /// Returns the zone in which the candidates have room for the most tasks with this need.
--- a/crates/core/src/scaling/offers.rs
+++ b/crates/core/src/scaling/offers.rs
@@ -22,8 +22,8 @@
 const NO_CAPACITY_BACKOFF_S: f64 = 5.0;
 /// Initial backoff in seconds of an offer after any other failure; it doubles in the same way.
 const FAILURE_BACKOFF_S: f64 = 2.0;
-/// Number of consecutive failures after which the backoff no longer doubles.
-const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+/// The backoff no longer doubles after this many consecutive failures.
+const MAX_BACKOFF_FAILURES: u32 = 5;
 /// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 /// Backoff of an offer after a request that brought only some of the requested machines.
@@ -158,7 +158,7 @@
             RentalFailure::NoCapacity => NO_CAPACITY_BACKOFF_S,
             RentalFailure::Other => FAILURE_BACKOFF_S,
         };
-        let doublings = failures.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
+        let doublings = failures.min(MAX_BACKOFF_FAILURES) as i32 - 1;
         let wait = Duration::from_secs_f64(initial_s * 2f64.powi(doublings)).min(MAX_BACKOFF);
         self.backoffs.insert(offer, Backoff { until: now + wait, failures });
     }
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -31,7 +31,7 @@
             let is_useful = if offer.spot {
                 demand.spot_cpus > 0.0
             } else {
-                !is_unneeded(offer, demand, balance, has_spot_rental_in_flight)
+                !is_too_expensive(offer, demand, balance, has_spot_rental_in_flight)
             };
             is_useful && can_run_waiting_job(offer, cluster)
         });
@@ -104,8 +104,9 @@
 /// Returns whether an on-demand offer is too expensive to rent. This is the case if its machines
 /// would be drained as soon as they are up. It is also the case while a spot request is unanswered:
 /// the number of available spot machines is unknown until then, and requested offers are missing
-/// from the available ones, so that only expensive offers might remain.
-fn is_unneeded(
+/// from the available ones, so that only expensive offers might remain. If some of the demand must
+/// not run on spot machines, no offer is too expensive.
+fn is_too_expensive(
     offer: &PricedOffer<'_>,
     demand: Demand,
     balance: SpotBalance,
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -24,31 +24,39 @@
     rentals_in_flight: &RentalsInFlight,
     now: Instant,
 ) -> f64 {
-    let rental_allowed =
+    let is_rental_allowed =
         |request: &RentRequest| allows(spec, &request.machine_type, &request.zone, request.spot);
-    matching_cpus(cluster, rentals_in_flight, now, |machine| machine.allows(spec), rental_allowed)
+    matching_cpus(
+        cluster,
+        rentals_in_flight,
+        now,
+        |machine| machine.allows(spec),
+        is_rental_allowed,
+    )
 }
 
 fn matching_cpus(
     cluster: &Cluster,
     rentals_in_flight: &RentalsInFlight,
     now: Instant,
-    matches: impl Fn(&Machine) -> bool,
+    machine_matches: impl Fn(&Machine) -> bool,
     rental_matches: impl Fn(&RentRequest) -> bool,
 ) -> f64 {
     let heartbeat_timeout = cluster.config.heartbeat_timeout();
-    let present: f64 = cluster
+    let machine_cpus: f64 = cluster
         .machines
         .values()
-        .filter(|machine| provides_supply(machine, heartbeat_timeout, now) && matches(machine))
+        .filter(|machine| {
+            provides_supply(machine, heartbeat_timeout, now) && machine_matches(machine)
+        })
         .filter_map(|machine| machine.size.as_ref().map(|size| size.cpus))
         .sum();
-    let in_flight: f64 = rentals_in_flight
+    let rental_cpus: f64 = rentals_in_flight
         .values()
         .filter(|request| rental_matches(request))
         .filter_map(|request| requested_cpus(cluster, request))
         .sum();
-    present + in_flight
+    machine_cpus + rental_cpus
 }
 
 /// Returns whether the machine accepts tasks, or is expected to once it is up.
--- a/crates/core/src/team.rs
+++ b/crates/core/src/team.rs
@@ -58,8 +58,8 @@
         return false;
     }
     let uses_gpus = used.gpus > AMOUNT_TOLERANCE;
-    let guaranteed_gpus = team.gpus > 0.0 && is_within_cap(team.gpus, used.gpus);
-    is_within_cap(team.cpus, used.cpus) && (!uses_gpus || guaranteed_gpus)
+    let has_guaranteed_gpus = team.gpus > 0.0 && is_within_cap(team.gpus, used.gpus);
+    is_within_cap(team.cpus, used.cpus) && (!uses_gpus || has_guaranteed_gpus)
 }
 
 /// The reason why a job can never be scheduled.
