--- a/crates/cloud/src/error.rs
+++ b/crates/cloud/src/error.rs
@@ -1,23 +1,24 @@
-//! What a request to the cloud can come to.
+//! Errors of requests to the cloud.
 
-use corkfield_http::{ClientError, MalformedReply};
+use corkfield_http::{ClientError, UnexpectedResponse};
 
-/// Why a request to the cloud did not succeed.
+/// Why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// No machine of that type, zone and kind is to be had.
+    /// The cloud has no free machine of the requested type, zone and kind (spot or on-demand).
     #[error("no capacity")]
     NoCapacity,
-    /// The request was surely not executed: it can't be written as JSON.
-    #[error("request can't be written: {0}")]
-    MalformedRequest(#[source] serde_json::Error),
-    /// The request was surely not executed.
+    /// The request was not sent, because it can't be encoded as JSON.
+    #[error("request can't be encoded: {0}")]
+    UnencodableRequest(#[source] serde_json::Error),
+    /// The cloud rejected the request with this status and did not execute it.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// The request may have been executed, or may be executed later on.
-    #[error("no answer: {0}")]
-    NoAnswer(#[from] ClientError),
-    /// The answer can't be read.
-    #[error("malformed answer of the cloud: {0}")]
-    MalformedAnswer(#[from] MalformedReply),
+    /// No valid HTTP response was received. The request may have been executed, or may still be
+    /// executed later.
+    #[error("no response: {0}")]
+    NoResponse(#[from] ClientError),
+    /// The response has an unexpected status or body.
+    #[error("unexpected response of the cloud: {0}")]
+    UnexpectedResponse(#[from] UnexpectedResponse),
 }
--- a/crates/cloud/src/lib.rs
+++ b/crates/cloud/src/lib.rs
@@ -1,7 +1,7 @@
-//! The cloud's client, within a request budget.
+//! Client of the cloud's machine interface, with a rate limit.
 //!
-//! Architecture invariant: this crate decides nothing; it makes one request at a time for its
-//! caller and repeats none.
+//! Architecture invariant: this crate makes no decisions. Each method sends the requests that its
+//! caller asks for, and never retries a request.
 #![forbid(unsafe_code)]
 
 mod client;
--- a/crates/cloud/tests/answers.rs
+++ b/crates/cloud/tests/responses.rs
@@ -1,4 +1,4 @@
-//! What the client makes of the cloud's answers, and what it sends.
+//! Tests of the requests that the client sends and of its handling of the cloud's responses.
 
 #[path = "../../http/tests/scripted_server/mod.rs"]
 mod scripted_server;
@@ -7,15 +7,18 @@
 use corkfield_http::Tcp;
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::MachineName;
-use scripted_server::{run, serve_answers, Answer, Received};
+use scripted_server::{block_on, serve_scripted, ReceivedRequests, ScriptedResponse};
 use std::rc::Rc;
 
-async fn client_of(answers: &'static [Answer]) -> (CloudClient, Received) {
-    let (addr, received) = serve_answers(answers).await;
+/// Creates a client of a server with these responses.
+async fn scripted_client(
+    responses: &'static [ScriptedResponse],
+) -> (CloudClient, ReceivedRequests) {
+    let (addr, received) = serve_scripted(responses).await;
     (CloudClient::new(Rc::new(Tcp), addr, 1000.0), received)
 }
 
-fn rental() -> RentRequest {
+fn rent_request() -> RentRequest {
     RentRequest {
         request: "r-17".to_owned(),
         machine_type: "g8".to_owned(),
@@ -26,9 +29,9 @@
 }
 
 #[test]
-fn requests_are_spelt_as_the_protocol_says() {
-    run(async {
-        let (client, received) = client_of(&[
+fn requests_have_the_paths_and_bodies_of_the_protocol() {
+    block_on(async {
+        let (client, received) = scripted_client(&[
             (200, r#"{"flavours":[{"label":"g8","vcpus":96,"mem_gb":768}]}"#),
             (
                 200,
@@ -43,12 +46,15 @@
             (200, "{}"),
         ])
         .await;
-        assert_eq!(client.types().await.unwrap()[0].name, "g8");
-        let machines = client.machines().await.unwrap();
+        assert_eq!(client.list_machine_types().await.unwrap()[0].name, "g8");
+        let machines = client.list_machines().await.unwrap();
         let names: Vec<&str> = machines.iter().map(|machine| machine.name.as_str()).collect();
         assert_eq!(names, ["host-1", "host-2"], "an empty page ends the list");
-        assert_eq!(client.rent(&rental()).await.unwrap(), [MachineName::from("host-3")]);
-        client.delete(vec![MachineName::from("host-3")]).await.unwrap();
+        assert_eq!(
+            client.rent_machines(&rent_request()).await.unwrap(),
+            [MachineName::from("host-3")]
+        );
+        client.delete_machines(vec![MachineName::from("host-3")]).await.unwrap();
         let expected = [
             "GET /flavors ",
             "GET /hosts?limit=500 ",
@@ -62,32 +68,36 @@
 }
 
 #[test]
-fn refusals_are_told_apart() {
-    run(async {
-        let (client, _) = client_of(&[
+fn missing_capacity_differs_from_other_refusals() {
+    block_on(async {
+        let (client, _) = scripted_client(&[
             (503, r#"{"error":"no capacity"}"#),
             (503, r#"{"error":"trouble"}"#),
             (429, r#"{"error":"no capacity"}"#),
             (500, "{}"),
         ])
         .await;
-        let rented = client.rent(&rental()).await;
+        let rented = client.rent_machines(&rent_request()).await;
         assert!(matches!(rented, Err(CloudError::NoCapacity)), "{rented:?}");
         for status in [503, 429, 500] {
-            let rented = client.rent(&rental()).await;
-            assert!(matches!(rented, Err(CloudError::Refused(s)) if s == status), "{rented:?}");
+            let rented = client.rent_machines(&rent_request()).await;
+            assert!(
+                matches!(rented, Err(CloudError::Refused(refused)) if refused == status),
+                "{rented:?}"
+            );
         }
     });
 }
 
 #[test]
-fn answers_that_cannot_be_read_are_malformed() {
-    run(async {
+fn invalid_bodies_and_unknown_statuses_are_unexpected_responses() {
+    block_on(async {
         let (client, _) =
-            client_of(&[(200, "no json"), (400, r#"{"error":"malformed"}"#), (404, "{}")]).await;
+            scripted_client(&[(200, "no json"), (400, r#"{"error":"malformed"}"#), (404, "{}")])
+                .await;
         for _ in 0..3 {
-            let rented = client.rent(&rental()).await;
-            assert!(matches!(rented, Err(CloudError::MalformedAnswer(_))), "{rented:?}");
+            let rented = client.rent_machines(&rent_request()).await;
+            assert!(matches!(rented, Err(CloudError::UnexpectedResponse(_))), "{rented:?}");
         }
     });
 }
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -181,9 +181,9 @@
         claimed: &[JobRecord],
     ) -> Option<Revision> {
         let env = &self.context.env;
-        match env.state.transaction(RequestClass::Claim, transaction).await {
+        match env.state.commit(RequestClass::Claim, transaction).await {
             Ok(version) => Some(version),
-            Err(StateError::NoAnswer(_)) => self.find_claim(claimed.first()?).await,
+            Err(StateError::NoResponse(_)) => self.find_claim(claimed.first()?).await,
             Err(error) => {
                 tracing::debug!(jobs = claimed.len(), %error, "claim failed");
                 env.pause(50..150).await;
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -28,7 +28,7 @@
         let interval = Duration::from_secs_f64(interval_s);
         loop {
             let asked = now();
-            match context.env.cloud.machines().await {
+            match context.env.cloud.list_machines().await {
                 Ok(list) => {
                     self.scheduler.borrow_mut().on_machine_list(&list, asked, now());
                     context.leadership.actions_pending.notify_one();
@@ -42,7 +42,7 @@
     /// Machine types come from the cloud, and are kept in the store for when it is away.
     pub(super) async fn refresh_machine_types(&self) {
         loop {
-            let pause = match self.context.env.cloud.types().await {
+            let pause = match self.context.env.cloud.list_machine_types().await {
                 Ok(types) => {
                     self.take_machine_types(types).await;
                     TYPES_INTERVAL
@@ -64,9 +64,7 @@
         }
         let value = store_value(&MachineTypesRecord { types });
         let transaction = self.when_leading().put(MACHINE_TYPES_KEY, value);
-        if let Err(error) =
-            self.context.env.state.transaction(RequestClass::Claim, &transaction).await
-        {
+        if let Err(error) = self.context.env.state.commit(RequestClass::Claim, &transaction).await {
             tracing::debug!(%error, "can't store the machine types");
         }
     }
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -129,7 +129,7 @@
             commits.push(job_commit.commit);
         }
         let state = &self.context.env.state;
-        match state.transaction(RequestClass::Completion, &transaction).await {
+        match state.commit(RequestClass::Completion, &transaction).await {
             Ok(version) => self.stored(&commits, version).await,
             Err(error) => self.failed(&commits, &error).await,
         }
@@ -154,7 +154,7 @@
             // Of a transaction that was refused, only the records named have changed.
             let may_have_changed = match error {
                 StateError::Conflict(failed) => failed.contains(&job_key(id)),
-                StateError::NoAnswer(_) => true,
+                StateError::NoResponse(_) => true,
                 _ => false,
             };
             let found =
@@ -162,7 +162,7 @@
             let found = found.map(|job| (job.record, job.finished, job.version));
             self.scheduler.borrow_mut().completion_commit_failed(id, found);
         }
-        if !matches!(error, StateError::Conflict(_) | StateError::NoAnswer(_)) {
+        if !matches!(error, StateError::Conflict(_) | StateError::NoResponse(_)) {
             tokio::time::sleep(REFUSAL_PAUSE).await;
         }
     }
@@ -217,7 +217,7 @@
         let transaction = part
             .iter()
             .fold(Transaction::default(), |transaction, key| transaction.delete(key.clone()));
-        let _ = context.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
+        let _ = context.env.state.commit(RequestClass::Housekeeping, &transaction).await;
     }
 }
 
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -4,7 +4,7 @@
 use super::state::SharedScheduler;
 use crate::clock::now;
 use corkfield_core::{DirectOrderTarget, DirectPurpose, Verdict};
-use corkfield_http::{Client, Reply};
+use corkfield_http::{Client, ClientResponse};
 use corkfield_wire::worker::{DirectOrders, Order, WorkerHeartbeat, PATH_COMMANDS, PATH_STATUS};
 use corkfield_wire::{AgentEpoch, MachineName, Term};
 use std::cell::RefCell;
@@ -138,7 +138,7 @@
     context: &LeadershipContext,
     request: &DirectRequest<'_>,
     term: Term,
-) -> Option<(Reply, WorkerHeartbeat)> {
+) -> Option<(ClientResponse, WorkerHeartbeat)> {
     let DirectRequest { machine, addr, agent_epoch, purpose, orders } = *request;
     let (method, path, body) = match purpose {
         DirectPurpose::Inspect => ("GET", PATH_STATUS, Vec::new()),
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -61,7 +61,7 @@
         successor: None,
     };
     let transaction = conditions.put(LEADER_KEY, store_value(&record));
-    match context.env.state.transaction(RequestClass::Claim, &transaction).await {
+    match context.env.state.commit(RequestClass::Claim, &transaction).await {
         Ok(record_version) => Some(Elected { membership, record_version, term }),
         Err(error) => {
             tracing::debug!(term = term.get(), %error, "claim of the leader record failed");
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -97,7 +97,7 @@
             successor: None,
         };
         let transaction = self.when_leading().put(LEADER_KEY, store_value(&record));
-        match self.context.env.state.transaction(RequestClass::Claim, &transaction).await {
+        match self.context.env.state.commit(RequestClass::Claim, &transaction).await {
             Ok(version) => {
                 self.claim.record_version.set(version);
                 self.scheduler.borrow_mut().raise_term(term);
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -66,7 +66,7 @@
         };
         let transaction = self.when_leading().put(LEADER_KEY, store_value(&record));
         tracing::info!(%successor, "no heartbeats; handing over leadership");
-        self.context.env.state.transaction(RequestClass::Lease, &transaction).await.is_ok()
+        self.context.env.state.commit(RequestClass::Lease, &transaction).await.is_ok()
     }
 
     /// Whether no heartbeat came for so long that workers may not reach this controller.
@@ -98,6 +98,6 @@
     let transaction = Transaction::default()
         .when(LEADER_KEY, leader_version)
         .put(transfer_request_key(context.env.name.as_str()), store_value(&request));
-    let _ = context.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
+    let _ = context.env.state.commit(RequestClass::Housekeeping, &transaction).await;
     tokio::time::sleep(TRANSFER_REQUEST_PAUSE).await;
 }
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -132,7 +132,7 @@
         tokio::task::spawn_local(async move {
             // After what users send: a fleet that comes up has hundreds of these.
             let class = RequestClass::Completion;
-            let stored = context.env.state.transaction(class, &transaction).await.is_ok();
+            let stored = context.env.state.commit(class, &transaction).await.is_ok();
             for machine in &machines {
                 scheduler.borrow_mut().on_machine_record_written(machine.as_str(), stored);
             }
@@ -154,7 +154,7 @@
                     transaction.delete(machine_key(machine.as_str()))
                 });
                 let Err(error) =
-                    context.env.state.transaction(RequestClass::Housekeeping, &transaction).await
+                    context.env.state.commit(RequestClass::Housekeeping, &transaction).await
                 else {
                     return;
                 };
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -61,15 +61,18 @@
 /// A standby controller looks this often whether it may lead, if it sees no change before.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(500);
 
-const LEADER_BUDGET: RateBudget =
-    RateBudget { requests: LEADER_REQUESTS, writes: LEADER_WRITES, burst_s: LEADER_BURST_S };
+const LEADER_BUDGET: RateBudget = RateBudget {
+    request_share: LEADER_REQUESTS,
+    write_share: LEADER_WRITES,
+    write_burst_s: LEADER_BURST_S,
+};
 
 fn standby_budget(env: &Environment) -> RateBudget {
     let others = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
     RateBudget {
-        requests: (1.0 - LEADER_REQUESTS) / others,
-        writes: (1.0 - LEADER_WRITES) / others,
-        burst_s: STANDBY_BURST_S,
+        request_share: (1.0 - LEADER_REQUESTS) / others,
+        write_share: (1.0 - LEADER_WRITES) / others,
+        write_burst_s: STANDBY_BURST_S,
     }
 }
 
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -89,7 +89,7 @@
         }
         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
         tokio::task::spawn_local(async move {
-            match context.env.cloud.delete(machines.clone()).await {
+            match context.env.cloud.delete_machines(machines.clone()).await {
                 Ok(()) => {
                     scheduler.borrow_mut().on_machines_deleted(&machines);
                     context.leadership.actions_pending.notify_one();
@@ -113,10 +113,10 @@
 /// Sends a rental until it is answered, or has been tried often enough.
 async fn rent(env: &Environment, request: &RentRequest) -> Result<Vec<MachineName>, RentalFailure> {
     for _ in 0..RENTAL_TRIES {
-        match env.cloud.rent(request).await {
+        match env.cloud.rent_machines(request).await {
             Ok(machines) => return Ok(machines),
             Err(CloudError::NoCapacity) => return Err(RentalFailure::NoCapacity),
-            Err(CloudError::NoAnswer(error)) => {
+            Err(CloudError::NoResponse(error)) => {
                 // The same name again gets the same machines, if it was carried out.
                 tracing::debug!(%error, request = %request.request, "rental not answered");
                 tokio::time::sleep(RENTAL_RETRY).await;
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -15,7 +15,7 @@
 use crate::users::UserRequests;
 use crate::workers::{RedirectedWorkers, WorkerHeartbeats};
 use corkfield_http::net::LocalFuture;
-use corkfield_http::{serve_counted, Connections, Limits, Listener, Network, Response};
+use corkfield_http::{serve_with_connections, Connections, Limits, Listener, Network, Response};
 use corkfield_wire::records::{JobRecord, Versioned};
 use corkfield_wire::worker::PATH_HEARTBEAT;
 use corkfield_wire::JobId;
@@ -120,10 +120,10 @@
 /// all that it runs.
 fn connection_limits(sockets: Sockets) -> Limits {
     Limits {
-        connections: sockets.accepted,
-        kept: sockets.kept,
-        others: sockets.users,
-        kept_for: PATH_HEARTBEAT,
+        max_connections: sockets.accepted,
+        max_keep_alive: sockets.kept,
+        max_unreserved: sockets.users,
+        reserved_path: PATH_HEARTBEAT,
         ..Limits::default()
     }
 }
@@ -178,7 +178,11 @@
 fn serve_requests(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
     let handler = Rc::new(move |request| routes.clone().answer(request));
-    tokio::task::spawn_local(serve_counted(listener, components.connections.clone(), handler));
+    tokio::task::spawn_local(serve_with_connections(
+        listener,
+        components.connections.clone(),
+        handler,
+    ));
 }
 
 /// Serves the links that other controllers open, and keeps one to each of them.
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -82,8 +82,7 @@
         let wait = self.env.settings.watch_wait();
         let after = self.replica.contents.borrow().revision();
         let started = now();
-        let read =
-            self.env.state.changes(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await;
+        let read = self.env.state.watch(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await;
         match read {
             Ok(events) => {
                 let waited = now().saturating_duration_since(started);
@@ -93,7 +92,7 @@
                 // make a standby doubt the service, and tell the load balancer that it isn't ready.
                 (!quiet).then(|| self.watch_pause())
             }
-            Err(StateError::TooOld) => {
+            Err(StateError::RevisionTooOld) => {
                 self.replica.synced.set(false);
                 None
             }
@@ -120,7 +119,7 @@
         let read = self
             .env
             .state
-            .changes(RequestClass::Reading, REPLICATED_PREFIX, after, Duration::ZERO)
+            .watch(RequestClass::Query, REPLICATED_PREFIX, after, Duration::ZERO)
             .await;
         match read {
             Ok(events) => {
--- a/crates/corkfield/src/responses.rs
+++ b/crates/corkfield/src/responses.rs
@@ -16,5 +16,5 @@
 
 /// Asks the client to come back: 503 with `Retry-After`.
 pub fn retry_later(reason: &str) -> Response {
-    Response { retry_after: Some(1), ..error(503, reason) }
+    Response { retry_after_s: Some(1), ..error(503, reason) }
 }
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -135,7 +135,7 @@
         // What a former process of this controller left is written over: whoever it was is gone.
         let found = self.env.state.get(RequestClass::Lease, &key).await?;
         let started = now();
-        let lease = self.env.state.grant(ttl).await?;
+        let lease = self.env.state.grant_lease(ttl).await?;
         let incarnation = format!("{}-{:08x}", self.env.name, self.env.random() as u32);
         let incarnation = Incarnation::from(incarnation);
         let membership = Membership { incarnation: incarnation.clone(), lease };
@@ -155,15 +155,15 @@
         let transaction = Transaction::default()
             .when(key.to_owned(), found.map_or(Revision::NONE, |item| item.version))
             .put_leased(key.to_owned(), value, membership.lease);
-        let error = match self.env.state.transaction(RequestClass::Lease, &transaction).await {
-            Err(StateError::NoAnswer(error)) => error,
+        let error = match self.env.state.commit(RequestClass::Lease, &transaction).await {
+            Err(StateError::NoResponse(error)) => error,
             outcome => return outcome,
         };
         // It may have been carried out all the same.
         let read = self.env.state.get(RequestClass::Lease, key).await?;
         read.filter(|item| item.value["incarnation"] == membership.incarnation.as_str())
             .map(|item| item.version)
-            .ok_or(StateError::NoAnswer(error))
+            .ok_or(StateError::NoResponse(error))
     }
 
     /// Returns when the lease is lost.
@@ -171,7 +171,7 @@
         let interval = ttl.mul_f64(RENEWAL_PART);
         loop {
             let started = now();
-            let pause = match self.env.state.renew(lease, interval).await {
+            let pause = match self.env.state.renew_lease(lease, interval).await {
                 Ok(()) => {
                     self.session_lease.extend(started + trusted(ttl));
                     interval
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -67,7 +67,7 @@
                     return json(200, &view(id, cancelled.status, cancelled.done, 0));
                 }
                 Err(
-                    StateError::Conflict(_) | StateError::NoAnswer(_) | StateError::Refused(429),
+                    StateError::Conflict(_) | StateError::NoResponse(_) | StateError::Refused(429),
                 ) => {
                     self.env.pause(CANCEL_RETRY_MS).await;
                 }
@@ -92,7 +92,7 @@
             .when(final_key(id), Revision::NONE)
             .delete(job_key(id))
             .put(final_key(id), value);
-        self.env.state.transaction(RequestClass::Claim, &transaction).await
+        self.env.state.commit(RequestClass::Claim, &transaction).await
     }
 
     /// An operator lets a dead-lettered job run again (S12).
@@ -106,7 +106,7 @@
         let record = JobRecord { dead_lettered: false, claims: 0, owner: None, ..*record };
         let value = store_value(&record);
         let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
-        match self.env.state.transaction(RequestClass::Submission, &transaction).await {
+        match self.env.state.commit(RequestClass::Submission, &transaction).await {
             Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "can't release");
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -70,7 +70,7 @@
         }
         // Jobs that are over are not followed. One that is neither unfinished nor over now was
         // never accepted: final records are written in the transaction that drops the others.
-        let read = self.env.state.get(RequestClass::Reading, &final_key(id)).await?;
+        let read = self.env.state.get(RequestClass::Query, &final_key(id)).await?;
         let Some(item) = read else {
             return Ok(StoredJob::Unknown);
         };
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -86,7 +86,7 @@
 
     async fn store_new(&self, id: &JobId, transaction: &Transaction) -> Response {
         loop {
-            match self.env.state.transaction(RequestClass::Submission, transaction).await {
+            match self.env.state.commit(RequestClass::Submission, transaction).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "accepted");
                     return json(201, &view(id, JobStatus::Queued, 0, 0));
@@ -95,7 +95,7 @@
                 Err(StateError::Conflict(_)) => {
                     return self.known_or(id, retry_later("not now")).await
                 }
-                Err(StateError::NoAnswer(_) | StateError::Refused(429)) => {
+                Err(StateError::NoResponse(_) | StateError::Refused(429)) => {
                     self.env.pause(STORE_RETRY_MS).await;
                 }
                 Err(error) => {
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -180,7 +180,7 @@
     async fn hold(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
         // Short of sockets, an answer that waits for work would keep other workers out.
-        let may_delay_answer = !hold.is_zero() && !self.connections.is_short_of_connections();
+        let may_delay_answer = !hold.is_zero() && !self.connections.is_above_keep_alive_limit();
         if may_delay_answer && scheduler.borrow().may_delay_answer(machine) {
             let released = self.leadership.hold_answer(machine);
             let _ = tokio::time::timeout(hold, released.notified()).await;
--- a/crates/fakes/src/worker/heartbeats.rs
+++ b/crates/fakes/src/worker/heartbeats.rs
@@ -3,7 +3,7 @@
 
 use super::{FakeWorker, KEPT_HEARTBEATS};
 use crate::{now, sleep};
-use corkfield_http::{Client, ClientError, Network, Reply};
+use corkfield_http::{Client, ClientError, ClientResponse, Network};
 use corkfield_wire::worker::{HeartbeatReply, Order, Redirect, PATH_HEARTBEAT};
 use corkfield_wire::AgentEpoch;
 use std::rc::Rc;
@@ -112,9 +112,9 @@
     /// The reply is lost on its way: the worker waits for it in vain.
     async fn lose_reply(
         &self,
-        answer: Result<Reply, ClientError>,
+        answer: Result<ClientResponse, ClientError>,
         sent: Instant,
-    ) -> Result<Reply, ClientError> {
+    ) -> Result<ClientResponse, ClientError> {
         if let Ok(reply) = answer {
             let reply = serde_json::from_slice::<HeartbeatReply>(&reply.body);
             let orders = reply.map(|reply| reply.orders).unwrap_or_default();
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,8 +1,8 @@
-//! The client: kept connections to one address, one request at a time on each.
+//! The client: persistent connections to one address, each with one request at a time.
 
+use crate::client_response::ClientResponse;
 use crate::message::{self, Framing, ParsedHead, ReadError, MAX_HEADERS};
 use crate::net::{Network, Stream};
-use crate::reply::Reply;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,95 +10,97 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{timeout, Instant};
 
-/// Kept connections that nobody used for this long are not tried again.
-const KEPT_FOR: Duration = Duration::from_secs(30);
+/// Time after which an idle connection is not used again.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No whole answer came in time.
-    #[error("no answer in time")]
+    /// No complete response was received within the time limit.
+    #[error("request timed out")]
     Timeout,
-    /// Too many connections are open already.
-    #[error("too many requests under way")]
+    /// The maximum number of requests is already in flight; this request was not sent.
+    #[error("too many requests in flight")]
     Busy,
-    /// The answer is malformed, or the connection ended within it.
+    /// The response is malformed, or the connection closed before the response was complete.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// The connection failed.
-    #[error("connect or write: {0}")]
+    /// Opening the connection or writing the request failed.
+    #[error("failed to connect or write: {0}")]
     Io(#[from] std::io::Error),
 }
 
 impl ClientError {
-    /// Whether a kept connection may have failed only because the other side had closed it.
-    fn is_closed_connection(&self) -> bool {
+    /// Returns whether the cause may be that the server had closed an idle connection.
+    fn may_be_closed_connection(&self) -> bool {
         matches!(self, Self::Read(ReadError::Closed | ReadError::Io(_)) | Self::Io(_))
     }
 }
 
-/// How many connections a client opens at most: enough for all requests of a rate at once, within
-/// bounds.
+/// Sizes the connection limit of a client for a rate of requests: enough connections for all
+/// requests that are in flight at once, within bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionSizing {
-    /// For how long a request is expected to take its connection, in seconds.
-    pub request_s: f64,
-    /// At least so many connections, however low the rate.
-    pub least: usize,
-    /// At most so many, however high the rate.
-    pub most: usize,
+    /// Expected time for which a request occupies its connection, in seconds.
+    pub request_duration_s: f64,
+    /// Minimum number of connections, whatever the rate.
+    pub min_connections: usize,
+    /// Maximum number of connections, whatever the rate.
+    pub max_connections: usize,
 }
 
 impl ConnectionSizing {
-    /// Connections for so many requests per second.
-    pub fn for_rate(&self, rps: f64) -> usize {
-        ((rps * self.request_s) as usize).clamp(self.least, self.most)
+    /// Returns the number of connections for `rps` requests per second.
+    pub fn connections_for_rate(&self, rps: f64) -> usize {
+        ((rps * self.request_duration_s) as usize).clamp(self.min_connections, self.max_connections)
     }
 }
 
-/// Keeps connections to one server open and sends requests over them.
+/// Sends requests to one server over persistent connections.
 pub struct Client {
     network: Rc<dyn Network>,
     addr: SocketAddr,
     max_connections: usize,
+    /// Maximum size of a response's body, in bytes.
     max_body: usize,
+    /// Open connections without a request, the last used one at the end.
     idle: RefCell<Vec<IdleConnection>>,
-    /// Requests under way, each on a connection of its own.
-    under_way: Cell<usize>,
+    /// Number of requests in flight, each on its own connection.
+    in_flight: Cell<usize>,
 }
 
-/// A connection that waits for its next request.
+/// An open connection without a request in flight.
 struct IdleConnection {
     stream: Stream,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// Counts a request as under way until it is dropped.
-struct RequestCount<'a>(&'a Cell<usize>);
+/// Counts a request as in flight until the guard is dropped.
+struct InFlightGuard<'a>(&'a Cell<usize>);
 
-impl<'a> RequestCount<'a> {
-    fn add_one(count: &'a Cell<usize>) -> Self {
+impl<'a> InFlightGuard<'a> {
+    fn increment(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for RequestCount<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// An answer as it came over a connection.
-struct ReceivedReply {
-    reply: Reply,
-    /// The connection can't be used again.
-    close: bool,
+/// A response read from a connection.
+struct ReceivedResponse {
+    response: ClientResponse,
+    /// Whether the connection can't be used for another request.
+    must_close: bool,
 }
 
 impl Client {
-    /// A client of the server at `addr` with at most so many connections, for answers up to a size
-    /// in bytes.
+    /// Creates a client of the server at `addr` that has at most `max_connections` requests in
+    /// flight and accepts response bodies of up to `max_body` bytes.
     pub fn new(
         network: Rc<dyn Network>,
         addr: SocketAddr,
@@ -106,32 +108,33 @@
         max_body: usize,
     ) -> Self {
         let idle = RefCell::new(Vec::new());
-        Self { network, addr, max_connections, max_body, idle, under_way: Cell::new(0) }
+        Self { network, addr, max_connections, max_body, idle, in_flight: Cell::new(0) }
     }
 
-    /// Sends a request and reads its answer. A request that timed out takes its connection
-    /// with it, so a late answer can never be taken for another request's.
+    /// Sends a request and reads its response. If the request times out, its connection is closed,
+    /// so that a late response is never read as the response to another request.
     ///
     /// # Errors
     ///
-    /// If all connections are taken, no whole answer came within `limit`, or none that can be
-    /// read. Except for [`ClientError::Busy`] the request may have been executed.
+    /// Returns an error if the maximum number of requests is in flight, no complete response is
+    /// received within `time_limit`, the connection fails, or the response is malformed. After any
+    /// error except [`ClientError::Busy`] the request may have been executed.
     pub async fn request(
         &self,
         method: &str,
         target: &str,
         body: &[u8],
-        limit: Duration,
-    ) -> Result<Reply, ClientError> {
-        if self.under_way.get() >= self.max_connections {
+        time_limit: Duration,
+    ) -> Result<ClientResponse, ClientError> {
+        if self.in_flight.get() >= self.max_connections {
             return Err(ClientError::Busy);
         }
-        let _count = RequestCount::add_one(&self.under_way);
-        let message = self.encode(method, target, body);
-        timeout(limit, self.exchange(&message)).await.unwrap_or(Err(ClientError::Timeout))
+        let _guard = InFlightGuard::increment(&self.in_flight);
+        let message = self.encode_request(method, target, body);
+        timeout(time_limit, self.exchange(&message)).await.unwrap_or(Err(ClientError::Timeout))
     }
 
-    fn encode(&self, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
+    fn encode_request(&self, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
         let head = format!(
             "{method} {target} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             self.addr,
@@ -142,12 +145,13 @@
         message
     }
 
-    async fn exchange(&self, message: &[u8]) -> Result<Reply, ClientError> {
-        if let Some(stream) = self.take_idle() {
-            // A kept connection may have been closed by the other side meanwhile. All our
-            // requests can be repeated, so one more try on a fresh connection does no harm.
+    /// Sends the encoded request and reads its response, on an idle connection if there is one.
+    async fn exchange(&self, message: &[u8]) -> Result<ClientResponse, ClientError> {
+        if let Some(stream) = self.pop_idle_connection() {
+            // The server may have closed the connection while it was idle. All requests of this
+            // project can be repeated safely, so the request is sent again on a new connection.
             match self.exchange_on(stream, message).await {
-                Err(error) if error.is_closed_connection() => {}
+                Err(error) if error.may_be_closed_connection() => {}
                 result => return result,
             }
         }
@@ -155,21 +159,28 @@
         self.exchange_on(stream, message).await
     }
 
-    /// Sends the message and reads its answer; keeps the connection if it can be used again.
-    async fn exchange_on(&self, mut stream: Stream, message: &[u8]) -> Result<Reply, ClientError> {
+    /// Sends the encoded request on `stream` and reads its response. Keeps the connection as idle
+    /// if it can be used again.
+    async fn exchange_on(
+        &self,
+        mut stream: Stream,
+        message: &[u8],
+    ) -> Result<ClientResponse, ClientError> {
         stream.write_all(message).await?;
-        let ReceivedReply { reply, close } = read_reply(&mut stream, self.max_body).await?;
-        if !close {
-            self.idle.borrow_mut().push(IdleConnection { stream, since: Instant::now() });
+        let ReceivedResponse { response, must_close } =
+            read_response(&mut stream, self.max_body).await?;
+        if !must_close {
+            self.idle.borrow_mut().push(IdleConnection { stream, idle_since: Instant::now() });
         }
-        Ok(reply)
+        Ok(response)
     }
 
-    /// The connection used last, unless it has been idle for too long: then all others have been.
-    fn take_idle(&self) -> Option<Stream> {
+    /// Removes and returns the idle connection that was used last. If it has been idle for too
+    /// long, so have all others: closes them all and returns `None`.
+    fn pop_idle_connection(&self) -> Option<Stream> {
         let mut idle = self.idle.borrow_mut();
-        let IdleConnection { stream, since } = idle.pop()?;
-        if since.elapsed() < KEPT_FOR {
+        let IdleConnection { stream, idle_since } = idle.pop()?;
+        if idle_since.elapsed() < MAX_IDLE_TIME {
             return Some(stream);
         }
         idle.clear();
@@ -177,40 +188,43 @@
     }
 }
 
-struct ReplyHead {
+struct ResponseHead {
     status: u16,
     framing: Framing,
 }
 
-impl ReplyHead {
-    /// Whether it is a provisional answer (1xx), which the final one follows.
-    fn is_provisional(&self) -> bool {
+impl ResponseHead {
+    /// Returns whether the response is informational (1xx): the final response follows it.
+    fn is_informational(&self) -> bool {
         self.status / 100 == 1
     }
 }
 
-async fn read_reply(stream: &mut Stream, max_body: usize) -> Result<ReceivedReply, ReadError> {
+async fn read_response(
+    stream: &mut Stream,
+    max_body: usize,
+) -> Result<ReceivedResponse, ReadError> {
     let mut buffer = Vec::new();
-    let ReplyHead { status, framing } = loop {
-        let head = message::read_head(stream, &mut buffer, parse_head).await?;
-        if !head.is_provisional() {
+    let ResponseHead { status, framing } = loop {
+        let head = message::read_head(stream, &mut buffer, parse_response_head).await?;
+        if !head.is_informational() {
             break head;
         }
     };
     let body = message::read_body(stream, &mut buffer, framing, max_body).await?;
-    // Bytes beyond the answer belong to no request.
-    let close = framing.close || !buffer.is_empty();
-    Ok(ReceivedReply { reply: Reply { status, body }, close })
+    // Bytes after the response belong to no request, so the connection can't be used again.
+    let must_close = framing.has_connection_close || !buffer.is_empty();
+    Ok(ReceivedResponse { response: ClientResponse { status, body }, must_close })
 }
 
-/// The head at the front of `bytes`; none while it is incomplete.
-fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead<ReplyHead>>, ReadError> {
+/// Parses the response head at the start of `bytes`. Returns `None` if the head is incomplete.
+fn parse_response_head(bytes: &[u8]) -> Result<Option<ParsedHead<ResponseHead>>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
-            let framing = message::framing(parsed.headers)?;
-            let head = ReplyHead { status: parsed.code.unwrap_or(0), framing };
+            let framing = message::parse_framing(parsed.headers)?;
+            let head = ResponseHead { status: parsed.code.unwrap_or(0), framing };
             Ok(Some(ParsedHead { head, length }))
         }
         Ok(httparse::Status::Partial) => Ok(None),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,17 +1,17 @@
-//! A small HTTP/1.1 server and client: bounded sizes, bounded times, no pipelining.
+//! A small HTTP/1.1 server and client with bounded message sizes and timeouts, without pipelining.
 //!
-//! Architecture invariant: this crate knows nothing of corkfield's messages, and opens connections
-//! only through [`Network`], which tests replace by one in memory.
+//! Architecture invariant: this crate does not depend on corkfield's messages, and it opens
+//! connections only through [`Network`], which tests replace by an in-memory implementation.
 #![forbid(unsafe_code)]
 
 pub mod client;
+mod client_response;
 mod message;
 pub mod net;
-mod reply;
 pub mod server;
 
 pub use client::{Client, ClientError, ConnectionSizing};
+pub use client_response::{ClientResponse, UnexpectedResponse};
 pub use message::ReadError;
 pub use net::{Listener, Network, Stream, Tcp};
-pub use reply::{MalformedReply, Reply};
-pub use server::{serve, serve_counted, Connections, Limits, Request, Response};
+pub use server::{serve, serve_with_connections, Connections, Limits, Request, Response};
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,84 +1,87 @@
-//! Reading heads and bodies, shared by the server and the client.
+//! Reading of message heads and bodies, shared by the server and the client.
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Longest head of a message, in bytes.
+/// Maximum size of a message's head, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 pub(crate) const MAX_HEADERS: usize = 48;
-/// Room that is made in the buffer before each read, in bytes.
+/// Capacity that is reserved in the buffer before each read, in bytes.
 const READ_SIZE: usize = 2048;
-/// Longest line with a chunk's size, in bytes.
+/// Maximum size of the line that states a chunk's size, in bytes.
 const MAX_CHUNK_LINE: usize = 64;
-/// The line end after each chunk.
+/// Size of the line end after each chunk, in bytes.
 const CHUNK_END: usize = b"\r\n".len();
 
-/// Why no message could be read.
+/// Why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The other side closed the connection.
+    /// The peer closed the connection.
     #[error("connection closed")]
     Closed,
-    /// The head is longer than any that is served.
+    /// The head exceeds the maximum size.
     #[error("head over {MAX_HEAD} bytes")]
     HeadTooLarge,
-    /// The body is longer than the reader takes.
+    /// The body exceeds the maximum size of the reader.
     #[error("body too large")]
     BodyTooLarge,
-    /// It is no HTTP message.
+    /// The bytes are not a valid HTTP message.
     #[error("malformed message")]
     Malformed,
-    /// Another transfer encoding than `chunked`.
+    /// The transfer encoding is not `chunked`, the only one that is supported.
     #[error("transfer encoding is not served")]
-    Encoding,
+    UnsupportedEncoding,
     /// The connection failed.
-    #[error("i/o: {0}")]
+    #[error("I/O error: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// How a message's body is delimited, and whether the connection goes on after it.
+/// The headers that state how a message's body is delimited and whether the connection stays open
+/// after the message.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Framing {
-    /// Bytes of the body, where the head says so.
-    pub length: Option<usize>,
-    /// The body comes in chunks.
-    pub chunked: bool,
-    /// The sender closes the connection after the message.
-    pub close: bool,
-    /// The sender waits for `100 Continue` before it sends the body.
-    pub expects_continue: bool,
+    /// `Content-Length`: size of the body in bytes.
+    pub content_length: Option<usize>,
+    /// `Transfer-Encoding: chunked`: the body is a sequence of chunks.
+    pub is_chunked: bool,
+    /// `Connection: close`: the connection ends after the message.
+    pub has_connection_close: bool,
+    /// `Expect: 100-continue`: the sender waits for `100 Continue` before it sends the body.
+    pub has_expect_continue: bool,
 }
 
-/// Reads a message's framing from its headers.
-pub(crate) fn framing(headers: &[httparse::Header<'_>]) -> Result<Framing, ReadError> {
+/// Determines a message's framing from its headers.
+pub(crate) fn parse_framing(headers: &[httparse::Header<'_>]) -> Result<Framing, ReadError> {
     let mut framing = Framing::default();
     for header in headers {
         let text = std::str::from_utf8(header.value).unwrap_or("").trim();
         if header.name.eq_ignore_ascii_case("content-length") {
             let length: usize = text.parse().map_err(|_| ReadError::Malformed)?;
-            if framing.length.is_some_and(|known| known != length) {
+            if framing.content_length.is_some_and(|previous| previous != length) {
                 return Err(ReadError::Malformed);
             }
-            framing.length = Some(length);
+            framing.content_length = Some(length);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            framing.chunked = text.eq_ignore_ascii_case("chunked");
-            if !framing.chunked {
-                return Err(ReadError::Encoding);
+            framing.is_chunked = text.eq_ignore_ascii_case("chunked");
+            if !framing.is_chunked {
+                return Err(ReadError::UnsupportedEncoding);
             }
         } else if header.name.eq_ignore_ascii_case("connection") {
-            framing.close = text.split(',').any(|t| t.trim().eq_ignore_ascii_case("close"));
+            framing.has_connection_close =
+                text.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"));
         } else if header.name.eq_ignore_ascii_case("expect") {
-            framing.expects_continue = text.eq_ignore_ascii_case("100-continue");
+            framing.has_expect_continue = text.eq_ignore_ascii_case("100-continue");
         }
     }
-    if framing.chunked && framing.length.is_some() {
+    if framing.is_chunked && framing.content_length.is_some() {
         return Err(ReadError::Malformed);
     }
     Ok(framing)
 }
 
-/// Reads more bytes onto `buffer`; the peer closing is an error.
-pub(crate) async fn fill<R: AsyncRead + Unpin>(
+/// Reads available bytes and appends them to `buffer`. Returns [`ReadError::Closed`] if the peer
+/// has closed the connection.
+pub(crate) async fn read_more<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
 ) -> Result<(), ReadError> {
@@ -89,16 +92,16 @@
     }
 }
 
-/// The head at the front of a buffer.
+/// A head parsed from the start of a buffer.
 pub(crate) struct ParsedHead<T> {
-    /// What it says.
+    /// Parsed contents of the head.
     pub head: T,
-    /// Its length in bytes.
+    /// Size of the encoded head, in bytes.
     pub length: usize,
 }
 
-/// Takes a head off the front of `buffer`, reading what is missing. `parse` gives none while the
-/// head is incomplete.
+/// Removes a head from the start of `buffer` and returns it, reading from `stream` until the head
+/// is complete. `parse` returns `None` if the head is incomplete.
 pub(crate) async fn read_head<R: AsyncRead + Unpin, T>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
@@ -112,26 +115,28 @@
         if buffer.len() > MAX_HEAD {
             return Err(ReadError::HeadTooLarge);
         }
-        fill(stream, buffer).await?;
+        read_more(stream, buffer).await?;
     }
 }
 
-/// Takes a body off the front of `buffer`, reading what is missing.
+/// Removes a body from the start of `buffer` and returns it, reading from `stream` until the body
+/// is complete. The body may have up to `max_body` bytes.
 pub(crate) async fn read_body<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
     framing: Framing,
     max_body: usize,
 ) -> Result<Vec<u8>, ReadError> {
-    if framing.chunked {
-        return chunked_body(stream, buffer, max_body).await;
+    if framing.is_chunked {
+        return read_chunked_body(stream, buffer, max_body).await;
     }
-    let length = framing.length.ok_or(ReadError::Malformed)?;
-    sized_body(stream, buffer, length, max_body).await
+    let length = framing.content_length.ok_or(ReadError::Malformed)?;
+    read_sized_body(stream, buffer, length, max_body).await
 }
 
-/// Takes a body of `length` bytes off the front of `buffer`, reading what is missing.
-async fn sized_body<R: AsyncRead + Unpin>(
+/// Removes a body of `length` bytes from the start of `buffer` and returns it, reading from
+/// `stream` until the body is complete.
+async fn read_sized_body<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
     length: usize,
@@ -141,14 +146,15 @@
         return Err(ReadError::BodyTooLarge);
     }
     while buffer.len() < length {
-        fill(stream, buffer).await?;
+        read_more(stream, buffer).await?;
     }
     let rest = buffer.split_off(length);
     Ok(std::mem::replace(buffer, rest))
 }
 
-/// Takes a chunked body off the front of `buffer`, reading what is missing.
-async fn chunked_body<R: AsyncRead + Unpin>(
+/// Removes a chunked body from the start of `buffer` and returns its chunks joined, reading from
+/// `stream` until the body is complete.
+async fn read_chunked_body<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
     max_body: usize,
@@ -162,7 +168,7 @@
         }
         let end = start + size + CHUNK_END;
         while buffer.len() < end {
-            fill(stream, buffer).await?;
+            read_more(stream, buffer).await?;
         }
         body.extend_from_slice(&buffer[start..start + size]);
         buffer.drain(..end);
@@ -172,14 +178,16 @@
     }
 }
 
-/// The line before a chunk.
+/// The line before a chunk, which states the chunk's size.
 struct ChunkLine {
-    /// Where the chunk's bytes start in the buffer.
+    /// Offset in the buffer at which the chunk's data starts.
     start: usize,
-    /// How many there are.
+    /// Size of the chunk's data, in bytes.
     size: u64,
 }
 
+/// Parses the chunk line at the start of `buffer`, reading from `stream` until the line is
+/// complete. The line stays in the buffer.
 async fn read_chunk_line<R: AsyncRead + Unpin>(
     stream: &mut R,
     buffer: &mut Vec<u8>,
@@ -188,7 +196,7 @@
         match httparse::parse_chunk_size(buffer) {
             Ok(httparse::Status::Complete((start, size))) => return Ok(ChunkLine { start, size }),
             Ok(httparse::Status::Partial) if buffer.len() < MAX_CHUNK_LINE => {
-                fill(stream, buffer).await?;
+                read_more(stream, buffer).await?;
             }
             _ => return Err(ReadError::Malformed),
         }
--- a/crates/http/src/net.rs
+++ b/crates/http/src/net.rs
@@ -1,4 +1,5 @@
-//! Where connections come from: the system's TCP, or a stand-in for tests.
+//! The transport of the server and the client: the operating system's TCP, or a replacement for
+//! tests.
 
 use std::future::Future;
 use std::io::Result;
@@ -7,37 +8,37 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A future that stays on its thread.
+/// A boxed future that is not `Send`: it is polled only on the thread that created it.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// What a connection has to be able to do.
+/// A bidirectional byte stream.
 pub trait Io: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Io for T {}
 
-/// A connection, of whatever network.
+/// An open connection of any [`Network`].
 pub type Stream = Box<dyn Io>;
 
-/// Accepts connections at an address.
+/// Accepts connections at one address.
 pub trait Listener {
     /// Waits for the next connection.
     fn accept(&self) -> LocalFuture<'_, Result<Stream>>;
 }
 
-/// Opens and accepts connections; a real network or one in memory.
+/// Opens and accepts connections, over a real network or in memory.
 pub trait Network {
-    /// Opens a connection.
+    /// Opens a connection to `addr`.
     fn connect(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Stream>>;
-    /// Begins to accept connections.
+    /// Binds a listener to `addr`.
     fn listen(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Box<dyn Listener>>>;
 }
 
-/// The system's TCP.
+/// The operating system's TCP.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tcp;
 
 impl Network for Tcp {
     fn connect(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Stream>> {
-        Box::pin(async move { TcpStream::connect(addr).await.map(without_delay) })
+        Box::pin(async move { TcpStream::connect(addr).await.map(into_nodelay_stream) })
     }
 
     fn listen(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Box<dyn Listener>>> {
@@ -50,15 +51,15 @@
 
 impl Listener for TcpListener {
     fn accept(&self) -> LocalFuture<'_, Result<Stream>> {
-        Box::pin(
-            async move { TcpListener::accept(self).await.map(|(stream, _)| without_delay(stream)) },
-        )
+        Box::pin(async move {
+            TcpListener::accept(self).await.map(|(stream, _)| into_nodelay_stream(stream))
+        })
     }
 }
 
-/// Small messages go out at once. That is only a matter of speed: a platform that refuses the
-/// setting loses nothing else.
-fn without_delay(stream: TcpStream) -> Stream {
+/// Sets `TCP_NODELAY`, so that small messages are sent without delay. An error is ignored: the
+/// option affects only latency.
+fn into_nodelay_stream(stream: TcpStream) -> Stream {
     let _ = stream.set_nodelay(true);
     Box::new(stream)
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: one task per connection, one request at a time on each.
+//! The server: one task per connection, which serves one request at a time.
 
 mod connection;
 mod connections;
@@ -18,20 +18,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after a failing accept.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay after a failed accept before the next attempt.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections for ever, within limits of its own.
+/// Accepts and serves connections within `limits`. Never returns.
 pub async fn serve<H, F>(listener: Box<dyn Listener>, limits: Limits, handler: Rc<H>)
 where
     H: Fn(Request) -> F + 'static,
     F: Future<Output = Response> + 'static,
 {
-    serve_counted(listener, Rc::new(Connections::new(limits)), handler).await;
+    serve_with_connections(listener, Rc::new(Connections::new(limits)), handler).await;
 }
 
-/// Accepts connections for ever. A failing accept (no free sockets, say) never ends it.
-pub async fn serve_counted<H, F>(
+/// Accepts connections and serves them within the limits of `connections`, which the caller can
+/// query at the same time. Never returns: a failed accept, for example because no socket is free,
+/// is retried.
+pub async fn serve_with_connections<H, F>(
     listener: Box<dyn Listener>,
     connections: Rc<Connections>,
     handler: Rc<H>,
@@ -41,9 +43,10 @@
 {
     loop {
         match listener.accept().await {
-            // Above the limit a connection is closed at once: its client goes elsewhere.
+            // A connection above the limit is closed immediately: its client may then connect to
+            // another controller.
             Ok(stream) if connections.has_free_slot() => {
-                let slot = ConnectionSlot::take(connections.clone());
+                let slot = ConnectionSlot::acquire(connections.clone());
                 let connection = Connection::new(stream, slot);
                 let handler = handler.clone();
                 tokio::task::spawn_local(async move {
@@ -52,8 +55,8 @@
             }
             Ok(stream) => drop(stream),
             Err(error) => {
-                tracing::debug!(%error, "accept failed");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tracing::debug!(%error, "failed to accept a connection");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a server: requests are read, answered and read on, one at a time.
+//! One connection of a server, which reads and answers its requests one at a time.
 
 use super::connections::ConnectionSlot;
 use super::request::{read_request, ReceivedRequest};
@@ -10,24 +10,24 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-/// A buffer that has grown beyond this many bytes is shrunk after its request.
-const LARGE_BUFFER: usize = 16 * 1024;
-/// The size in bytes that it is shrunk to.
+/// Capacity in bytes above which the read buffer is shrunk after a request.
+const MAX_IDLE_BUFFER: usize = 16 * 1024;
+/// Capacity in bytes to which an oversized read buffer is shrunk.
 const SHRUNK_BUFFER: usize = 4 * 1024;
-/// Seconds after which a client that was refused a connection should come back.
+/// Value of `Retry-After` in the response to a client whose connection is refused, in seconds.
 const REFUSED_RETRY_AFTER_S: u64 = 1;
 
-/// A response, and whether it is the connection's last.
-struct Answer {
+/// A response to write, and whether the connection is closed after it.
+struct OutgoingResponse {
     response: Response,
-    close: bool,
+    must_close: bool,
 }
 
-/// A client's connection.
+/// An open connection to a client.
 pub(super) struct Connection {
     slot: ConnectionSlot,
     stream: Stream,
-    /// What was read and is not yet taken as part of a request.
+    /// Bytes that were received and are not yet consumed by a request.
     buffer: Vec<u8>,
 }
 
@@ -36,7 +36,7 @@
         Self { slot, stream, buffer: Vec::new() }
     }
 
-    /// Answers requests until the client or a limit ends the connection.
+    /// Serves requests until the client closes the connection or a limit ends it.
     pub async fn serve<H, F>(mut self, handler: &H) -> Result<(), ReadError>
     where
         H: Fn(Request) -> F,
@@ -44,37 +44,38 @@
     {
         let mut idle_timeout = self.slot.limits().first_request_timeout;
         while self.wait_for_bytes(idle_timeout).await? {
-            let Some(answer) = self.next_answer(handler).await else {
+            let Some(outgoing) = self.handle_next_request(handler).await else {
                 return Ok(());
             };
             idle_timeout = self.slot.idle_timeout();
-            if !self.write(&answer).await? {
+            if !self.write(&outgoing).await? {
                 return Ok(());
             }
-            if answer.close {
+            if outgoing.must_close {
                 let _ = self.stream.shutdown().await;
                 return Ok(());
             }
-            if self.buffer.capacity() > LARGE_BUFFER {
+            if self.buffer.capacity() > MAX_IDLE_BUFFER {
                 self.buffer.shrink_to(SHRUNK_BUFFER);
             }
         }
         Ok(())
     }
 
-    /// Waits for the first bytes of a request; false if none came in time.
-    async fn wait_for_bytes(&mut self, limit: Duration) -> Result<bool, ReadError> {
+    /// Waits for the first bytes of a request; returns false if none arrive within `time_limit`.
+    async fn wait_for_bytes(&mut self, time_limit: Duration) -> Result<bool, ReadError> {
         if !self.buffer.is_empty() {
             return Ok(true);
         }
-        match timeout(limit, message::fill(&mut self.stream, &mut self.buffer)).await {
-            Ok(filled) => filled.map(|()| true),
+        match timeout(time_limit, message::read_more(&mut self.stream, &mut self.buffer)).await {
+            Ok(read) => read.map(|()| true),
             Err(_) => Ok(false),
         }
     }
 
-    /// Reads a request and has it answered; none if it never came in whole.
-    async fn next_answer<H, F>(&mut self, handler: &H) -> Option<Answer>
+    /// Reads a request and passes it to the handler. Returns `None` if the request is not received
+    /// completely, because of a timeout or because the connection ends.
+    async fn handle_next_request<H, F>(&mut self, handler: &H) -> Option<OutgoingResponse>
     where
         H: Fn(Request) -> F,
         F: Future<Output = Response>,
@@ -83,22 +84,23 @@
         let number = self.slot.number();
         let reading = read_request(&mut self.stream, &mut self.buffer, limits.max_body, number);
         match timeout(limits.request_timeout, reading).await {
-            Ok(Ok(ReceivedRequest { request, close })) => {
-                if !self.slot.admits(&request) {
+            Ok(Ok(ReceivedRequest { request, is_close_requested })) => {
+                if !self.slot.try_admit(&request) {
                     return Some(too_many_connections());
                 }
                 let response = handler(request).await;
-                // Asked only now: others may have come or gone meanwhile.
-                Some(Answer { response, close: close || self.slot.must_close() })
+                // Checked after the handler: the number of connections may have changed meanwhile.
+                let must_close = is_close_requested || self.slot.must_close();
+                Some(OutgoingResponse { response, must_close })
             }
             Ok(Err(ReadError::Closed | ReadError::Io(_))) | Err(_) => None,
             Ok(Err(error)) => Some(bad_request(&error)),
         }
     }
 
-    /// Sends the answer; false if the client didn't take it in time.
-    async fn write(&mut self, answer: &Answer) -> Result<bool, ReadError> {
-        let bytes = answer.response.encode(answer.close);
+    /// Writes the response; returns false if the client does not accept it in time.
+    async fn write(&mut self, outgoing: &OutgoingResponse) -> Result<bool, ReadError> {
+        let bytes = outgoing.response.encode(outgoing.must_close);
         match timeout(self.slot.limits().write_timeout, self.stream.write_all(&bytes)).await {
             Ok(written) => Ok(written.map(|()| true)?),
             Err(_) => Ok(false),
@@ -106,14 +108,16 @@
     }
 }
 
-fn too_many_connections() -> Answer {
+fn too_many_connections() -> OutgoingResponse {
     let body = b"{\"error\":\"too many connections\"}".to_vec();
-    let retry_after = Some(REFUSED_RETRY_AFTER_S);
-    Answer { response: Response { retry_after, ..Response::new(503, body) }, close: true }
+    let retry_after_s = Some(REFUSED_RETRY_AFTER_S);
+    let response = Response { retry_after_s, ..Response::new(503, body) };
+    OutgoingResponse { response, must_close: true }
 }
 
-/// What follows a malformed request on its connection can't be told apart, so it is closed.
-fn bad_request(error: &ReadError) -> Answer {
+/// Returns the response to a malformed request. It closes the connection, because the start of the
+/// next request can't be determined.
+fn bad_request(error: &ReadError) -> OutgoingResponse {
     let body = format!("{{\"error\":\"{error}\"}}").into_bytes();
-    Answer { response: Response::new(400, body), close: true }
+    OutgoingResponse { response: Response::new(400, body), must_close: true }
 }
--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -1,93 +1,97 @@
-//! Counting a server's connections, and what the counts allow.
+//! Counts of a server's connections, and the decisions that depend on them.
 
 use super::{Limits, Request};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A server's connections, within its limits.
+/// Counts a server's connections and applies its [`Limits`] to them.
 #[derive(Default)]
 pub struct Connections {
     limits: Limits,
+    /// Number of connections that are open now.
     open: Cell<usize>,
-    /// Connections that were ever open.
+    /// Number of connections accepted since the server started.
     accepted: Cell<u64>,
-    /// Of these, connections of clients that ask for other paths than [`Limits::kept_for`].
-    others: Cell<usize>,
+    /// Number of open connections that have requested a path other than
+    /// [`Limits::reserved_path`].
+    unreserved: Cell<usize>,
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Creates the counts of a server without connections.
     pub fn new(limits: Limits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Whether so many are open that each is closed after its answer. An answer should then not
-    /// be held back for longer than it must.
-    pub fn is_short_of_connections(&self) -> bool {
-        self.open.get() > self.limits.kept
+    /// Returns whether more than [`Limits::max_keep_alive`] connections are open, so that each is
+    /// closed after its response. Handlers should not delay a response unnecessarily while this is
+    /// the case.
+    pub fn is_above_keep_alive_limit(&self) -> bool {
+        self.open.get() > self.limits.max_keep_alive
     }
 
-    /// Whether one more may be open.
+    /// Returns whether one more connection may be opened.
     pub(super) fn has_free_slot(&self) -> bool {
-        self.open.get() < self.limits.connections
+        self.open.get() < self.limits.max_connections
     }
 
-    /// Whether most connections that are not kept for a path are taken.
-    fn are_crowded(&self) -> bool {
-        self.others.get() > self.limits.others / 4 * 3
+    /// Returns whether more than three quarters of the unreserved connections are in use.
+    fn is_unreserved_nearly_full(&self) -> bool {
+        self.unreserved.get() > self.limits.max_unreserved / 4 * 3
     }
 }
 
-/// A connection's place among those that are open; free again when it is dropped.
+/// An open connection's entry in the counts; dropping it decrements them.
 pub(super) struct ConnectionSlot {
     connections: Rc<Connections>,
-    /// Its number among those that were ever open.
+    /// Ordinal number of the connection among all accepted ones, from 1.
     number: u64,
-    /// It counts among those that are not kept for a path.
-    is_other: bool,
+    /// Whether the connection is counted in [`Connections::unreserved`].
+    is_unreserved: bool,
 }
 
 impl ConnectionSlot {
     /// Counts one more open connection.
-    pub fn take(connections: Rc<Connections>) -> Self {
+    pub fn acquire(connections: Rc<Connections>) -> Self {
         connections.open.set(connections.open.get() + 1);
         let number = connections.accepted.get() + 1;
         connections.accepted.set(number);
-        Self { connections, number, is_other: false }
+        Self { connections, number, is_unreserved: false }
     }
 
-    /// The connection's number among those that were ever open.
+    /// Returns the ordinal number of the connection among all accepted ones.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// The limits of the server.
+    /// Returns the limits of the server.
     pub fn limits(&self) -> &Limits {
         &self.connections.limits
     }
 
-    /// Whether the connection is to be closed after its answer, for want of connections.
+    /// Returns whether the connection must be closed after its response because too many are open.
     pub fn must_close(&self) -> bool {
-        self.connections.is_short_of_connections()
+        self.connections.is_above_keep_alive_limit()
     }
 
-    /// Whether the request may be served on this connection. The first for a path that no
-    /// connections are kept for counts the connection among the others, for as long as it is open.
-    pub fn admits(&mut self, request: &Request) -> bool {
-        let Connections { limits, others, .. } = &*self.connections;
-        if self.is_other || request.path() == limits.kept_for {
+    /// Returns whether the request may be served on this connection. The first request for a path
+    /// other than [`Limits::reserved_path`] counts the connection as unreserved until it closes;
+    /// the request is rejected if [`Limits::max_unreserved`] is reached.
+    pub fn try_admit(&mut self, request: &Request) -> bool {
+        let Connections { limits, unreserved, .. } = &*self.connections;
+        if self.is_unreserved || request.path() == limits.reserved_path {
             return true;
         }
-        self.is_other = others.get() < limits.others;
-        others.set(others.get() + usize::from(self.is_other));
-        self.is_other
+        self.is_unreserved = unreserved.get() < limits.max_unreserved;
+        unreserved.set(unreserved.get() + usize::from(self.is_unreserved));
+        self.is_unreserved
     }
 
-    /// How long the connection may wait for its next request.
+    /// Returns how long the connection may wait for its next request.
     pub fn idle_timeout(&self) -> Duration {
-        if self.is_other && self.connections.are_crowded() {
-            self.limits().crowded_idle_timeout
+        if self.is_unreserved && self.connections.is_unreserved_nearly_full() {
+            self.limits().short_idle_timeout
         } else {
             self.limits().idle_timeout
         }
@@ -96,8 +100,8 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        let Connections { open, others, .. } = &*self.connections;
+        let Connections { open, unreserved, .. } = &*self.connections;
         open.set(open.get() - 1);
-        others.set(others.get() - usize::from(self.is_other));
+        unreserved.set(unreserved.get() - usize::from(self.is_unreserved));
     }
 }
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -1,44 +1,49 @@
-//! What a server takes at most.
+//! Limits of a server.
 
 use std::time::Duration;
 
-/// What a server takes at most.
+/// Limits of a server on its connections, the size of requests and the time of each step.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Connections open at once. One beyond them is closed as soon as it is accepted.
-    pub connections: usize,
-    /// While more than this are open, each is closed after its answer. Connections are then for
-    /// exchanges, not for clients, of which there may be far more.
-    pub kept: usize,
-    /// So many of them may be of clients that ask for other paths than [`Self::kept_for`].
-    pub others: usize,
-    /// The path for whose clients the rest is kept.
-    pub kept_for: &'static str,
-    /// Bytes of a request's body.
+    /// Maximum number of open connections. A connection above it is closed as soon as it is
+    /// accepted.
+    pub max_connections: usize,
+    /// Maximum number of open connections that stay open between requests. While more are open,
+    /// every connection is closed after its response, because there may be far more clients than
+    /// connections.
+    pub max_keep_alive: usize,
+    /// Maximum number of connections that serve requests for other paths than
+    /// [`Self::reserved_path`].
+    pub max_unreserved: usize,
+    /// Path that may be requested on any connection. The connections above
+    /// [`Self::max_unreserved`] are reserved for its clients.
+    pub reserved_path: &'static str,
+    /// Maximum size of a request's body, in bytes.
     pub max_body: usize,
-    /// A connection on which nothing was asked yet is closed after this time.
+    /// Time after which a connection is closed if it has not sent any request.
     pub first_request_timeout: Duration,
-    /// A connection without a further request is closed after this time.
+    /// Time after which a connection is closed if it sends no further request.
     pub idle_timeout: Duration,
-    /// The same once most of [`Self::others`] are taken: idle ones must not keep new clients out.
-    pub crowded_idle_timeout: Duration,
-    /// A request that has begun must be complete within this time.
+    /// Idle timeout of unreserved connections while more than three quarters of
+    /// [`Self::max_unreserved`] are in use, so that idle connections don't keep new clients out.
+    pub short_idle_timeout: Duration,
+    /// Time from the first bytes of a request within which the whole request must be received.
     pub request_timeout: Duration,
-    /// A response must be taken within this time.
+    /// Time within which the client must accept a whole response.
     pub write_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connections: 256,
-            kept: usize::MAX,
-            others: usize::MAX,
-            kept_for: "",
+            max_connections: 256,
+            max_keep_alive: usize::MAX,
+            max_unreserved: usize::MAX,
+            reserved_path: "",
             max_body: 64 * 1024,
             first_request_timeout: Duration::from_secs(10),
             idle_timeout: Duration::from_secs(120),
-            crowded_idle_timeout: Duration::from_secs(2),
+            short_idle_timeout: Duration::from_secs(2),
             request_timeout: Duration::from_secs(5),
             write_timeout: Duration::from_secs(5),
         }
--- a/crates/http/src/server/request.rs
+++ b/crates/http/src/server/request.rs
@@ -1,37 +1,38 @@
-//! Requests, and reading them off a connection.
+//! Requests, and reading them from a connection.
 
 use crate::message::{self, Framing, ParsedHead, ReadError, MAX_HEADERS};
 use crate::net::Stream;
 use tokio::io::AsyncWriteExt;
 
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// Informational response to a request with `Expect: 100-continue`.
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its method, in capitals.
+    /// HTTP method, for example `GET`.
     pub method: String,
-    /// Path and query as they came.
+    /// Request target as received: the path and the query.
     pub target: String,
-    /// Its body.
+    /// Body, without its transfer encoding.
     pub body: Vec<u8>,
-    /// The number of the connection that it came over, among those that the server has accepted.
-    /// Requests of one connection are served one after the other.
+    /// Ordinal number of the request's connection among all that the server has accepted.
+    /// The requests of one connection are served one at a time, in order.
     pub connection: u64,
 }
 
 impl Request {
-    /// The target without its query.
+    /// Returns the target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 }
 
-/// A request as it came over a connection.
+/// A request read from a connection.
 pub(super) struct ReceivedRequest {
     pub request: Request,
-    /// The client asks for the connection to be closed after the response.
-    pub close: bool,
+    /// Whether the client asks for the connection to be closed after the response.
+    pub is_close_requested: bool,
 }
 
 struct RequestHead {
@@ -40,8 +41,9 @@
     framing: Framing,
 }
 
-/// Takes a request off the front of `buffer`, reading what is missing from the connection with
-/// that number. Its body may have up to `max_body` bytes.
+/// Removes a request from the start of `buffer` and returns it, reading from `stream` until the
+/// request is complete. The body may have up to `max_body` bytes; `connection` is the ordinal
+/// number of the connection.
 pub(super) async fn read_request(
     stream: &mut Stream,
     buffer: &mut Vec<u8>,
@@ -49,24 +51,25 @@
     connection: u64,
 ) -> Result<ReceivedRequest, ReadError> {
     let RequestHead { method, target, framing } =
-        message::read_head(stream, buffer, parse_head).await?;
-    if framing.expects_continue {
-        stream.write_all(CONTINUE).await?;
+        message::read_head(stream, buffer, parse_request_head).await?;
+    if framing.has_expect_continue {
+        stream.write_all(CONTINUE_RESPONSE).await?;
     }
-    // A request without a length has no body.
-    let framing = Framing { length: framing.length.or(Some(0)), ..framing };
+    // A request without `Content-Length` and transfer encoding has no body.
+    let content_length = framing.content_length.or(Some(0));
+    let framing = Framing { content_length, ..framing };
     let body = message::read_body(stream, buffer, framing, max_body).await?;
     let request = Request { method, target, body, connection };
-    Ok(ReceivedRequest { request, close: framing.close })
+    Ok(ReceivedRequest { request, is_close_requested: framing.has_connection_close })
 }
 
-/// The head at the front of `bytes`; none while it is incomplete.
-fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead<RequestHead>>, ReadError> {
+/// Parses the request head at the start of `bytes`. Returns `None` if the head is incomplete.
+fn parse_request_head(bytes: &[u8]) -> Result<Option<ParsedHead<RequestHead>>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
-            let framing = message::framing(parsed.headers)?;
+            let framing = message::parse_framing(parsed.headers)?;
             let method = parsed.method.unwrap_or("").to_owned();
             let target = parsed.path.unwrap_or("").to_owned();
             Ok(Some(ParsedHead { head: RequestHead { method, target, framing }, length }))
--- a/crates/http/src/server/response.rs
+++ b/crates/http/src/server/response.rs
@@ -1,36 +1,37 @@
-//! Responses, and how they are written.
+//! Responses of the server, and their encoding.
 
 use std::fmt::Write as _;
 
-/// An answer.
+/// A response to a request.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body, JSON.
+    /// JSON body.
     pub body: Vec<u8>,
-    /// Seconds after which the client should come back.
-    pub retry_after: Option<u64>,
+    /// Value of the `Retry-After` header, in seconds.
+    pub retry_after_s: Option<u64>,
 }
 
 impl Response {
-    /// An answer without `Retry-After`.
+    /// Creates a response without a `Retry-After` header.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
-        Self { status, body, retry_after: None }
+        Self { status, body, retry_after_s: None }
     }
 
-    /// The whole message; with `close` it says that the connection ends after it.
-    pub(super) fn encode(&self, close: bool) -> Vec<u8> {
+    /// Encodes the response as an HTTP message, with the header `Connection: close` if `must_close`
+    /// is set.
+    pub(super) fn encode(&self, must_close: bool) -> Vec<u8> {
         let mut head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
             self.status,
             reason_phrase(self.status),
             self.body.len()
         );
-        if let Some(seconds) = self.retry_after {
+        if let Some(seconds) = self.retry_after_s {
             let _ = write!(head, "Retry-After: {seconds}\r\n");
         }
-        if close {
+        if must_close {
             head.push_str("Connection: close\r\n");
         }
         head.push_str("\r\n");
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -1,8 +1,8 @@
-//! Requests to the state service.
+//! Client of the state service's HTTP interface.
 
 use crate::error::StateError;
 use crate::rate_limiter::{RateLimiter, RequestClass};
-use corkfield_http::{Client, ConnectionSizing, MalformedReply, Network, Reply};
+use corkfield_http::{Client, ClientResponse, ConnectionSizing, Network, UnexpectedResponse};
 use corkfield_wire::store::{
     Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction, PATH_KEYS,
     PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
@@ -13,50 +13,59 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections, for all requests of the limits while answers take a good part of a second.
-const CONNECTIONS: ConnectionSizing = ConnectionSizing { request_s: 0.3, least: 96, most: 1024 };
-/// Keys that one page of a list holds at most.
-const PAGE_KEYS: u32 = 1000;
-/// An answer that takes longer is given up.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// This controller's part of the limits until it is told another.
-const INITIAL_BUDGET: RateBudget = RateBudget { requests: 0.2, writes: 0.2, burst_s: 2.5 };
-
-/// The parts of the service's limits that this controller may use.
+/// Sizing of the connections: enough for the full request rate if each response takes 0.3 seconds.
+const CONNECTION_SIZING: ConnectionSizing =
+    ConnectionSizing { request_duration_s: 0.3, min_connections: 96, max_connections: 1024 };
+/// Maximum number of keys in one page of a list.
+const MAX_PAGE_KEYS: u32 = 1000;
+/// Time within which a response must be received.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// This controller's share of the limits until [`StateClient::set_budget`] is called.
+const INITIAL_BUDGET: RateBudget =
+    RateBudget { request_share: 0.2, write_share: 0.2, write_burst_s: 2.5 };
+
+/// This controller's share of the state service's rate limits.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBudget {
-    /// Part of the requests a second, 0 to 1.
-    pub requests: f64,
-    /// Part of the changes a second, 0 to 1.
-    pub writes: f64,
-    /// Seconds' worth of changes that may come at once.
-    pub burst_s: f64,
+    /// Share of the requests per second, from 0 to 1.
+    pub request_share: f64,
+    /// Share of the writes per second, from 0 to 1.
+    pub write_share: f64,
+    /// Maximum burst of writes: as many as this share allows in this number of seconds.
+    pub write_burst_s: f64,
 }
 
-/// Speaks to the state service, within a part of its limits.
+/// Sends requests to the state service within this controller's share of the rate limits.
 pub struct StateClient {
     http: Client,
-    requests: RateLimiter,
-    writes: RateLimiter,
-    /// The service's limits for all controllers together, a second.
+    request_limiter: RateLimiter,
+    write_limiter: RateLimiter,
+    /// The service's limit for all controllers together, in requests per second.
     rps: f64,
+    /// The service's limit for all controllers together, in writes per second.
     write_rps: f64,
 }
 
 impl StateClient {
-    /// `rps` and `write_rps` are the service's limits for all controllers together; no answer
-    /// above `max_answer` bytes is read.
+    /// Creates a client of the state service at `addr`. `rps` and `write_rps` are the service's
+    /// limits for all controllers together; a response with a body above `max_response` bytes is
+    /// an error.
     pub fn new(
         network: Rc<dyn Network>,
         addr: SocketAddr,
         rps: f64,
         write_rps: f64,
-        max_answer: usize,
+        max_response: usize,
     ) -> Self {
         let client = Self {
-            http: Client::new(network, addr, CONNECTIONS.for_rate(rps), max_answer),
-            requests: RateLimiter::new(rps, rps),
-            writes: RateLimiter::new(write_rps, write_rps / 2.0),
+            http: Client::new(
+                network,
+                addr,
+                CONNECTION_SIZING.connections_for_rate(rps),
+                max_response,
+            ),
+            request_limiter: RateLimiter::new(rps, rps),
+            write_limiter: RateLimiter::new(write_rps, write_rps / 2.0),
             rps,
             write_rps,
         };
@@ -64,113 +73,119 @@
         client
     }
 
-    /// Sets this controller's part of the limits.
+    /// Sets this controller's share of the rate limits.
     pub fn set_budget(&self, budget: RateBudget) {
-        let requests = self.rps * budget.requests;
-        let writes = self.write_rps * budget.writes;
-        self.requests.set_rate(requests, requests);
-        self.writes.set_rate(writes, writes * budget.burst_s);
+        let request_rate = self.rps * budget.request_share;
+        let write_rate = self.write_rps * budget.write_share;
+        self.request_limiter.set_rate(request_rate, request_rate);
+        self.write_limiter.set_rate(write_rate, write_rate * budget.write_burst_s);
     }
 
-    /// Reads one key; `None` if it doesn't exist.
+    /// Reads one key; returns `None` if the key does not exist.
     ///
     /// # Errors
     ///
-    /// If the request is refused, has no answer or a malformed one.
+    /// Returns an error if the request is refused, or has no response or an unexpected one.
     pub async fn get(&self, class: RequestClass, key: &str) -> Result<Option<Item>, StateError> {
         let target = format!("{PATH_KEYS}/{key}");
-        let reply = self.read(class, &target, ANSWER_TIMEOUT).await?;
-        match reply.status {
+        let response = self.send_get(class, &target, RESPONSE_TIMEOUT).await?;
+        match response.status {
             404 => Ok(None),
-            _ => Ok(Some(reply.success()?)),
+            _ => Ok(Some(response.decode_success()?)),
         }
     }
 
-    /// All keys with a prefix, and the revision that the first page was read at. Changes after
-    /// that revision may or may not be contained: follow them with [`Self::changes`].
+    /// Lists all keys with a prefix, page by page. Returns them with the revision at which the
+    /// first page was read. Later pages may already contain changes after that revision; read these
+    /// changes with [`Self::watch`].
     ///
     /// # Errors
     ///
-    /// If the request for any page is refused, has no answer or a malformed one.
+    /// Returns an error if the request for any page is refused, or has no response or an unexpected
+    /// one.
     pub async fn list(
         &self,
         class: RequestClass,
         prefix: &str,
     ) -> Result<(Vec<Item>, Revision), StateError> {
         let mut items: Vec<Item> = Vec::new();
-        let mut first_revision = None;
+        let mut first_page_revision = None;
         loop {
             let after = items.last().map(|item| format!("&after={}", item.key)).unwrap_or_default();
-            let target = format!("{PATH_KEYS}?prefix={prefix}{after}&limit={PAGE_KEYS}");
-            let page: Page = self.read(class, &target, ANSWER_TIMEOUT).await?.success()?;
-            let revision = *first_revision.get_or_insert(page.revision);
-            let is_empty = page.items.is_empty();
+            let target = format!("{PATH_KEYS}?prefix={prefix}{after}&limit={MAX_PAGE_KEYS}");
+            let page: Page =
+                self.send_get(class, &target, RESPONSE_TIMEOUT).await?.decode_success()?;
+            let revision = *first_page_revision.get_or_insert(page.revision);
+            let is_page_empty = page.items.is_empty();
             items.extend(page.items);
-            if !page.more || is_empty {
+            if !page.more || is_page_empty {
                 return Ok((items, revision));
             }
         }
     }
 
-    /// Carries out a conditional transaction, and gives its revision.
+    /// Commits a conditional transaction and returns its revision.
     ///
     /// # Errors
     ///
-    /// [`StateError::Conflict`] and [`StateError::NoSuchLease`] say that it was not carried out;
-    /// after [`StateError::NoAnswer`] it may have been, or may be later on (S10).
-    pub async fn transaction(
+    /// After [`StateError::Conflict`] and [`StateError::NoSuchLease`] the transaction was not
+    /// executed. After [`StateError::NoResponse`] the transaction may have been executed, or may
+    /// still be executed later (S10).
+    pub async fn commit(
         &self,
         class: RequestClass,
         transaction: &Transaction,
     ) -> Result<Revision, StateError> {
-        let writes = transaction.changes.len() as f64;
-        if writes > 0.0 {
-            self.writes.take(class, writes).await;
+        let write_count = transaction.changes.len() as f64;
+        if write_count > 0.0 {
+            self.write_limiter.acquire(class, write_count).await;
         }
-        let body = encode(transaction)?;
-        let reply = self.send(class, PATH_TXN, &body, ANSWER_TIMEOUT).await?;
-        match reply.status {
-            409 => Err(StateError::Conflict(reply.json::<Failed>()?.failed)),
-            400 if reply.body_contains("no such lease") => Err(StateError::NoSuchLease),
-            _ => Ok(reply.success::<RevisionAnswer>()?.revision),
+        let body = encode_json(transaction)?;
+        let response = self.send_post(class, PATH_TXN, &body, RESPONSE_TIMEOUT).await?;
+        match response.status {
+            409 => Err(StateError::Conflict(response.decode_json::<Failed>()?.failed)),
+            400 if response.body_contains("no such lease") => Err(StateError::NoSuchLease),
+            _ => Ok(response.decode_success::<RevisionAnswer>()?.revision),
         }
     }
 
-    /// Takes a lease, and gives its number.
+    /// Requests a new lease with this time to live and returns its id.
     ///
     /// # Errors
     ///
-    /// If the request is refused, has no answer or a malformed one.
-    pub async fn grant(&self, ttl: Duration) -> Result<u64, StateError> {
+    /// Returns an error if the request is refused, or has no response or an unexpected one.
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StateError> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let body = encode(&GrantRequest { ttl_ms })?;
-        let reply = self.send(RequestClass::Lease, PATH_LEASES, &body, ANSWER_TIMEOUT).await?;
-        Ok(reply.success::<Grant>()?.lease)
+        let body = encode_json(&GrantRequest { ttl_ms })?;
+        let response =
+            self.send_post(RequestClass::Lease, PATH_LEASES, &body, RESPONSE_TIMEOUT).await?;
+        Ok(response.decode_success::<Grant>()?.lease)
     }
 
-    /// Renews a lease; waits for the answer for at most `limit`.
+    /// Renews the lease with this id. Waits for the response for at most `time_limit`.
     ///
     /// # Errors
     ///
-    /// [`StateError::NoSuchLease`] if it has ended; otherwise if the request is refused, has no
-    /// answer or an unexpected one.
-    pub async fn renew(&self, lease: u64, limit: Duration) -> Result<(), StateError> {
+    /// Returns [`StateError::NoSuchLease`] if the lease has expired, and an error if the request is
+    /// refused, or has no response or an unexpected one.
+    pub async fn renew_lease(&self, lease: u64, time_limit: Duration) -> Result<(), StateError> {
         let target = format!("{PATH_LEASES}/{lease}/{PATH_RENEW}");
-        let reply = self.send(RequestClass::Lease, &target, b"", limit).await?;
-        match reply.status {
+        let response = self.send_post(RequestClass::Lease, &target, b"", time_limit).await?;
+        match response.status {
             200 => Ok(()),
             404 => Err(StateError::NoSuchLease),
-            status => Err(MalformedReply::Status(status).into()),
+            status => Err(UnexpectedResponse::Status(status).into()),
         }
     }
 
-    /// Changes after a revision; waits up to `wait` for the first.
+    /// Returns the changes of keys with this prefix after a revision. Waits up to `wait` for the
+    /// first change.
     ///
     /// # Errors
     ///
-    /// [`StateError::TooOld`] if the keys have to be read anew; otherwise if the request is
-    /// refused, has no answer or a malformed one.
-    pub async fn changes(
+    /// Returns [`StateError::RevisionTooOld`] if the caller must list the keys again, and an error
+    /// if the request is refused, or has no response or an unexpected one.
+    pub async fn watch(
         &self,
         class: RequestClass,
         prefix: &str,
@@ -179,55 +194,60 @@
     ) -> Result<Events, StateError> {
         let wait_ms = wait.as_millis();
         let target = format!("{PATH_WATCH}?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let reply = match self.read(class, &target, wait + ANSWER_TIMEOUT).await {
-            Err(error) if error.is_too_large() => return Err(StateError::TooOld),
-            reply => reply?,
+        let response = match self.send_get(class, &target, wait + RESPONSE_TIMEOUT).await {
+            Err(error) if error.is_response_too_large() => return Err(StateError::RevisionTooOld),
+            result => result?,
         };
-        match reply.status {
-            410 => Err(StateError::TooOld),
-            _ => Ok(reply.success()?),
+        match response.status {
+            410 => Err(StateError::RevisionTooOld),
+            _ => Ok(response.decode_success()?),
         }
     }
 
-    async fn read(
+    async fn send_get(
         &self,
         class: RequestClass,
         target: &str,
-        limit: Duration,
-    ) -> Result<Reply, StateError> {
-        self.request(class, "GET", target, b"", limit).await
+        time_limit: Duration,
+    ) -> Result<ClientResponse, StateError> {
+        self.request(class, "GET", target, b"", time_limit).await
     }
 
-    async fn send(
+    async fn send_post(
         &self,
         class: RequestClass,
         target: &str,
         body: &[u8],
-        limit: Duration,
-    ) -> Result<Reply, StateError> {
-        self.request(class, "POST", target, body, limit).await
+        time_limit: Duration,
+    ) -> Result<ClientResponse, StateError> {
+        self.request(class, "POST", target, body, time_limit).await
     }
 
-    /// Waits for the budget, then makes the request.
+    /// Waits until the rate budget allows the request, then sends it.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StateError::Refused`] if the service did not execute the request, and
+    /// [`StateError::NoResponse`] if no response was received.
     async fn request(
         &self,
         class: RequestClass,
         method: &str,
         target: &str,
         body: &[u8],
-        limit: Duration,
-    ) -> Result<Reply, StateError> {
-        self.requests.take(class, 1.0).await;
-        let reply = self.http.request(method, target, body, limit).await?;
-        if reply.is_refusal() {
-            return Err(StateError::Refused(reply.status));
+        time_limit: Duration,
+    ) -> Result<ClientResponse, StateError> {
+        self.request_limiter.acquire(class, 1.0).await;
+        let response = self.http.request(method, target, body, time_limit).await?;
+        if response.is_refusal() {
+            return Err(StateError::Refused(response.status));
         }
-        Ok(reply)
+        Ok(response)
     }
 }
 
-fn encode(body: &impl Serialize) -> Result<Vec<u8>, StateError> {
-    serde_json::to_vec(body).map_err(StateError::MalformedRequest)
+fn encode_json(body: &impl Serialize) -> Result<Vec<u8>, StateError> {
+    serde_json::to_vec(body).map_err(StateError::UnencodableRequest)
 }
 
 #[cfg(test)]
--- a/crates/state/src/client/tests.rs
+++ b/crates/state/src/client/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the client module.
+//! Tests of the client with responses above its maximum size.
 
 use super::*;
 use corkfield_http::{serve, Limits, Request, Response, Tcp};
 
-/// A state service whose changes are larger than the client takes.
-async fn start_service(changes: usize) -> SocketAddr {
+/// Starts a state service whose responses to a watch have a padding of `padding` bytes.
+async fn start_service(padding: usize) -> SocketAddr {
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let probe = std::net::TcpListener::bind(addr).unwrap();
     let addr = probe.local_addr().unwrap();
@@ -13,7 +13,7 @@
     let handler = move |request: Request| async move {
         let body = match request.path() {
             PATH_WATCH => {
-                format!("{{\"generation\":9,\"log\":[],\"pad\":\"{}\"}}", "x".repeat(changes))
+                format!("{{\"generation\":9,\"log\":[],\"pad\":\"{}\"}}", "x".repeat(padding))
             }
             _ => "{\"items\":[],\"truncated\":false,\"generation\":9}".to_owned(),
         };
@@ -23,18 +23,22 @@
     addr
 }
 
-async fn changes_of(size: usize) -> Result<Events, StateError> {
-    let addr = start_service(size).await;
+/// Watches a state service whose responses have a padding of `padding` bytes.
+async fn watch_with_padding(padding: usize) -> Result<Events, StateError> {
+    let addr = start_service(padding).await;
     let client = StateClient::new(Rc::new(Tcp), addr, 100.0, 40.0, 1024 * 1024);
-    assert!(client.list(RequestClass::Claim, "c/").await.is_ok(), "pages can be read");
-    client.changes(RequestClass::Claim, "c/", Revision::new(1), Duration::ZERO).await
+    assert!(client.list(RequestClass::Claim, "c/").await.is_ok(), "listing the keys still works");
+    client.watch(RequestClass::Claim, "c/", Revision::new(1), Duration::ZERO).await
 }
 
 #[test]
-fn changes_too_large_to_be_taken_are_read_anew_like_those_no_longer_kept() {
+fn a_watch_response_above_the_maximum_size_is_reported_as_revision_too_old() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        assert!(changes_of(1000).await.is_ok());
-        assert!(matches!(changes_of(2 * 1024 * 1024).await, Err(StateError::TooOld)));
+        assert!(watch_with_padding(1000).await.is_ok());
+        assert!(matches!(
+            watch_with_padding(2 * 1024 * 1024).await,
+            Err(StateError::RevisionTooOld)
+        ));
     });
 }
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -1,37 +1,39 @@
-//! What a request to the state service can come to.
+//! Errors of requests to the state service.
 
-use corkfield_http::{ClientError, MalformedReply, ReadError};
+use corkfield_http::{ClientError, ReadError, UnexpectedResponse};
 
-/// Why a request to the state service did not succeed.
+/// Why a request to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// These keys have other versions than the transaction requires.
+    /// The transaction was not executed: these keys have other versions than it requires.
     #[error("conditions failed: {0:?}")]
     Conflict(Vec<String>),
-    /// The lease has ended.
+    /// The lease has expired or does not exist.
     #[error("no such lease")]
     NoSuchLease,
-    /// The changes after that revision are no longer kept, or are too many for one answer: the
-    /// keys have to be read anew.
+    /// The state service no longer has the changes after the revision, or they exceed the maximum
+    /// size of one response. The caller must list the keys again.
     #[error("revision is too old to watch from")]
-    TooOld,
-    /// The request was surely not executed: it can't be written as JSON.
-    #[error("request can't be written: {0}")]
-    MalformedRequest(#[source] serde_json::Error),
-    /// The request was surely not executed.
+    RevisionTooOld,
+    /// The request was not sent, because it can't be encoded as JSON.
+    #[error("request can't be encoded: {0}")]
+    UnencodableRequest(#[source] serde_json::Error),
+    /// The service rejected the request with this status and did not execute it.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// The request may have been executed, or may be executed later on.
-    #[error("no answer: {0}")]
-    NoAnswer(#[from] ClientError),
-    /// The answer can't be read.
-    #[error("malformed answer of the state service: {0}")]
-    MalformedAnswer(#[from] MalformedReply),
+    /// No valid HTTP response was received. The request may have been executed, or may still be
+    /// executed later.
+    #[error("no response: {0}")]
+    NoResponse(#[from] ClientError),
+    /// The response has an unexpected status or body.
+    #[error("unexpected response of the state service: {0}")]
+    UnexpectedResponse(#[from] UnexpectedResponse),
 }
 
 impl StateError {
-    /// An answer that is too large to be taken: the keys have to be read page by page.
-    pub(crate) fn is_too_large(&self) -> bool {
-        matches!(self, Self::NoAnswer(ClientError::Read(ReadError::BodyTooLarge)))
+    /// Returns whether the response exceeds the client's maximum size. The caller must list the
+    /// keys instead, page by page.
+    pub(crate) fn is_response_too_large(&self) -> bool {
+        matches!(self, Self::NoResponse(ClientError::Read(ReadError::BodyTooLarge)))
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The state service's client: leases, transactions, watches, all within a request budget.
+//! Client of the state service: reads, transactions, watches and leases within a rate budget.
 //!
-//! Architecture invariant: every request of a controller to the state service passes a
-//! [`RateLimiter`], so that lease renewals never wait behind anything else.
+//! Architecture invariant: every request of a controller to the state service passes through a
+//! [`RateLimiter`], so that lease renewals never wait behind less important requests.
 #![forbid(unsafe_code)]
 
 mod client;
