--- a/crates/http/src/server/connections.rs
+++ b/crates/http/src/server/connections.rs
@@ -11,7 +11,7 @@
     limits: Limits,
     /// Number of connections that are open now.
     open: Cell<usize>,
-    /// Number of connections accepted since the server started.
+    /// Number of connections opened so far, without those closed because of the connection limit.
     accepted: Cell<u64>,
     /// Number of open connections that have requested a path other than
     /// [`Limits::reserved_path`].
--- a/crates/state/src/rate_limiter.rs
+++ b/crates/state/src/rate_limiter.rs
@@ -23,7 +23,7 @@
 /// housekeeping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// Granting and renewing leases.
+    /// Granting and renewing leases, and other requests that must not wait behind the rest.
     Lease,
     /// Claims of jobs, and reads that other work waits for.
     Claim,
