--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -177,7 +177,7 @@
         let attempt = job.next_attempt();
         if machine.tasks.is_empty() {
             // Its heartbeat may be waiting for an answer.
-            self.actions.push(Action::Answer(machine.name.clone()));
+            self.actions.push(Action::SendHeldAnswer(machine.name.clone()));
         }
         let index = task.index;
         machine.assign(task, attempt, job, self.now);
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -11,7 +11,7 @@
 use crate::float_order::compare;
 use crate::job::Job;
 use crate::machine::TaskAttempt;
-use crate::scheduler::direct_orders;
+use crate::scheduler::direct_orders_action;
 use crate::team::{within_guarantee, Usage};
 use corkfield_wire::{JobId, MachineName};
 use rand::seq::index;
@@ -180,7 +180,7 @@
                 self.cluster.jobs.get(&key.task.job).map_or(Duration::ZERO, Job::stop_grace);
             orders.extend(machine.stop(&key, grace));
         }
-        self.actions.push(direct_orders(machine, orders));
+        self.actions.push(direct_orders_action(machine, orders));
     }
 }
 
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -159,9 +159,9 @@
         let decisions = self.scaling.scale(&mut self.cluster, reconciled, now);
         for drained in decisions.drained {
             if let Some(message) = drained.reason.message() {
-                self.note_machine_event(drained.name.as_str(), message);
+                self.log_machine_event(drained.name.as_str(), message);
             }
         }
-        self.actions.extend(decisions.rentals.into_iter().map(Action::Rent));
+        self.actions.extend(decisions.rentals.into_iter().map(Action::RentMachines));
     }
 }
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// A heartbeat whose answer is held back should be answered now.
-    Answer(MachineName),
+    SendHeldAnswer(MachineName),
     /// Orders that are safe at any time (stops), straight to the machine.
-    Direct {
+    SendDirectOrders {
         /// The machine's name.
         machine: MachineName,
         /// Where its worker takes direct orders.
@@ -23,13 +23,13 @@
         orders: Vec<Order>,
     },
     /// The key-value store has to know the machine before anything starts on it.
-    Record(MachineName, MachineRecord),
+    StoreMachineRecord(MachineName, MachineRecord),
     /// The machine is surely gone, and its record with it.
-    Erase(MachineName),
+    DeleteMachineRecord(MachineName),
     /// Machines should be rented.
-    Rent(RentRequest),
+    RentMachines(RentRequest),
     /// Machines should be returned.
-    Delete(Vec<MachineName>),
+    DeleteMachines(Vec<MachineName>),
 }
 
 /// What is sent straight to a machine.
@@ -55,8 +55,8 @@
 }
 
 /// Orders that go straight to a machine, for its worker's current agent epoch.
-pub(crate) fn direct_orders(machine: &Machine, orders: Vec<Order>) -> Action {
-    Action::Direct {
+pub(crate) fn direct_orders_action(machine: &Machine, orders: Vec<Order>) -> Action {
+    Action::SendDirectOrders {
         machine: machine.name.clone(),
         addr: machine.addr.clone(),
         agent_epoch: machine.messages.newest().agent_epoch,
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -33,7 +33,7 @@
     /// Which unfinished jobs are still to be claimed. A failover claims them a few at a time,
     /// and their machines send heartbeats meanwhile: tasks of jobs that are merely not claimed yet
     /// must neither be stopped as nobody's, nor their results be forgotten.
-    pub fn set_unclaimed(&mut self, unclaimed: BTreeSet<JobId>) {
+    pub fn set_unclaimed_jobs(&mut self, unclaimed: BTreeSet<JobId>) {
         self.unclaimed = unclaimed;
     }
 
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -1,6 +1,6 @@
 //! Closing jobs that are over, and stopping their tasks.
 
-use super::{direct_orders, Scheduler};
+use super::{direct_orders_action, Scheduler};
 use crate::cluster::Cluster;
 use crate::job::{JobState, Placed};
 use crate::machine::{Machine, MachineTaskState, TaskAttempt};
@@ -9,9 +9,9 @@
 
 impl Scheduler {
     /// Closes all jobs that are no longer unfinished.
-    pub fn close_all_but(&mut self, unfinished: impl Fn(&JobId) -> bool) {
+    pub fn close_ended_jobs(&mut self, is_unfinished: impl Fn(&JobId) -> bool) {
         let live = self.cluster.jobs.iter().filter(|(_, job)| job.is_live()).map(|(id, _)| id);
-        let over = live.chain(&self.unclaimed).filter(|id| !unfinished(id)).cloned();
+        let over = live.chain(&self.unclaimed).filter(|id| !is_unfinished(id)).cloned();
         for id in over.collect::<Vec<JobId>>() {
             self.close_job(&id);
         }
@@ -28,7 +28,7 @@
         }
         tracing::debug!(job = %id, "job closed");
         self.stop_job(id);
-        self.remove_if_closed(id);
+        self.remove_job_if_closed(id);
     }
 
     /// Stops all tasks of a job, and takes back those that no order has left for yet.
@@ -36,14 +36,14 @@
         for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             let stops = stop_tasks_of(machine, id);
             if !stops.is_empty() && machine.messages.newest().agent_epoch > AgentEpoch::default() {
-                self.actions.push(direct_orders(machine, stops));
+                self.actions.push(direct_orders_action(machine, stops));
             }
         }
-        self.release_unknown_tasks(id);
+        self.release_missing_tasks(id);
     }
 
     /// Takes a job's tasks off machines that do not have them (any more).
-    fn release_unknown_tasks(&mut self, id: &JobId) {
+    fn release_missing_tasks(&mut self, id: &JobId) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(job) = jobs.get_mut(id) else {
             return;
@@ -62,7 +62,7 @@
     }
 
     /// Forgets a job that is over, or another's, once none of its tasks is on a machine.
-    pub(super) fn remove_if_closed(&mut self, id: &JobId) {
+    pub(super) fn remove_job_if_closed(&mut self, id: &JobId) {
         if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.active().is_empty()) {
             self.cluster.jobs.remove(id);
         }
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -26,7 +26,7 @@
     /// Numbers of the tasks that this stores as done.
     pub tasks: Vec<u32>,
     /// Whether the job is done with it.
-    pub finishes: bool,
+    pub completes_job: bool,
 }
 
 /// Finished tasks of a job that one write can store.
@@ -64,8 +64,8 @@
 impl Scheduler {
     /// Completion commits that are due, those first for which somebody waits, then those that have
     /// waited longest: in the order of their ids, the last of hundreds would never have their
-    /// turn. Each has to be answered with [`Self::completion_committed`] or
-    /// [`Self::completion_commit_failed`].
+    /// turn. Each has to be answered with [`Self::on_completion_committed`] or
+    /// [`Self::on_completion_commit_failed`].
     pub fn due_completion_commits(&mut self, most: usize, now: Instant) -> Vec<CompletionCommit> {
         let due = self.cluster.jobs.values_mut().filter_map(|job| {
             let urgency = job.commit_due(now)?;
@@ -105,7 +105,7 @@
         CompletionCommit {
             job: record.spec.id.clone(),
             version: job.version,
-            finishes: record.done >= record.spec.tasks,
+            completes_job: record.done >= record.spec.tasks,
             record,
             chunks: storable.chunks.into_iter().collect(),
             tasks: storable.tasks,
@@ -113,24 +113,24 @@
     }
 
     /// A completion commit was carried out, at that version.
-    pub fn completion_committed(
+    pub fn on_completion_committed(
         &mut self,
         completion_commit: &CompletionCommit,
         version: Revision,
     ) {
-        let CompletionCommit { job: id, record, tasks, finishes, .. } = completion_commit;
+        let CompletionCommit { job: id, record, tasks, completes_job, .. } = completion_commit;
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.commit_succeeded(record, tasks, version);
-        if *finishes {
+        if *completes_job {
             tracing::debug!(job = %id, tasks = record.done, "job done");
             self.close_job(id);
         }
     }
 
     /// The write may be tried again from the record as it was found, if that is still ours.
-    pub fn completion_commit_failed(
+    pub fn on_completion_commit_failed(
         &mut self,
         id: &JobId,
         found: Option<(JobRecord, TaskSet, Revision)>,
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -23,7 +23,7 @@
     /// A machine on which an earlier leader may have started tasks. Nothing that was claimed
     /// before is started until it has sent a heartbeat under our term, or is gone, or its worker's
     /// lease has expired. `age` is the time since the record was written, at the least.
-    pub fn recorded_machine(
+    pub fn add_recorded_machine(
         &mut self,
         name: &str,
         record: &MachineRecord,
@@ -71,7 +71,7 @@
     }
 
     /// Direct orders, or a question, leave for a machine. It has to be followed by
-    /// [`Self::on_direct_orders_answer`] or [`Self::direct_exchange_failed`].
+    /// [`Self::on_direct_orders_answer`] or [`Self::on_direct_exchange_failed`].
     pub fn begin_direct_exchange(
         &mut self,
         name: &str,
@@ -103,14 +103,14 @@
         let origin = MessageOrigin::DirectAnswer { asked_at: exchange.asked_at };
         let verdict = self.on_heartbeat(heartbeat, origin, now);
         if MessageNumber::from(heartbeat) <= exchange.known {
-            self.return_restarted(heartbeat.machine.as_str());
+            self.return_restarted_machine(heartbeat.machine.as_str());
         }
         verdict
     }
 
     /// Direct orders, or a question, have no answer that can be used.
-    pub fn direct_exchange_failed(&mut self, name: &str, exchange: DirectExchange) {
-        self.direct_orders_unanswered(name);
+    pub fn on_direct_exchange_failed(&mut self, name: &str, exchange: DirectExchange) {
+        self.on_direct_orders_unanswered(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             if exchange.may_expose_term {
                 machine.exchanges.exposure.end_direct_orders(false);
@@ -132,26 +132,26 @@
             }
         }
         for name in returned {
-            self.return_at_once(name.as_str(), "what it holds is in doubt; machine returned");
+            self.return_machine(name.as_str(), "what it holds is in doubt; machine returned");
         }
     }
 
     /// A worker that restarts its numbering has lost all its tasks, and its numbers no longer tell
     /// old heartbeats from new ones. So it is not trusted again: the machine is returned.
-    pub(super) fn return_restarted(&mut self, name: &str) {
-        self.return_at_once(name, "worker restarted its numbering; machine returned");
+    pub(super) fn return_restarted_machine(&mut self, name: &str) {
+        self.return_machine(name, "worker restarted its numbering; machine returned");
     }
 
     /// Returns a machine at once, with all that it may hold; the answered deletion shows that
     /// nothing of it runs any more (S5b).
-    fn return_at_once(&mut self, name: &str, reason: &'static str) {
+    fn return_machine(&mut self, name: &str, reason: &'static str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if machine.state() != MachineState::Deleting {
             machine.enter(MachineState::Deleting);
             self.last_delete = None;
-            self.note_machine_event(name, reason);
+            self.log_machine_event(name, reason);
         }
     }
 
@@ -159,7 +159,7 @@
     /// leases expire or the list drops them half a minute later. Returned ones are surely gone
     /// (S5b), so those few are given up. Where many are silent it is more likely a zone, or this
     /// controller, that is cut off: then their tasks are worth the wait.
-    pub(super) fn give_up_unreconciled(&mut self, now: Instant) {
+    pub(super) fn advance_reconciliation(&mut self, now: Instant) {
         let Some(waited) = self.reconciliation.waited(now) else {
             return;
         };
@@ -175,13 +175,13 @@
         if waited < grace || !self.reconciliation.is_quiet(now) || self.reconciliation.len() > few {
             return;
         }
-        for name in self.silent_unreconciled() {
-            self.return_at_once(name.as_str(), "no answer after the failover; machine returned");
+        for name in self.unresponsive_machines() {
+            self.return_machine(name.as_str(), "no answer after the failover; machine returned");
         }
     }
 
     /// Unreconciled machines that did not answer several questions in a row.
-    fn silent_unreconciled(&self) -> Vec<MachineName> {
+    fn unresponsive_machines(&self) -> Vec<MachineName> {
         let is_silent = |name: &&MachineName| {
             let machine = self.cluster.machines.get(*name);
             machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
@@ -190,7 +190,7 @@
     }
 
     /// A machine did not answer direct orders in time.
-    pub fn direct_orders_unanswered(&mut self, name: &str) {
+    pub fn on_direct_orders_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.note_unanswered();
         }
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -53,7 +53,7 @@
         let backs_off = job.failures.call_for_back_off();
         if machine.health.is_faulty(job_completes) && machine.state() == MachineState::Up {
             machine.enter(MachineState::Draining);
-            self.note_machine_event(name, "machine fails its tasks; drained and returned");
+            self.log_machine_event(name, "machine fails its tasks; drained and returned");
         }
         if backs_off {
             self.back_off_job(id, now);
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -1,16 +1,16 @@
 //! Workers' heartbeats: which of them count, and what they prove.
 
-mod absences;
+mod absent_tasks;
 mod exits;
 mod run_times;
 mod task_status;
 
-use super::{direct_orders, Action, Scheduler};
+use super::{direct_orders_action, Action, Scheduler};
 use crate::cluster::Cluster;
 use crate::machine::{
     Doubt, Evidence, Machine, MachineTaskState, MessageNumber, MessageOrigin, TaskAttempt,
 };
-use absences::Absences;
+use absent_tasks::Absences;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
 use corkfield_wire::Term;
 use std::time::{Duration, Instant};
@@ -78,7 +78,7 @@
         if machine.messages.has_shown_higher_term(heartbeat.term)
             || machine.has_lost_one_of(&absent, heartbeat.agent_epoch)
         {
-            self.return_restarted(heartbeat.machine.as_str());
+            self.return_restarted_machine(heartbeat.machine.as_str());
             return Verdict::Stale;
         }
         if heartbeat.term == our_term {
@@ -123,7 +123,7 @@
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.lease.resume(receipt.now);
             if let Some(record) = machine.begin_recording() {
-                self.actions.push(Action::Record(name.clone(), record));
+                self.actions.push(Action::StoreMachineRecord(name.clone(), record));
             }
         }
         self.sync_tasks(heartbeat, receipt);
@@ -174,7 +174,7 @@
         let stops: Vec<Order> =
             saving.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
         if !stops.is_empty() {
-            self.actions.push(direct_orders(machine, stops));
+            self.actions.push(direct_orders_action(machine, stops));
         }
     }
 }
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -133,7 +133,7 @@
                 LiveTask::Unwanted => machine_task.stop_at_once(),
             },
         }
-        self.remove_if_closed(&key.task.job);
+        self.remove_job_if_closed(&key.task.job);
         start_taken
     }
 
--- a/crates/core/src/scheduler/job_states.rs
+++ b/crates/core/src/scheduler/job_states.rs
@@ -28,7 +28,7 @@
         let before = job.start_generation();
         change(job);
         if before.is_some() && before != job.start_generation() {
-            self.take_back_assigned_tasks_of(id);
+            self.unassign_tasks_of(id);
         }
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Takes a job's assigned tasks off their machines: they wait again.
-    fn take_back_assigned_tasks_of(&mut self, id: &JobId) {
+    fn unassign_tasks_of(&mut self, id: &JobId) {
         for AssignedTask { machine, key } in self.assigned_tasks_of(id) {
             self.release_task(machine.as_str(), &key);
         }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -12,7 +12,7 @@
 
 impl Scheduler {
     /// Takes over the cloud's machine types, also for machines known already.
-    pub fn set_types(&mut self, types: Vec<MachineType>) {
+    pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         for machine in self.cluster.machines.values_mut() {
             machine.update_size(&types);
         }
@@ -20,7 +20,7 @@
     }
 
     /// Drains a machine: it gets no new tasks, and is returned once it is empty.
-    pub fn drain(&mut self, name: &str) {
+    pub fn drain_machine(&mut self, name: &str) {
         self.cluster.drain(name);
     }
 
@@ -50,7 +50,7 @@
         if let Some(job) = self.cluster.jobs.get_mut(&task.job) {
             job.release(task.index, name, *attempt);
         }
-        self.remove_if_closed(&task.job);
+        self.remove_job_if_closed(&task.job);
     }
 
     /// Takes those tasks off a machine that surely no longer has them (S5).
@@ -66,12 +66,12 @@
     }
 
     /// The machine is surely gone, and all that was on it (S5b).
-    fn machine_gone(&mut self, name: &str) {
+    fn remove_machine(&mut self, name: &str) {
         self.release_tasks(name, |_| true);
         if let Some(machine) = self.cluster.machines.remove(name) {
             tracing::debug!(machine = name, "machine gone");
             if machine.recorded != Recorded::No {
-                self.actions.push(Action::Erase(MachineName::from(name)));
+                self.actions.push(Action::DeleteMachineRecord(MachineName::from(name)));
             }
         }
         self.reconciliation.remove(name);
@@ -81,7 +81,7 @@
     /// A deletion was answered with 200.
     pub fn on_machines_deleted(&mut self, names: &[MachineName]) {
         for name in names {
-            self.machine_gone(name.as_str());
+            self.remove_machine(name.as_str());
         }
     }
 
@@ -100,7 +100,7 @@
         let missing: Vec<MachineName> = missing.map(|machine| machine.name.clone()).collect();
         for name in missing {
             tracing::debug!(machine = %name, "machine no longer listed");
-            self.machine_gone(name.as_str());
+            self.remove_machine(name.as_str());
         }
     }
 
@@ -111,8 +111,8 @@
         }
         if entry.state == ListedState::Failed {
             if self.cluster.machines.contains_key(&entry.name) {
-                self.machine_gone(entry.name.as_str());
-                self.actions.push(Action::Delete(vec![entry.name.clone()]));
+                self.remove_machine(entry.name.as_str());
+                self.actions.push(Action::DeleteMachines(vec![entry.name.clone()]));
             }
             return;
         }
@@ -124,7 +124,7 @@
 
     /// Requests the deletion of drained machines that are empty, and, from time to time, once more
     /// of all that were to be deleted and are still there.
-    pub(super) fn delete_machines(&mut self, now: Instant) {
+    pub(super) fn request_deletions(&mut self, now: Instant) {
         let retry = self.last_delete.is_none_or(|at| now.duration_since(at) >= DELETE_RETRY);
         let mut delete = Vec::new();
         for machine in self.cluster.machines.values_mut() {
@@ -139,7 +139,7 @@
             self.last_delete = Some(now);
         }
         for names in delete.chunks(MAX_DELETE) {
-            self.actions.push(Action::Delete(names.to_vec()));
+            self.actions.push(Action::DeleteMachines(names.to_vec()));
         }
     }
 }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -8,7 +8,6 @@
 mod closing;
 mod completion_commit;
 mod failover;
-mod gone_machines;
 mod heartbeats;
 mod job_states;
 mod machine_events;
@@ -16,6 +15,7 @@
 mod orders;
 mod overview;
 mod reconciliation;
+mod removed_machines;
 mod tick;
 
 pub use action::{Action, DirectOrderTarget, DirectPurpose};
@@ -23,7 +23,7 @@
 pub use heartbeats::Verdict;
 pub use overview::Overview;
 
-pub(crate) use action::direct_orders;
+pub(crate) use action::direct_orders_action;
 
 use crate::cluster::Cluster;
 use crate::config::Config;
@@ -31,11 +31,11 @@
 use crate::machine::Machine;
 use crate::scaling::Scaling;
 use corkfield_wire::{JobId, Term};
-use gone_machines::GoneMachines;
 use machine_events::MachineEventLog;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use reconciliation::Reconciliation;
+use removed_machines::RemovedMachines;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
@@ -46,7 +46,7 @@
     /// The term under which its orders travel.
     term: Term,
     /// Machines that are gone.
-    gone: GoneMachines,
+    gone: RemovedMachines,
     /// Unfinished jobs that are not claimed yet: their tasks are neither stopped nor forgotten.
     unclaimed: BTreeSet<JobId>,
     /// Machines that have not shown what they hold since the failover (S7).
@@ -73,7 +73,7 @@
         Self {
             cluster: Cluster::new(config),
             term,
-            gone: GoneMachines::default(),
+            gone: RemovedMachines::default(),
             unclaimed: BTreeSet::new(),
             reconciliation: Reconciliation::default(),
             actions: Vec::new(),
@@ -117,7 +117,7 @@
     }
 
     /// Notes what operators should know of a machine. Whole waves of them share a log line.
-    pub(crate) fn note_machine_event(&mut self, machine: &str, event: &'static str) {
+    pub(crate) fn log_machine_event(&mut self, machine: &str, event: &'static str) {
         self.machine_events.note(machine, event);
     }
 }
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether starts wait for that machine's next heartbeat.
-    pub fn has_starts_for(&self, name: &str) -> bool {
+    pub fn has_assigned_tasks(&self, name: &str) -> bool {
         let assigned =
             |machine_task: &MachineTask| machine_task.state == MachineTaskState::Assigned;
         self.cluster.machines.get(name).is_some_and(|machine| machine.tasks.values().any(assigned))
@@ -37,7 +37,7 @@
 
     /// The answer to the heartbeat with this agent epoch and number. `may_start` is false while
     /// our own lease may have ended (S4). Every call counts as an answer with 200.
-    pub fn orders(
+    pub fn orders_for_answer(
         &mut self,
         name: &str,
         agent_epoch: AgentEpoch,
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -26,7 +26,7 @@
     /// Machines whose workers have sent no heartbeat yet.
     pub machines_booting: usize,
     /// Machines that have not shown what they hold since the failover.
-    pub unreconciled: usize,
+    pub machines_unreconciled: usize,
     /// Placement passes since this controller became the leader.
     pub passes: u64,
     /// Machines and tasks that these looked at.
@@ -38,7 +38,7 @@
     pub fn overview(&self, now: Instant) -> Overview {
         let mut overview = Overview {
             jobs: self.cluster.jobs.len(),
-            unreconciled: self.reconciliation.len(),
+            machines_unreconciled: self.reconciliation.len(),
             passes: self.passes,
             steps: self.steps,
             ..Overview::default()
--- a/crates/core/src/scheduler/gone_machines.rs
+++ b/crates/core/src/scheduler/removed_machines.rs
@@ -10,14 +10,14 @@
 
 /// Names of machines that are gone, kept so that late messages don't bring them back.
 #[derive(Debug, Default)]
-pub(super) struct GoneMachines {
+pub(super) struct RemovedMachines {
     /// For look-ups.
     names: HashSet<MachineName>,
     /// The same names, the first to go at the front.
     by_age: VecDeque<MachineName>,
 }
 
-impl GoneMachines {
+impl RemovedMachines {
     /// Whether a machine of that name is gone.
     pub(super) fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -9,18 +9,18 @@
 use std::time::{Duration, Instant};
 
 /// A decision that no heartbeat came to fetch is taken back after this time.
-const ASSIGNED_KEEP: Duration = Duration::from_secs(5);
+const ASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Scheduler {
     /// Everything that only time brings about.
     pub fn tick(&mut self, now: Instant) {
         self.expire_worker_leases(now);
         self.return_doubtful_machines(now);
-        self.take_back_assigned_tasks(now);
+        self.unassign_undeliverable_tasks(now);
         self.tick_jobs(now);
         self.count_running_tasks();
-        self.give_up_unreconciled(now);
-        self.delete_machines(now);
+        self.advance_reconciliation(now);
+        self.request_deletions(now);
         self.write_machine_events(now);
     }
 
@@ -43,10 +43,10 @@
     /// Takes tasks off machines that won't be ordered to start them. Also off one that sends
     /// heartbeats, but takes no more tasks: no start goes to a machine that drains or is about to
     /// be taken, so what was assigned to it would wait there for ever, and hold up its return.
-    fn take_back_assigned_tasks(&mut self, now: Instant) {
+    fn unassign_undeliverable_tasks(&mut self, now: Instant) {
         let machines = self.cluster.machines.values();
         let waiting_in_vain = machines.filter(|machine| {
-            !machine.accepts_starts(now, ASSIGNED_KEEP) && !machine.tasks.is_empty()
+            !machine.accepts_starts(now, ASSIGNMENT_TIMEOUT) && !machine.tasks.is_empty()
         });
         let names: Vec<MachineName> = waiting_in_vain.map(|machine| machine.name.clone()).collect();
         for name in names {
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -16,19 +16,25 @@
     let (mut scheduler, attempt) = scheduler_with_start_sent(now);
     let done = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Done));
     scheduler.on_heartbeat(&heartbeat(3, 1, vec![done.clone()]), true, now);
-    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 3, true, now).is_empty(), "S9");
+    assert!(
+        scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 3, true, now).is_empty(),
+        "S9"
+    );
     let due = scheduler.due_completion_commits(4, now);
-    assert!(due[0].finishes);
-    scheduler.completion_committed(&due[0], Revision::new(6));
+    assert!(due[0].completes_job);
+    scheduler.on_completion_committed(&due[0], Revision::new(6));
     scheduler.on_heartbeat(&heartbeat(4, 1, vec![done]), true, now);
     assert!(matches!(
-        scheduler.orders("host-1", AgentEpoch::new(1), 4, true, now)[..],
+        scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 4, true, now)[..],
         [Order::Forget { .. }]
     ));
     let states: Vec<MachineTaskState> =
         scheduler.machine("host-1").expect("known").tasks.values().map(|task| task.state).collect();
     assert_eq!(states, [MachineTaskState::Done]);
-    assert!(scheduler.take_actions().iter().any(|action| matches!(action, Action::Record(..))));
+    assert!(scheduler
+        .take_actions()
+        .iter()
+        .any(|action| matches!(action, Action::StoreMachineRecord(..))));
 }
 
 #[test]
@@ -66,7 +72,7 @@
             assert!(String::from(completion_commit.record.finished.clone()).len() < 1024);
             stored += completion_commit.tasks.len();
             version = version.next();
-            scheduler.completion_committed(completion_commit, version);
+            scheduler.on_completion_committed(completion_commit, version);
         }
     }
     assert_eq!(stored, 50_000);
@@ -106,7 +112,7 @@
     for round in 1..=13 {
         let now = start + Duration::from_secs(round);
         for completion_commit in scheduler.due_completion_commits(4, now) {
-            scheduler.completion_commit_failed(&completion_commit.job, None);
+            scheduler.on_completion_commit_failed(&completion_commit.job, None);
             stored.push(completion_commit.job);
         }
     }
@@ -137,8 +143,8 @@
 fn a_late_answer_to_a_commit_leaves_the_record_of_a_later_claim() {
     let now = Instant::now();
     let (mut scheduler, commit) = scheduler_that_claimed_during_a_commit(now);
-    let commit = CompletionCommit { finishes: false, ..commit };
-    scheduler.completion_committed(&commit, Revision::new(6));
+    let commit = CompletionCommit { completes_job: false, ..commit };
+    scheduler.on_completion_committed(&commit, Revision::new(6));
     let job = scheduler.job(&first_job_id()).expect("claimed");
     assert_eq!(job.record.generation, Generation::new(2));
     assert_eq!(job.version, Revision::new(7));
@@ -152,7 +158,7 @@
     let (mut scheduler, commit) = scheduler_that_claimed_during_a_commit(now);
     let record = JobRecord { owner: Some("owner".into()), ..commit.record.clone() };
     let read = (record, commit.record.finished.clone(), Revision::new(6));
-    scheduler.completion_commit_failed(&commit.job, Some(read));
+    scheduler.on_completion_commit_failed(&commit.job, Some(read));
     let job = scheduler.job(&first_job_id()).expect("claimed");
     assert_eq!(job.record.generation, Generation::new(2));
     assert_eq!(job.version, Revision::new(7));
@@ -170,7 +176,7 @@
     let claimed = scheduler.job(&first_job_id()).expect("claimed").record.clone();
     let released = JobRecord { owner: None, claims: 0, ..claimed };
     let read = (released, TaskSet::default(), Revision::new(8));
-    scheduler.completion_commit_failed(&commit.job, Some(read));
+    scheduler.on_completion_commit_failed(&commit.job, Some(read));
     let version = scheduler.job(&first_job_id()).expect("claimed").version;
     assert_eq!(version, Revision::new(7), "the one that our claim rests on");
 }
@@ -187,16 +193,16 @@
     scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     let refused = scheduler.due_completion_commits(4, after_s(11)).remove(0);
     assert_eq!(refused.record.claims, 2);
-    scheduler.completion_commit_failed(&refused.job, None);
+    scheduler.on_completion_commit_failed(&refused.job, None);
     let stored = scheduler.due_completion_commits(4, after_s(13)).remove(0);
     assert_eq!(stored.record.claims, 2, "the refund is still due");
-    scheduler.completion_committed(&stored, Revision::new(6));
+    scheduler.on_completion_committed(&stored, Revision::new(6));
     assert!(scheduler.due_completion_commits(4, after_s(30)).is_empty(), "refunded once");
     // Not answered, but carried out: found in the store.
     let record = JobRecord { claims: 2, ..job_record(1, 5) };
     scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(7), Duration::ZERO, now);
     let unanswered = scheduler.due_completion_commits(4, after_s(31)).remove(0);
     let found = (unanswered.record.clone(), TaskSet::default(), Revision::new(8));
-    scheduler.completion_commit_failed(&unanswered.job, Some(found));
+    scheduler.on_completion_commit_failed(&unanswered.job, Some(found));
     assert!(scheduler.due_completion_commits(4, after_s(50)).is_empty(), "refunded once");
 }
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -18,7 +18,7 @@
     let now = Instant::now();
     let mut scheduler = scheduler(7);
     let machine = machine_record();
-    scheduler.recorded_machine("host-1", &machine, Duration::ZERO, now);
+    scheduler.add_recorded_machine("host-1", &machine, Duration::ZERO, now);
     scheduler.on_job_claimed(
         job_record(1, 2),
         TaskSet::default(),
@@ -42,7 +42,7 @@
     let mut scheduler = scheduler(7);
     for number in numbers {
         let name = format!("host-{number}");
-        scheduler.recorded_machine(&name, &machine_record(), Duration::ZERO, now);
+        scheduler.add_recorded_machine(&name, &machine_record(), Duration::ZERO, now);
     }
     scheduler
 }
@@ -50,7 +50,7 @@
 /// The machines whose deletion is asked for.
 fn take_deleted_machines(scheduler: &mut Scheduler) -> Vec<MachineName> {
     let deletions = scheduler.take_actions().into_iter().filter_map(|action| match action {
-        Action::Delete(names) => Some(names),
+        Action::DeleteMachines(names) => Some(names),
         _ => None,
     });
     deletions.flatten().collect()
@@ -75,7 +75,8 @@
             scheduler.on_heartbeat(&heartbeat, true, now);
         }
         for number in 1..=silent {
-            (0..asked).for_each(|_| scheduler.direct_orders_unanswered(&format!("host-{number}")));
+            (0..asked)
+                .for_each(|_| scheduler.on_direct_orders_unanswered(&format!("host-{number}")));
         }
         scheduler.tick(now + Duration::from_secs(3));
         scheduler.take_actions();
@@ -93,7 +94,7 @@
     let start = Instant::now();
     let mut scheduler = scheduler_with_recorded_machines(0..=47, start);
     for number in 0..48 {
-        (0..3).for_each(|_| scheduler.direct_orders_unanswered(&format!("host-{number}")));
+        (0..3).for_each(|_| scheduler.on_direct_orders_unanswered(&format!("host-{number}")));
     }
     // Long after the time that a few are waited for, a network partition ends.
     for number in 0..47 {
@@ -104,11 +105,11 @@
         };
         scheduler.on_heartbeat(&again, true, now);
         scheduler.tick(now);
-        let returned = |action: &Action| matches!(action, Action::Delete(_));
+        let returned = |action: &Action| matches!(action, Action::DeleteMachines(_));
         assert!(!scheduler.take_actions().iter().any(returned), "after machine {number}");
     }
     scheduler.tick(start + Duration::from_secs(21));
-    let last = Action::Delete(vec!["host-47".into()]);
+    let last = Action::DeleteMachines(vec!["host-47".into()]);
     assert!(scheduler.take_actions().contains(&last), "silent while nothing else comes");
 }
 
@@ -118,7 +119,7 @@
     let mut scheduler = scheduler(7);
     let machine = machine_record();
     for name in ["host-1", "host-2", "host-3"] {
-        scheduler.recorded_machine(name, &machine, Duration::ZERO, start);
+        scheduler.add_recorded_machine(name, &machine, Duration::ZERO, start);
     }
     // Its heartbeats come, always under the former term: our replies don't reach it.
     for round in 0..8 {
@@ -126,7 +127,7 @@
         let verdict = scheduler.on_heartbeat(&heartbeat(round + 2, 6, Vec::new()), true, now);
         scheduler.tick(now);
         if verdict == Verdict::Accept {
-            scheduler.orders("host-1", AgentEpoch::new(1), round + 2, true, now);
+            scheduler.orders_for_answer("host-1", AgentEpoch::new(1), round + 2, true, now);
         }
     }
     assert!(scheduler.is_reconciled(), "the answer limit and a lease have passed");
@@ -138,9 +139,9 @@
 fn an_earlier_leaders_answers_renew_a_lease_until_the_machine_shows_the_new_term() {
     let start = Instant::now();
     let mut scheduler = scheduler(7);
-    scheduler.recorded_machine("host-1", &machine_record(), Duration::ZERO, start);
+    scheduler.add_recorded_machine("host-1", &machine_record(), Duration::ZERO, start);
     scheduler.on_heartbeat(&heartbeat(2, 6, Vec::new()), true, start);
-    scheduler.orders("host-1", AgentEpoch::FIRST, 2, true, start);
+    scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 2, true, start);
     let renewed_until = config().answer_limit;
     for (after, is_over) in [
         (config().lease_expiry_after() + Duration::from_secs(1), false),
@@ -158,11 +159,11 @@
         let mut config = config();
         config.teams[0].cpus_max = limit;
         let mut scheduler = Scheduler::new(config, Term::new(7), 1);
-        scheduler.set_types(vec![machine_type()]);
+        scheduler.set_machine_types(vec![machine_type()]);
         let machine = machine_record();
         // Two of four CPUs each are silent, one has shown that it is empty.
         for name in ["host-1", "host-2", "host-3"] {
-            scheduler.recorded_machine(name, &machine, Duration::ZERO, now);
+            scheduler.add_recorded_machine(name, &machine, Duration::ZERO, now);
         }
         scheduler.on_heartbeat(&heartbeat(9, 7, Vec::new()), true, now);
         let mut old = job_record(10, 2);
@@ -193,8 +194,8 @@
     let now = Instant::now();
     let mut scheduler = scheduler(7);
     let machine = machine_record();
-    scheduler.recorded_machine("host-1", &machine, Duration::ZERO, now);
-    scheduler.recorded_machine("host-2", &machine, Duration::ZERO, now);
+    scheduler.add_recorded_machine("host-1", &machine, Duration::ZERO, now);
+    scheduler.add_recorded_machine("host-2", &machine, Duration::ZERO, now);
     scheduler.on_heartbeat(&heartbeat(9, 7, Vec::new()), true, now);
     let mut job = job_record(100, 1);
     (job.start_watermark, job.previous_start_watermark) = (70, 0);
@@ -218,9 +219,9 @@
     for (one_zone, spread) in [(true, false), (false, true)] {
         let mut scheduler = scheduler(7);
         let machine = machine_record();
-        scheduler.recorded_machine("host-1", &machine, Duration::ZERO, now);
+        scheduler.add_recorded_machine("host-1", &machine, Duration::ZERO, now);
         let other = MachineRecord { zone: "y".into(), ..machine };
-        scheduler.recorded_machine("host-2", &other, Duration::ZERO, now);
+        scheduler.add_recorded_machine("host-2", &other, Duration::ZERO, now);
         scheduler.on_heartbeat(&heartbeat(9, 7, Vec::new()), true, now);
         let mut job = job_record(100, 1);
         (job.start_watermark, job.previous_start_watermark) = (70, 0);
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -43,7 +43,7 @@
     let with_quota = Team { name: "g".into(), cpus: 3.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     config.teams.push(with_quota);
     let mut scheduler = Scheduler::new(config, Term::new(1), 1);
-    scheduler.set_types(vec![machine_type()]);
+    scheduler.set_machine_types(vec![machine_type()]);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
     scheduler.on_machine_record_written("host-1", true);
     let mut low = job_record(30, 1);
@@ -71,7 +71,9 @@
             let ahead = active_task_count(&scheduler);
             assert_eq!(ahead, 3, "ahead of others only as far as the guarantee goes");
         }
-        for order in scheduler.orders("host-1", AgentEpoch::new(1), second + 1, true, now) {
+        for order in
+            scheduler.orders_for_answer("host-1", AgentEpoch::new(1), second + 1, true, now)
+        {
             starts += u32::from(execute_order(&mut tasks, order));
         }
     }
@@ -123,10 +125,12 @@
         let statuses = tasks.iter().map(|task| task.status_in(second)).collect();
         scheduler.on_heartbeat(&heartbeat(second + 1, 1, statuses), true, now);
         for completion_commit in scheduler.due_completion_commits(100, now) {
-            scheduler.completion_committed(&completion_commit, Revision::new(8));
+            scheduler.on_completion_committed(&completion_commit, Revision::new(8));
         }
         scheduler.run_placement_pass(now);
-        for order in scheduler.orders("host-1", AgentEpoch::new(1), second + 1, true, now) {
+        for order in
+            scheduler.orders_for_answer("host-1", AgentEpoch::new(1), second + 1, true, now)
+        {
             match order {
                 Order::Start { task, attempt } => {
                     if let Some(index) = watched.iter().position(|id| *id == task.job) {
@@ -170,7 +174,7 @@
     assert_eq!(active_task_count(&scheduler), 0, "the CPU that is left is kept for the urgent job");
     let later = start + Duration::from_secs(61);
     send_heartbeat(&mut scheduler, 2, later);
-    scheduler.orders("host-1", AgentEpoch::new(1), 2, false, later);
+    scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, false, later);
     scheduler.run_placement_pass(later);
     scheduler.tick(later);
     scheduler.run_placement_pass(later);
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -40,7 +40,7 @@
     let placed = active_task_count(&scheduler);
     assert_eq!(placed, 1, "it settles nothing");
     scheduler.tick(now + Duration::from_secs(1));
-    let returned = Action::Delete(vec!["host-1".into()]);
+    let returned = Action::DeleteMachines(vec!["host-1".into()]);
     assert!(scheduler.take_actions().contains(&returned));
     scheduler.on_machines_deleted(&["host-1".into()]);
     assert!(active_tasks(&scheduler).is_empty());
@@ -62,7 +62,13 @@
     let up = start + Duration::from_secs(50);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, up), Verdict::Accept);
     scheduler.tick(up + Duration::from_millis(100));
-    scheduler.orders("host-1", AgentEpoch::new(1), 1, true, up + Duration::from_millis(200));
+    scheduler.orders_for_answer(
+        "host-1",
+        AgentEpoch::new(1),
+        1,
+        true,
+        up + Duration::from_millis(200),
+    );
     let next = up + Duration::from_secs(2);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, next), Verdict::Accept);
     // The same when it is back after its lease expired.
@@ -98,7 +104,7 @@
 /// Rentals of on-demand machines among what the leader asks for.
 fn on_demand_rentals(scheduler: &mut Scheduler) -> Vec<RentRequest> {
     let rentals = scheduler.take_actions().into_iter().filter_map(|action| match action {
-        Action::Rent(request) if !request.spot => Some(request),
+        Action::RentMachines(request) if !request.spot => Some(request),
         _ => None,
     });
     rentals.collect()
@@ -117,8 +123,9 @@
     );
     scheduler.scale(now);
     let actions = scheduler.take_actions();
-    let Some(Action::Rent(spot)) =
-        actions.iter().find(|action| matches!(action, Action::Rent(request) if request.spot))
+    let Some(Action::RentMachines(spot)) = actions
+        .iter()
+        .find(|action| matches!(action, Action::RentMachines(request) if request.spot))
     else {
         panic!("{actions:?}")
     };
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -56,7 +56,7 @@
         self.sequence += 1;
         let heartbeat = heartbeat_from(self.name, self.sequence, tasks);
         scheduler.on_heartbeat(&heartbeat, true, now);
-        scheduler.orders(self.name, AgentEpoch::new(1), self.sequence, true, now)
+        scheduler.orders_for_answer(self.name, AgentEpoch::new(1), self.sequence, true, now)
     }
 
     /// Is given tasks, which run for `run`, and whose end is reported `delay` later. Heartbeats
@@ -85,7 +85,7 @@
             running.into_iter().map(|status| TaskStatus { phase, cause, ..status }).collect();
         self.send_heartbeat(scheduler, done.clone(), now);
         for completion_commit in scheduler.due_completion_commits(4, now) {
-            scheduler.completion_committed(&completion_commit, Revision::new(6));
+            scheduler.on_completion_committed(&completion_commit, Revision::new(6));
         }
         self.send_heartbeat(scheduler, done, now);
         self.send_heartbeat(scheduler, Vec::new(), now);
@@ -106,7 +106,7 @@
 /// A heartbeat without tasks, answered while no start may be sent.
 fn send_idle_heartbeat(scheduler: &mut Scheduler, machine: &str, sequence: u64, now: Instant) {
     scheduler.on_heartbeat(&heartbeat_from(machine, sequence, Vec::new()), true, now);
-    scheduler.orders(machine, AgentEpoch::new(1), sequence, false, now);
+    scheduler.orders_for_answer(machine, AgentEpoch::new(1), sequence, false, now);
 }
 
 struct MachineSpeedCase {
@@ -194,11 +194,14 @@
     for number in 0..40 {
         let name = format!("host-{number}");
         scheduler.on_heartbeat(&heartbeat_from(&name, 2, Vec::new()), true, later);
-        scheduler.orders(&name, AgentEpoch::new(1), 2, true, later);
+        scheduler.orders_for_answer(&name, AgentEpoch::new(1), 2, true, later);
     }
     scheduler.run_placement_pass(later);
     let stops = scheduler.take_actions();
-    assert!(stops.iter().all(|action| !matches!(action, Action::Direct { .. })), "{stops:?}");
+    assert!(
+        stops.iter().all(|action| !matches!(action, Action::SendDirectOrders { .. })),
+        "{stops:?}"
+    );
     assert_eq!(scheduler.overview(later).steps, before.steps, "no machine was looked at for them");
 }
 
--- a/crates/core/tests/scheduler/random_faults/driver.rs
+++ b/crates/core/tests/scheduler/random_faults/driver.rs
@@ -64,7 +64,7 @@
 
 fn new_scheduler(term: Term, seed: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(two_teams(), term, seed);
-    scheduler.set_types(vec![machine_type()]);
+    scheduler.set_machine_types(vec![machine_type()]);
     scheduler
 }
 
@@ -187,7 +187,7 @@
         }
         // S4: without a proof of fresh state no start leaves.
         let may_start = self.rng.random_bool(0.8);
-        let orders = self.scheduler.orders(
+        let orders = self.scheduler.orders_for_answer(
             name.as_str(),
             sent.agent_epoch,
             sent.sequence,
@@ -294,7 +294,7 @@
         self.scheduler = new_scheduler(self.term, self.seed);
         self.known_versions.clear();
         for (name, record) in &self.store.machines {
-            self.scheduler.recorded_machine(name.as_str(), record, Duration::ZERO, self.now);
+            self.scheduler.add_recorded_machine(name.as_str(), record, Duration::ZERO, self.now);
         }
         self.close_what_is_over();
     }
--- a/crates/core/tests/scheduler/random_faults/machines.rs
+++ b/crates/core/tests/scheduler/random_faults/machines.rs
@@ -48,7 +48,7 @@
         match self.rng.random_range(0..3) {
             0 => worker.is_faulty = true,
             1 => worker.has_notice = true,
-            _ => self.scheduler.drain(name.as_str()),
+            _ => self.scheduler.drain_machine(name.as_str()),
         }
     }
 
@@ -81,30 +81,31 @@
             Some(answer) => {
                 self.scheduler.on_direct_orders_answer(&answer, exchange, now);
             }
-            None => self.scheduler.direct_exchange_failed(machine.as_str(), exchange),
+            None => self.scheduler.on_direct_exchange_failed(machine.as_str(), exchange),
         }
     }
 
     pub(super) fn carry_out_actions(&mut self) {
         for action in self.scheduler.take_actions() {
             match action {
-                Action::Direct { machine, agent_epoch, orders, .. } => {
+                Action::SendDirectOrders { machine, agent_epoch, orders, .. } => {
                     self.send_directly(&machine, agent_epoch, DirectPurpose::Order, orders);
                 }
-                Action::Record(machine, record) => {
+                Action::StoreMachineRecord(machine, record) => {
                     let stored = self.rng.random_bool(0.9);
                     if stored {
                         self.store.machines.insert(machine.clone(), record);
                     }
                     self.scheduler.on_machine_record_written(machine.as_str(), stored);
                 }
-                Action::Erase(machine) => drop(self.store.machines.remove(&machine)),
-                Action::Delete(machines) if self.rng.random_bool(0.8) => {
+                Action::DeleteMachineRecord(machine) => drop(self.store.machines.remove(&machine)),
+                Action::DeleteMachines(machines) if self.rng.random_bool(0.8) => {
                     for machine in &machines {
                         self.remove_machine(machine);
                     }
                 }
-                Action::Answer(_) | Action::Rent(_) | Action::Delete(_) => {}
+                Action::SendHeldAnswer(_) | Action::RentMachines(_) | Action::DeleteMachines(_) => {
+                }
             }
         }
     }
--- a/crates/core/tests/scheduler/random_faults/restarts.rs
+++ b/crates/core/tests/scheduler/random_faults/restarts.rs
@@ -69,7 +69,8 @@
         if self.scheduler.on_heartbeat(&heartbeat, origin, self.now) == Verdict::Accept {
             let name = heartbeat.machine.as_str();
             let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-            let orders = self.scheduler.orders(name, agent_epoch, sequence, true, self.now);
+            let orders =
+                self.scheduler.orders_for_answer(name, agent_epoch, sequence, true, self.now);
             self.check_orders(&orders);
         }
     }
--- a/crates/core/tests/scheduler/random_faults/store.rs
+++ b/crates/core/tests/scheduler/random_faults/store.rs
@@ -57,7 +57,7 @@
             return None;
         }
         match write {
-            Write::Commit(commit) if commit.finishes => {
+            Write::Commit(commit) if commit.completes_job => {
                 self.jobs.remove(id);
                 self.done.insert(id.clone());
                 return Some(self.next_revision());
--- a/crates/core/tests/scheduler/random_faults/writes.rs
+++ b/crates/core/tests/scheduler/random_faults/writes.rs
@@ -54,10 +54,10 @@
     /// Closes what the store no longer holds, and says what is not claimed yet.
     pub(super) fn close_what_is_over(&mut self) {
         let Self { scheduler, store, .. } = self;
-        scheduler.close_all_but(|id| store.jobs.contains_key(id));
+        scheduler.close_ended_jobs(|id| store.jobs.contains_key(id));
         let unclaimed = store.jobs.keys().filter(|id| scheduler.job(id).is_none()).cloned();
         let unclaimed = unclaimed.collect();
-        scheduler.set_unclaimed(unclaimed);
+        scheduler.set_unclaimed_jobs(unclaimed);
     }
 
     pub(super) fn due_jobs(&self) -> Vec<JobId> {
@@ -119,7 +119,7 @@
             (Write::Claim(claim), Some(version)) => self.take_up(claim.record.clone(), version),
             (Write::Claim(_), None) => {}
             (Write::Commit(commit), Some(version)) => {
-                self.scheduler.completion_committed(commit, version);
+                self.scheduler.on_completion_committed(commit, version);
             }
             (Write::Commit(_), None) => self.find_out(write),
         }
@@ -153,7 +153,7 @@
                         None
                     }
                 };
-                self.scheduler.completion_commit_failed(id, found);
+                self.scheduler.on_completion_commit_failed(id, found);
             }
         }
     }
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -77,7 +77,7 @@
     scheduler.on_heartbeat(&heartbeat_from("host-2", 1, Vec::new()), true, now);
     scheduler.on_machine_record_written("host-2", true);
     scheduler.on_heartbeat(&heartbeat_from("host-1", 3, Vec::new()), over_connection(1), now);
-    scheduler.drain("host-1");
+    scheduler.drain_machine("host-1");
     scheduler.run_placement_pass(now);
     let (machine, _) = place_of_task(&scheduler).expect("placed anew");
     assert_eq!(machine, "host-2");
@@ -93,7 +93,7 @@
     scheduler.on_heartbeat(&late, true, now);
     assert_eq!(active_task_count(&scheduler), 0);
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, now);
-    let orders = scheduler.orders("host-2", AgentEpoch::FIRST, 2, true, now);
+    let orders = scheduler.orders_for_answer("host-2", AgentEpoch::FIRST, 2, true, now);
     assert!(orders.is_empty(), "{orders:?}");
 }
 
@@ -103,10 +103,10 @@
     let now = Instant::now();
     let (mut scheduler, late) = scheduler_with_task_done_before_it_was_lost(now);
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, now);
-    let orders = scheduler.orders("host-2", AgentEpoch::FIRST, 2, true, now);
+    let orders = scheduler.orders_for_answer("host-2", AgentEpoch::FIRST, 2, true, now);
     let [Order::Start { attempt: started, .. }] = orders[..] else { panic!("{orders:?}") };
     scheduler.on_heartbeat(&late, true, now);
-    let orders = scheduler.orders("host-2", AgentEpoch::FIRST, 2, true, now);
+    let orders = scheduler.orders_for_answer("host-2", AgentEpoch::FIRST, 2, true, now);
     let [Order::Stop { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
     assert_eq!(attempt, started);
 }
@@ -123,13 +123,13 @@
     let mut scheduler = scheduler(7);
     scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, now);
     scheduler.on_machine_record_written("host-1", true);
-    assert!(scheduler.orders("host-1", AgentEpoch::FIRST, 1, true, now).is_empty());
+    assert!(scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 1, true, now).is_empty());
     let record = job_record(1, 1);
     let finished = TaskSet::default();
     scheduler.on_job_claimed(record, finished, Revision::new(5), Duration::ZERO, now);
     scheduler.on_heartbeat(&heartbeat(2, 7, Vec::new()), true, now);
     scheduler.run_placement_pass(now);
-    let orders = scheduler.orders("host-1", AgentEpoch::FIRST, 2, true, now);
+    let orders = scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 2, true, now);
     let [Order::Start { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
     (scheduler, attempt)
 }
@@ -151,7 +151,7 @@
     let now = Instant::now();
     let (mut scheduler, attempt) = scheduler_with_start_sent_to_new_machine(now);
     let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Order, now);
-    scheduler.direct_exchange_failed("host-1", exchange);
+    scheduler.on_direct_exchange_failed("host-1", exchange);
     scheduler.on_heartbeat(&heartbeat(3, 7, Vec::new()), true, now);
     assert_eq!(place_after_pass(&mut scheduler, now), Some(attempt));
 }
@@ -162,7 +162,7 @@
     let now = Instant::now();
     let (mut scheduler, attempt) = scheduler_with_start_sent_to_new_machine(now);
     let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Inspect, now);
-    scheduler.direct_exchange_failed("host-1", exchange);
+    scheduler.on_direct_exchange_failed("host-1", exchange);
     scheduler.on_heartbeat(&heartbeat(3, 7, Vec::new()), true, now);
     assert!(place_after_pass(&mut scheduler, now).is_some_and(|again| again > attempt));
 }
@@ -199,7 +199,7 @@
         let number = 2 + round;
         let verdict = scheduler.on_heartbeat(&heartbeat(number, 1, Vec::new()), true, later);
         if verdict == Verdict::Accept {
-            scheduler.orders("host-1", AgentEpoch::FIRST, number, true, later);
+            scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, number, true, later);
         }
         scheduler.tick(later);
         let returned = scheduler.machine("host-1").expect("known").state();
@@ -265,13 +265,13 @@
     let answered = start + Duration::from_secs(5);
     let mut scheduler = scheduler(7);
     scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, start);
-    scheduler.orders("host-1", AgentEpoch::FIRST, 1, true, start);
+    scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 1, true, start);
     scheduler.on_machine_record_written("host-1", true);
     let record = job_record(1, 1);
     scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
     scheduler.on_heartbeat(&heartbeat(2, 0, Vec::new()), true, answered);
     scheduler.run_placement_pass(answered);
-    let orders = scheduler.orders("host-1", AgentEpoch::FIRST, 2, true, answered);
+    let orders = scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 2, true, answered);
     let [Order::Start { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
     let held_back = heartbeat(4, 0, Vec::new());
     assert_eq!(scheduler.on_heartbeat(&held_back, true, answered), Verdict::AnswersInDoubt);
@@ -288,7 +288,7 @@
     for (running_on, done_on) in [("host-1", "host-2"), ("host-2", "host-1")] {
         let now = Instant::now();
         let mut scheduler = scheduler(1);
-        scheduler.set_unclaimed(BTreeSet::from([first_job_id()]));
+        scheduler.set_unclaimed_jobs(BTreeSet::from([first_job_id()]));
         let (first, second) = (Attempt::new(1), Attempt::new(2));
         let done = task_status(second, TaskPhase::Exited, Some(ExitCause::Done));
         scheduler.on_heartbeat(&heartbeat_from(running_on, 1, vec![running(first)]), true, now);
@@ -298,7 +298,7 @@
         scheduler.on_job_claimed(record, finished, Revision::new(5), Duration::ZERO, now);
         assert_eq!(active_task_count(&scheduler), 0, "running on {running_on}");
         assert_eq!(scheduler.job(&first_job_id()).expect("claimed").waiting(), 1);
-        let orders = scheduler.orders(running_on, AgentEpoch::FIRST, 1, false, now);
+        let orders = scheduler.orders_for_answer(running_on, AgentEpoch::FIRST, 1, false, now);
         assert!(matches!(orders[..], [Order::Stop { .. }]), "{orders:?}");
     }
 }
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -33,12 +33,15 @@
     let now = Instant::now();
     let mut scheduler = scheduler_with_task_assigned(now);
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
-    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 2, false, now).is_empty(), "S4");
     assert!(
-        scheduler.orders("host-1", AgentEpoch::new(1), 1, true, now).is_empty(),
+        scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, false, now).is_empty(),
+        "S4"
+    );
+    assert!(
+        scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 1, true, now).is_empty(),
         "that heartbeat's worker has left"
     );
-    assert_eq!(scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now).len(), 1);
+    assert_eq!(scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, true, now).len(), 1);
 }
 
 #[test]
@@ -48,7 +51,7 @@
     let stopped = task_status(first, TaskPhase::Exited, Some(ExitCause::Stopped));
     scheduler.on_heartbeat(&heartbeat(3, 1, vec![stopped.clone()]), true, now);
     scheduler.run_placement_pass(now);
-    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 3, true, now);
+    let orders = scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 3, true, now);
     assert!(matches!(orders[..], [Order::Forget { .. }, Order::Start { .. }]), "{orders:?}");
     let second = active_tasks(&scheduler)[&0].attempt;
     let running = task_status(second, TaskPhase::Running, None);
@@ -77,7 +80,10 @@
 }
 
 fn deletes_first(action: &Action) -> bool {
-    matches!(action, Action::Delete(names) if names.iter().any(|name| name.as_str() == "host-1"))
+    matches!(
+        action,
+        Action::DeleteMachines(names) if names.iter().any(|name| name.as_str() == "host-1")
+    )
 }
 
 #[test]
@@ -86,21 +92,21 @@
     let later = now + Duration::from_secs(1);
     for notice in [true, false] {
         let mut scheduler = scheduler_with_task_assigned(now);
-        assert!(scheduler.has_starts_for("host-1"));
+        assert!(scheduler.has_assigned_tasks("host-1"));
         // While no start may leave, say in an outage of the store, its machine has to go.
         if notice {
             let noticed = WorkerHeartbeat { notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
             scheduler.on_heartbeat(&noticed, true, later);
         } else {
-            scheduler.drain("host-1");
+            scheduler.drain_machine("host-1");
             scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, later);
         }
         scheduler.on_heartbeat(&second_machine_heartbeat("host-2", 1), true, later);
         scheduler.on_machine_record_written("host-2", true);
         scheduler.tick(later);
         scheduler.run_placement_pass(later);
-        assert!(!scheduler.has_starts_for("host-1"), "notice: {notice}");
-        assert!(scheduler.has_starts_for("host-2"), "notice: {notice}");
+        assert!(!scheduler.has_assigned_tasks("host-1"), "notice: {notice}");
+        assert!(scheduler.has_assigned_tasks("host-2"), "notice: {notice}");
         if !notice {
             scheduler.tick(later);
             assert!(scheduler.take_actions().iter().any(deletes_first), "nothing holds it back");
@@ -123,7 +129,7 @@
         announced.push((job.active().len(), job.record.start_watermark));
         assert!(job.active().keys().all(|index| *index < job.record.start_watermark));
         for completion_commit in scheduler.due_completion_commits(4, now) {
-            scheduler.completion_committed(&completion_commit, version);
+            scheduler.on_completion_committed(&completion_commit, version);
         }
     }
     assert_eq!(announced, [(128, 128), (384, 384), (450, 450), (450, 450)]);
@@ -134,12 +140,12 @@
     let now = Instant::now();
     let mut scheduler = scheduler(1);
     let running = task_status(Attempt::new(9), TaskPhase::Running, None);
-    scheduler.set_unclaimed([first_job_id()].into());
+    scheduler.set_unclaimed_jobs([first_job_id()].into());
     scheduler.on_heartbeat(&heartbeat(1, 1, vec![running.clone()]), true, now);
-    assert!(scheduler.orders("host-1", AgentEpoch::new(1), 1, true, now).is_empty());
-    scheduler.set_unclaimed([].into());
+    assert!(scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 1, true, now).is_empty());
+    scheduler.set_unclaimed_jobs([].into());
     scheduler.on_heartbeat(&heartbeat(2, 1, vec![running]), true, now);
-    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
+    let orders = scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, true, now);
     assert!(matches!(orders[..], [Order::Stop { .. }]), "S11: {orders:?}");
 }
 
@@ -163,7 +169,7 @@
     );
     scheduler.run_placement_pass(now);
     scheduler.on_heartbeat(&heartbeat_from("host-1", 2, Vec::new()), true, now);
-    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
+    let orders = scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, true, now);
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
@@ -171,7 +177,8 @@
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-1", 3, vec![refused]), true, after_ms(100));
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, after_ms(2000));
-    let while_backing_off = scheduler.orders("host-2", AgentEpoch::new(1), 2, true, after_ms(2000));
+    let while_backing_off =
+        scheduler.orders_for_answer("host-2", AgentEpoch::new(1), 2, true, after_ms(2000));
     assert!(while_backing_off.is_empty(), "{while_backing_off:?}");
     scheduler.tick(after_ms(3200));
     assert_eq!(scheduler.jobs_to_reclaim().len(), 1);
@@ -184,7 +191,8 @@
         after_ms(3300),
     );
     scheduler.on_heartbeat(&heartbeat_from("host-2", 3, Vec::new()), true, after_ms(4000));
-    for order in scheduler.orders("host-2", AgentEpoch::new(1), 3, true, after_ms(4000)) {
+    for order in scheduler.orders_for_answer("host-2", AgentEpoch::new(1), 3, true, after_ms(4000))
+    {
         let Order::Start { attempt, .. } = order else { panic!("no start: {order:?}") };
         assert_eq!(attempt.generation(), Generation::new(2));
     }
@@ -206,14 +214,14 @@
     scheduler.run_placement_pass(now);
     assert_eq!(active_task_count(&scheduler), 8, "both machines are full");
     scheduler.on_heartbeat(&heartbeat_from("host-0", 2, Vec::new()), true, now);
-    let orders = scheduler.orders("host-0", AgentEpoch::new(1), 2, true, now);
+    let orders = scheduler.orders_for_answer("host-0", AgentEpoch::new(1), 2, true, now);
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
     let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-0", 3, vec![refused]), true, now);
-    assert!(!scheduler.has_starts_for("host-1"), "taken back at once");
+    assert!(!scheduler.has_assigned_tasks("host-1"), "taken back at once");
     assert_eq!(active_task_count(&scheduler), 0);
     claim_job(&mut scheduler, 2, Priority::Normal, 8, now);
     scheduler.run_placement_pass(now);
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -58,7 +58,7 @@
 /// A scheduler under a term, without machines and jobs.
 pub fn scheduler(term: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(config(), Term::new(term), 1);
-    scheduler.set_types(vec![machine_type()]);
+    scheduler.set_machine_types(vec![machine_type()]);
     scheduler
 }
 
@@ -148,7 +148,7 @@
 pub fn scheduler_with_start_sent_to(origin: MessageOrigin, now: Instant) -> (Scheduler, Attempt) {
     let mut scheduler = scheduler_with_task_assigned(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), origin, now), Verdict::Accept);
-    let orders = scheduler.orders("host-1", AgentEpoch::new(1), 2, true, now);
+    let orders = scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, true, now);
     let [Order::Start { attempt, .. }] = orders[..] else { panic!("{orders:?}") };
     (scheduler, attempt)
 }
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -74,7 +74,7 @@
         let workers = Worker::start_all(cli, &mut rng);
         let cpus: f64 = workers.iter().map(Worker::cpus).sum();
         let mut scheduler = Scheduler::new(config(cpus), TERM, 3);
-        scheduler.set_types(machine_types());
+        scheduler.set_machine_types(machine_types());
         Self {
             cli,
             rng,
@@ -154,17 +154,17 @@
     fn carry_out_actions(&mut self, now: Moment) {
         for action in self.scheduler.take_actions() {
             match action {
-                Action::Record(name, _) => {
+                Action::StoreMachineRecord(name, _) => {
                     self.scheduler.on_machine_record_written(name.as_str(), true)
                 }
-                Action::Direct { machine, orders, .. } => {
+                Action::SendDirectOrders { machine, orders, .. } => {
                     self.counts.stops += orders.len() as u64;
                     let worker = self.workers.iter_mut().find(|worker| worker.name == machine);
                     if let Some(worker) = worker {
                         worker.execute(orders, now.seconds, &mut self.rng);
                     }
                 }
-                Action::Rent(request) => {
+                Action::RentMachines(request) => {
                     self.scheduler.rental_answered(
                         &request,
                         Err(RentalFailure::NoCapacity),
@@ -197,7 +197,7 @@
         for completion_commit in due {
             self.counts.done += completion_commit.tasks.len() as u64;
             let version = completion_commit.version.next();
-            self.scheduler.completion_committed(&completion_commit, version);
+            self.scheduler.on_completion_committed(&completion_commit, version);
         }
     }
 
@@ -205,7 +205,7 @@
         let worker = &mut self.workers[pending.worker];
         let scheduler = &mut self.scheduler;
         let orders = self.costs.replies.measure(|| {
-            let orders = scheduler.orders(
+            let orders = scheduler.orders_for_answer(
                 worker.name.as_str(),
                 AgentEpoch::new(1),
                 pending.sequence,
--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -18,14 +18,14 @@
             let mut erased = Vec::new();
             for action in actions {
                 match action {
-                    Action::Record(machine, record) => {
+                    Action::StoreMachineRecord(machine, record) => {
                         records.push(MachineRecordWrite { machine, record });
                     }
-                    Action::Erase(machine) => erased.push(machine),
-                    Action::Answer(machine) => {
+                    Action::DeleteMachineRecord(machine) => erased.push(machine),
+                    Action::SendHeldAnswer(machine) => {
                         self.context.leadership.held_answers.answer(machine.as_str());
                     }
-                    Action::Direct { machine, addr, agent_epoch, orders } => {
+                    Action::SendDirectOrders { machine, addr, agent_epoch, orders } => {
                         let purpose = DirectPurpose::Order;
                         let target = DirectOrderTarget { machine, addr, agent_epoch, purpose };
                         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
@@ -33,8 +33,8 @@
                             send_direct_orders(&context, &scheduler, &target, orders).await;
                         });
                     }
-                    Action::Rent(request) => self.rent_machines(request),
-                    Action::Delete(machines) => self.return_machines(machines),
+                    Action::RentMachines(request) => self.rent_machines(request),
+                    Action::DeleteMachines(machines) => self.return_machines(machines),
                 }
             }
             self.update_machine_records(records, erased);
--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -45,7 +45,7 @@
         });
         context.leadership.enter(LeadershipState::Preparing(claim.clone()));
         if let Some(types) = context.replica.contents.borrow().types.clone() {
-            scheduler.set_types(types);
+            scheduler.set_machine_types(types);
         }
         Self {
             context,
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -97,10 +97,10 @@
         let contents = self.context.replica.contents.borrow();
         let mut scheduler = self.scheduler.borrow_mut();
         let is_cancelled = |id: &JobId| self.context.leadership.is_cancelled(id);
-        scheduler.close_all_but(|id| contents.jobs.contains_key(id));
+        scheduler.close_ended_jobs(|id| contents.jobs.contains_key(id));
         let unclaimed = contents.jobs.keys().filter(|id| scheduler.job(id).is_none());
         let unclaimed = unclaimed.filter(|id| !is_cancelled(id)).cloned().collect();
-        scheduler.set_unclaimed(unclaimed);
+        scheduler.set_unclaimed_jobs(unclaimed);
         let reading = self.reading.borrow();
         let mut due = Vec::new();
         for (id, job) in &contents.jobs {
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -58,7 +58,7 @@
 
     async fn take_machine_types(&self, types: Vec<MachineType>) {
         let known = self.context.replica.contents.borrow().types.clone();
-        self.scheduler.borrow_mut().set_types(types.clone());
+        self.scheduler.borrow_mut().set_machine_types(types.clone());
         if known.is_some_and(|known| same_types(&known, &types)) {
             return;
         }
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -71,7 +71,7 @@
     fn new(commit: CompletionCommit) -> Self {
         let id = &commit.job;
         let mut transaction = Transaction::default().when(job_key(id), commit.version);
-        if commit.finishes {
+        if commit.completes_job {
             let record = FinalRecord { status: JobStatus::Done, done: commit.record.done };
             transaction = transaction.delete(job_key(id)).put(final_key(id), store_value(&record));
         } else {
@@ -137,11 +137,11 @@
 
     async fn stored(&self, commits: &[CompletionCommit], version: Revision) {
         for commit in commits {
-            self.scheduler.borrow_mut().completion_committed(commit, version);
+            self.scheduler.borrow_mut().on_completion_committed(commit, version);
         }
         self.context.leadership.request_pass();
         for commit in commits {
-            if commit.finishes && commit.record.is_chunked() {
+            if commit.completes_job && commit.record.is_chunked() {
                 drop_chunks(&self.context, &commit.record).await;
             }
         }
@@ -160,7 +160,7 @@
             let found =
                 if may_have_changed { self.find_own(id, &commit.record).await } else { None };
             let found = found.map(|job| (job.record, job.finished, job.version));
-            self.scheduler.borrow_mut().completion_commit_failed(id, found);
+            self.scheduler.borrow_mut().on_completion_commit_failed(id, found);
         }
         if !matches!(error, StateError::Conflict(_) | StateError::NoAnswer(_)) {
             tokio::time::sleep(REFUSAL_PAUSE).await;
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -15,7 +15,7 @@
         record: JobRecord::new(spec, 0),
         chunks: Vec::new(),
         tasks: vec![1],
-        finishes: false,
+        completes_job: false,
     }
 }
 
@@ -28,7 +28,7 @@
     let due: Vec<CompletionCommit> = (0..5).map(|number| commit(number, "i")).collect();
     assert_eq!(sizes(&batches(due.clone(), 4)), [4, 1]);
     let mut finished = due;
-    finished.iter_mut().for_each(|commit| commit.finishes = true);
+    finished.iter_mut().for_each(|commit| commit.completes_job = true);
     assert_eq!(sizes(&batches(finished, 4)), [2, 2, 1], "each drops a record and writes one");
 }
 
@@ -44,7 +44,7 @@
 #[test]
 fn a_finished_job_leaves_a_final_record_in_place_of_its_own() {
     let mut commit = commit(0, "i");
-    commit.finishes = true;
+    commit.completes_job = true;
     let id = commit.job.clone();
     let transaction = JobCommit::new(commit).transaction;
     let record = FinalRecord { status: JobStatus::Done, done: 0 };
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -118,7 +118,7 @@
     let exchange = scheduler.borrow_mut().begin_direct_exchange(machine, purpose, now());
     let term = scheduler.borrow().term();
     let Some((reply, heartbeat)) = exchange_once(context, request, term).await else {
-        scheduler.borrow_mut().direct_exchange_failed(machine, exchange);
+        scheduler.borrow_mut().on_direct_exchange_failed(machine, exchange);
         return DirectOrderOutcome::Unusable;
     };
     let verdict = scheduler.borrow_mut().on_direct_orders_answer(&heartbeat, exchange, now());
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -74,7 +74,7 @@
         match serde_json::from_value::<MachineRecord>(item.value) {
             Ok(record) => {
                 let age = self.context.env.min_age(record.recorded_ms);
-                self.scheduler.borrow_mut().recorded_machine(machine, &record, age, now());
+                self.scheduler.borrow_mut().add_recorded_machine(machine, &record, age, now());
             }
             Err(error) => tracing::error!(machine, %error, "unreadable machine record"),
         }
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -65,8 +65,8 @@
             most_claims: view.most_claims,
             machines_up: view.machines_up,
             machines_booting: view.machines_booting,
-            machines_unreconciled: view.unreconciled,
-            machines_unfenced: view.unreconciled,
+            machines_unreconciled: view.machines_unreconciled,
+            machines_unfenced: view.machines_unreconciled,
         }
     }
 }
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared.rs
@@ -123,7 +123,7 @@
     /// The same for all that are not among the unfinished.
     pub fn close_all_but(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
         let Some(scheduler) = self.scheduler() else { return };
-        scheduler.borrow_mut().close_all_but(|id| unfinished.contains_key(id));
+        scheduler.borrow_mut().close_ended_jobs(|id| unfinished.contains_key(id));
         self.actions_pending.notify_one();
     }
 
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -139,8 +139,13 @@
         let may_start = self.leadership.may_start(&self.session_lease) && self.has_start_proof();
         let mut scheduler = scheduler.borrow_mut();
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-        let orders =
-            scheduler.orders(heartbeat.machine.as_str(), agent_epoch, sequence, may_start, now());
+        let orders = scheduler.orders_for_answer(
+            heartbeat.machine.as_str(),
+            agent_epoch,
+            sequence,
+            may_start,
+            now(),
+        );
         json(200, &HeartbeatReply { term: scheduler.term(), orders })
     }
 
@@ -191,7 +196,7 @@
     /// S4: a start leaves on a young proof. A cancellation that another controller confirms after
     /// it can then meet no more than the starts of about that time.
     async fn renew_start_proof(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
-        let has_starts = scheduler.borrow().has_starts_for(machine);
+        let has_starts = scheduler.borrow().has_assigned_tasks(machine);
         if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_AWAY {
             self.replica.refresh(START_PROOF_WAIT).await;
         }
