--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scheduling, without I/O: jobs, tasks, machines, teams, placement and scaling as state
-//! machines. Time is passed in; what should happen outside comes out as [`Action`]s.
+//! The scheduling core, free of I/O: jobs, tasks, machines, teams, placement and scaling as state
+//! machines. The caller passes the current time in, and receives the side effects to carry out as
+//! [`Action`]s.
 //!
 //! Architecture invariant: this crate opens no connection, reads no clock and starts no thread.
-//! The same calls with the same times and seed give the same answers.
+//! The same sequence of calls with the same times and seed produces the same results.
 #![forbid(unsafe_code)]
 
 mod cluster;
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -1,4 +1,4 @@
-//! What a scheduler asks the world outside to do.
+//! Side effects that the scheduler asks its caller to carry out.
 
 use crate::machine::Machine;
 use corkfield_wire::cloud::RentRequest;
@@ -6,55 +6,57 @@
 use corkfield_wire::worker::Order;
 use corkfield_wire::{AgentEpoch, MachineName};
 
-/// What the world outside should do.
+/// A side effect for the caller of the scheduler to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// A heartbeat whose answer is held back should be answered now.
+    /// Send the answer to this machine's heartbeat now, if it is being held back.
     SendHeldAnswer(MachineName),
-    /// Orders that are safe at any time (stops), straight to the machine.
+    /// Send orders straight to a machine. Only orders that are safe at any time (stops) are sent
+    /// this way.
     SendDirectOrders {
-        /// The machine's name.
+        /// Name of the machine.
         machine: MachineName,
-        /// Where its worker takes direct orders.
+        /// Address at which the machine's worker accepts direct orders.
         addr: String,
-        /// The agent epoch that the orders are for.
+        /// Agent epoch that the orders are valid for.
         agent_epoch: AgentEpoch,
-        /// What to do, in order.
+        /// The orders, in the order in which the worker executes them.
         orders: Vec<Order>,
     },
-    /// The key-value store has to know the machine before anything starts on it.
+    /// Store the machine's record. No task starts on the machine before it is stored (S7).
     StoreMachineRecord(MachineName, MachineRecord),
-    /// The machine is surely gone, and its record with it.
+    /// Delete the record of a machine that no longer exists.
     DeleteMachineRecord(MachineName),
-    /// Machines should be rented.
+    /// Rent machines from the cloud.
     RentMachines(RentRequest),
-    /// Machines should be returned.
+    /// Delete machines in the cloud.
     DeleteMachines(Vec<MachineName>),
 }
 
-/// What is sent straight to a machine.
+/// Purpose of a request that is sent straight to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectPurpose {
-    /// Orders, or none of them (a fence): the worker learns our term.
+    /// Deliver orders, or an empty list of orders (a fence). The worker learns our term from it.
     Order,
-    /// A question what the machine holds, which says nothing of us.
+    /// Ask which tasks the machine holds. The request does not carry our term.
     Inspect,
 }
 
-/// Where direct orders go.
+/// Recipient of a direct request to a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectOrderTarget {
     /// Name of the machine.
     pub machine: MachineName,
-    /// Address at which the machine's worker takes direct orders.
+    /// Address at which the machine's worker accepts direct orders.
     pub addr: String,
-    /// The agent epoch that the orders are for.
+    /// Agent epoch that the orders are valid for.
     pub agent_epoch: AgentEpoch,
-    /// What is sent.
+    /// Purpose of the request.
     pub purpose: DirectPurpose,
 }
 
-/// Orders that go straight to a machine, for its worker's current agent epoch.
+/// Builds the action that sends `orders` straight to a machine, for the newest agent epoch known
+/// of its worker.
 pub(crate) fn direct_orders_action(machine: &Machine, orders: Vec<Order>) -> Action {
     Action::SendDirectOrders {
         machine: machine.name.clone(),
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -1,4 +1,4 @@
-//! Claimed jobs: taking them up.
+//! Claimed jobs: which records need a claim, and how a claimed job is added.
 
 use super::Scheduler;
 use crate::job::{Job, JobState};
@@ -9,13 +9,14 @@
 use std::time::{Duration, Instant};
 
 impl Scheduler {
-    /// Whether a record, as it is stored at that version, has to be claimed. To be asked only while
-    /// no claim of the job is under way.
+    /// Returns whether the job must be claimed, given its record as stored at `version`. The caller
+    /// must not ask while a claim of the job is in progress.
     ///
-    /// That is so for a job that is not known, for one that waits for its next claim, and for one
-    /// whose record somebody else has changed since: another controller, or an operator who
-    /// released it. A record of our own at a generation that is not known is that of a claim that
-    /// went unanswered and was carried out late; nobody would take the job up otherwise.
+    /// A job must be claimed if it is unknown, if it waits for its next claim, or if somebody else
+    /// has changed its record since our claim: another controller, or an operator who released the
+    /// job. A record with our own owner and an unknown generation comes from a claim of ours that
+    /// was carried out late, after its answer was lost. No other controller claims such a job, so
+    /// it is claimed again.
     pub fn needs_claim(&self, record: &JobRecord, version: Revision) -> bool {
         let Some(job) = self.cluster.jobs.get(&record.spec.id) else {
             return true;
@@ -24,20 +25,23 @@
             || (version > job.version && !job.is_of_same_claim(record))
     }
 
-    /// Jobs that have to be claimed once more.
+    /// Returns the known jobs that must be claimed again.
     pub fn jobs_to_reclaim(&self) -> Vec<JobId> {
         let due = self.cluster.jobs.iter().filter(|(_, j)| j.state() == JobState::NeedsReclaim);
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Which unfinished jobs are still to be claimed. A failover claims them a few at a time,
-    /// and their machines send heartbeats meanwhile: tasks of jobs that are merely not claimed yet
-    /// must neither be stopped as nobody's, nor their results be forgotten.
-    pub fn set_unclaimed_jobs(&mut self, unclaimed: BTreeSet<JobId>) {
-        self.unclaimed = unclaimed;
+    /// Sets which unfinished jobs this leader has not claimed yet.
+    ///
+    /// After a failover, jobs are claimed a few at a time while their machines already send
+    /// heartbeats. Tasks of jobs that are not claimed yet must not be stopped as tasks of an
+    /// unknown job, and their results must not be forgotten.
+    pub fn set_unclaimed_jobs(&mut self, unclaimed_jobs: BTreeSet<JobId>) {
+        self.unclaimed_jobs = unclaimed_jobs;
     }
 
-    /// A job that was claimed, with its finished tasks.
+    /// Adds a job that was claimed at `version`, or updates it if it was claimed before. `finished`
+    /// are its finished tasks; `age` is the time since the job was accepted.
     pub fn on_job_claimed(
         &mut self,
         record: JobRecord,
@@ -66,8 +70,8 @@
         self.cluster.jobs.insert(id, job);
     }
 
-    /// Tasks that fenced machines reported before the claim are taken up now: results first, so that
-    /// nothing goes on of a task that is done.
+    /// Adopts the job's tasks that fenced machines reported before the job was claimed. Results are
+    /// adopted first, so that no attempt at a finished task continues.
     fn adopt_reported_tasks(&mut self, job: &mut Job) {
         let id = job.spec().id.clone();
         for machine in self.cluster.machines.values() {
@@ -97,7 +101,7 @@
     }
 }
 
-/// Logs a claim, with what of the job decides where and when it runs.
+/// Logs a claim, with the properties of the job that decide where and when its tasks run.
 fn log_claim(job: &Job, age: Duration) {
     let spec = job.spec();
     tracing::debug!(
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -1,4 +1,4 @@
-//! Closing jobs that are over, and stopping their tasks.
+//! Closing jobs that have ended or belong to another controller, and stopping their tasks.
 
 use super::{direct_orders_action, Scheduler};
 use crate::cluster::Cluster;
@@ -8,22 +8,22 @@
 use corkfield_wire::{AgentEpoch, JobId, TaskId};
 
 impl Scheduler {
-    /// Closes all jobs that are no longer unfinished.
+    /// Closes all jobs, claimed or not, for which `is_unfinished` returns false.
     pub fn close_ended_jobs(&mut self, is_unfinished: impl Fn(&JobId) -> bool) {
         let live = self.cluster.jobs.iter().filter(|(_, job)| job.is_live()).map(|(id, _)| id);
-        let over = live.chain(&self.unclaimed).filter(|id| !is_unfinished(id)).cloned();
-        for id in over.collect::<Vec<JobId>>() {
+        let ended = live.chain(&self.unclaimed_jobs).filter(|id| !is_unfinished(id)).cloned();
+        for id in ended.collect::<Vec<JobId>>() {
             self.close_job(&id);
         }
     }
 
-    /// The job is cancelled, done, or another's: nothing of it may start any more, and what of it
-    /// is on machines is stopped, whether it was claimed yet or not.
+    /// Closes a job that is cancelled, done or claimed by another controller, whether this leader
+    /// has claimed it or not. No task of the job starts any more, and those on machines are stopped.
     pub fn close_job(&mut self, id: &JobId) {
-        let unclaimed = self.unclaimed.remove(id);
+        let was_unclaimed = self.unclaimed_jobs.remove(id);
         match self.cluster.jobs.get_mut(id) {
             Some(job) if job.is_live() => job.enter(JobState::Closing),
-            None if unclaimed => {}
+            None if was_unclaimed => {}
             _ => return,
         }
         tracing::debug!(job = %id, "job closed");
@@ -31,7 +31,7 @@
         self.remove_job_if_closed(id);
     }
 
-    /// Stops all tasks of a job, and takes back those that no order has left for yet.
+    /// Stops all tasks of a job, and unassigns those whose start was not sent yet.
     pub(super) fn stop_job(&mut self, id: &JobId) {
         for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             let stops = stop_tasks_of(machine, id);
@@ -42,26 +42,26 @@
         self.release_missing_tasks(id);
     }
 
-    /// Takes a job's tasks off machines that do not have them (any more).
+    /// Releases the job's placed tasks that their machines don't have, or no longer have.
     fn release_missing_tasks(&mut self, id: &JobId) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(job) = jobs.get_mut(id) else {
             return;
         };
-        let is_known = |index: u32, placed: &Placed| {
+        let is_on_machine = |index: u32, placed: &Placed| {
             let task = TaskId { job: id.clone(), index };
             let key = TaskAttempt { task, attempt: placed.attempt };
             machines.get(&placed.machine).is_some_and(|m| m.tasks.contains_key(&key))
         };
-        let unknown = job.active().iter().filter(|(index, placed)| !is_known(**index, placed));
-        let unknown: Vec<(u32, Placed)> =
-            unknown.map(|(index, placed)| (*index, placed.clone())).collect();
-        for (index, placed) in unknown {
+        let missing = job.active().iter().filter(|(index, placed)| !is_on_machine(**index, placed));
+        let missing: Vec<(u32, Placed)> =
+            missing.map(|(index, placed)| (*index, placed.clone())).collect();
+        for (index, placed) in missing {
             job.release(index, placed.machine.as_str(), placed.attempt);
         }
     }
 
-    /// Forgets a job that is over, or another's, once none of its tasks is on a machine.
+    /// Removes a closed job once none of its tasks is on a machine.
     pub(super) fn remove_job_if_closed(&mut self, id: &JobId) {
         if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.active().is_empty()) {
             self.cluster.jobs.remove(id);
@@ -69,8 +69,8 @@
     }
 }
 
-/// Drops a job's assigned tasks from a machine, and marks its others there to be stopped at once:
-/// returns the orders for these.
+/// Removes a job's assigned tasks from a machine, and marks its other tasks there to be stopped
+/// without a grace period. Returns the stop orders for the latter.
 fn stop_tasks_of(machine: &mut Machine, id: &JobId) -> Vec<Order> {
     machine.tasks.retain(|key, machine_task| {
         !(key.task.job == *id && machine_task.state == MachineTaskState::Assigned)
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -1,5 +1,5 @@
-//! Completion commits: writes of finished tasks and start watermarks that the key-value store has
-//! to hold (S9).
+//! Completion commits: writes that store finished tasks and start watermarks in the key-value store
+//! (S9).
 
 use super::Scheduler;
 use crate::job::{CommitUrgency, Job};
@@ -8,44 +8,46 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Chunks of finished numbers in one completion commit: a few at a time stay below the limits of
-/// a transaction.
-const MAX_CHUNKS: usize = 2;
+/// Maximum number of chunks of finished tasks in one completion commit, which keeps the write below
+/// the limits of a transaction.
+const MAX_CHUNKS_PER_COMMIT: usize = 2;
 
-/// A write that stores finished tasks (S9).
+/// A conditional write of one job's record that stores finished tasks (S9).
 #[derive(Debug, Clone)]
 pub struct CompletionCommit {
-    /// Whose tasks.
+    /// Id of the job.
     pub job: JobId,
-    /// Version of the record that the write rests on.
+    /// Version of the stored record that the write is conditional on.
     pub version: Revision,
-    /// The record to be stored.
+    /// The record to store.
     pub record: JobRecord,
-    /// Finished numbers by chunk, for jobs too large to keep them in the record.
+    /// Finished task indices by chunk number, for jobs that are too large to keep them in the
+    /// record.
     pub chunks: Vec<(u32, TaskSet)>,
-    /// Numbers of the tasks that this stores as done.
+    /// Indices of the tasks that this write stores as done.
     pub tasks: Vec<u32>,
-    /// Whether the job is done with it.
+    /// Whether this write stores the job's last task, so that the job is done.
     pub completes_job: bool,
 }
 
 /// Finished tasks of a job that one write can store.
 #[derive(Default)]
 struct StorableTasks {
-    /// Finished numbers of the chunks that these tasks are in.
+    /// The chunks that contain the tasks, with all their finished task indices.
     chunks: BTreeMap<u32, TaskSet>,
-    /// Numbers of the tasks.
+    /// Indices of the tasks.
     tasks: Vec<u32>,
 }
 
 impl StorableTasks {
-    /// Finished tasks of a job that keeps them in chunks, of the first few chunks.
+    /// Returns the unstored tasks of the first [`MAX_CHUNKS_PER_COMMIT`] chunks that have any, for
+    /// a job that stores finished tasks in chunks.
     fn in_chunks(job: &Job) -> Self {
         let mut storable = Self::default();
         for &index in job.unstored() {
             let chunk = index / CHUNK_TASKS;
             if !storable.chunks.contains_key(&chunk) {
-                if storable.chunks.len() >= MAX_CHUNKS {
+                if storable.chunks.len() >= MAX_CHUNKS_PER_COMMIT {
                     break;
                 }
                 storable.chunks.insert(chunk, job.chunk(chunk));
@@ -55,30 +57,36 @@
         storable
     }
 
-    /// Finished tasks of a job that keeps them in its record.
+    /// Returns all unstored tasks of a job that stores finished tasks in its record.
     fn in_record(job: &Job) -> Self {
         Self { chunks: BTreeMap::new(), tasks: job.unstored().iter().copied().collect() }
     }
 }
 
 impl Scheduler {
-    /// Completion commits that are due, those first for which somebody waits, then those that have
-    /// waited longest: in the order of their ids, the last of hundreds would never have their
-    /// turn. Each has to be answered with [`Self::on_completion_committed`] or
+    /// Begins up to `max_commits` completion commits that are due, the most urgent first, then those
+    /// of the jobs whose last commit is the oldest. In the order of their ids, the last of hundreds
+    /// of jobs would never be stored.
+    ///
+    /// The caller must report the outcome of each with [`Self::on_completion_committed`] or
     /// [`Self::on_completion_commit_failed`].
-    pub fn due_completion_commits(&mut self, most: usize, now: Instant) -> Vec<CompletionCommit> {
+    pub fn due_completion_commits(
+        &mut self,
+        max_commits: usize,
+        now: Instant,
+    ) -> Vec<CompletionCommit> {
         let due = self.cluster.jobs.values_mut().filter_map(|job| {
             let urgency = job.commit_due(now)?;
             Some((urgency, job.last_commit_at(), job))
         });
         let mut due: Vec<(CommitUrgency, Option<Instant>, &mut Job)> = due.collect();
         due.sort_by_key(|(urgency, last_commit_at, _)| (*urgency, *last_commit_at));
-        due.truncate(most);
-        due.into_iter().map(|(_, _, job)| Self::completion_commit(job, now)).collect()
+        due.truncate(max_commits);
+        due.into_iter().map(|(_, _, job)| Self::begin_completion_commit(job, now)).collect()
     }
 
-    /// The write of what of a job is to be stored now.
-    fn completion_commit(job: &mut Job, now: Instant) -> CompletionCommit {
+    /// Begins a completion commit of everything that the job can store in one write.
+    fn begin_completion_commit(job: &mut Job, now: Instant) -> CompletionCommit {
         let mut record = job.record.clone();
         let storable = if record.is_chunked() {
             let storable = StorableTasks::in_chunks(job);
@@ -112,7 +120,7 @@
         }
     }
 
-    /// A completion commit was carried out, at that version.
+    /// Handles a completion commit that was stored at `version`. Closes the job if it is done.
     pub fn on_completion_committed(
         &mut self,
         completion_commit: &CompletionCommit,
@@ -129,7 +137,10 @@
         }
     }
 
-    /// The write may be tried again from the record as it was found, if that is still ours.
+    /// Handles a completion commit that was refused or not answered; it may be tried again.
+    ///
+    /// `found` is the record as read from the store afterwards, with the job's finished tasks and
+    /// the record's version, if the record is still of our claim.
     pub fn on_completion_commit_failed(
         &mut self,
         id: &JobId,
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -9,20 +9,26 @@
 use corkfield_wire::{AgentEpoch, MachineName};
 use std::time::{Duration, Instant};
 
-/// After a failover machines have a heartbeat interval and this long to show what they hold.
+/// Time that machines have after a failover to report their tasks, in addition to one heartbeat
+/// interval.
 const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
-/// So many machines that don't, or that part of all, are given up; never most of a small fleet.
-const FEW_UNRECONCILED: usize = 2;
-/// See [`FEW_UNRECONCILED`].
-const UNRECONCILED_PART: usize = 8;
-/// And only those that were asked this often in vain: a leader that is busy with the heartbeats of
-/// a whole fleet may not have come round to the others yet.
-const GIVEN_UP_AFTER: u32 = 2;
+/// Unresponsive machines are deleted only while at most this many machines are unreconciled, or one
+/// in [`DELETION_LIMIT_DIVISOR`] of all machines if that is more. In a small fleet the limit is half
+/// of the machines, so that most of the fleet is never deleted.
+const BASE_DELETION_LIMIT: usize = 2;
+/// See [`BASE_DELETION_LIMIT`].
+const DELETION_LIMIT_DIVISOR: usize = 8;
+/// A machine counts as unresponsive only after this many direct requests in a row without an
+/// answer. A leader that is busy with the heartbeats of a whole fleet may not have sent a request to
+/// every machine yet.
+const UNRESPONSIVE_AFTER: u32 = 2;
 
 impl Scheduler {
-    /// A machine on which an earlier leader may have started tasks. Nothing that was claimed
-    /// before is started until it has sent a heartbeat under our term, or is gone, or its worker's
-    /// lease has expired. `age` is the time since the record was written, at the least.
+    /// Adds a machine on which an earlier leader may have started tasks.
+    ///
+    /// Tasks that an earlier owner may have started are not started again until the machine has
+    /// sent a heartbeat under our term, is removed, or its worker's lease has expired. At least
+    /// `age` has passed since the record was written.
     pub fn add_recorded_machine(
         &mut self,
         name: &str,
@@ -32,16 +38,20 @@
     ) {
         let types = &self.cluster.machine_types;
         let mut machine = Machine::from_record(name, record, types, age, now);
-        // S6: the leader before us may have answered it until its fresh state ran out.
+        // S6: the previous leader may have answered heartbeats until its state was no longer fresh.
         machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
-        self.reconciliation.expect(name, now);
+        self.reconciliation.add(name, now);
         self.cluster.machines.insert(MachineName::from(name), machine);
     }
 
-    /// Machines that have to be asked what they hold, or whether orders reach them. Those that have
-    /// shown our term are asked without it: whoever answers learns nothing from the question.
+    /// Returns the machines to which a direct request has to be sent, to find out which tasks they
+    /// hold or whether orders reach them.
+    ///
+    /// Machines that have shown our term are inspected: that request does not carry the term, so
+    /// another process of the worker does not learn it. All others are fenced with an empty list of
+    /// orders.
     pub fn fence_targets(&self) -> Vec<DirectOrderTarget> {
-        let asked = self.cluster.machines.values().filter(|machine| {
+        let targets = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
@@ -49,7 +59,7 @@
                     || machine.doubt.is_some_and(|doubt| doubt.is_due)
                     || self.is_unreconciled(machine.name.as_str()))
         });
-        asked
+        targets
             .map(|machine| DirectOrderTarget {
                 machine: machine.name.clone(),
                 addr: machine.addr.clone(),
@@ -63,15 +73,18 @@
             .collect()
     }
 
-    /// The newest message known of a machine: what it says in answer to a question asked after
-    /// this is newer.
+    /// Returns the number of the newest message accepted from a machine's worker. The answer to a
+    /// request that is sent after this call has a higher number, unless the worker has restarted its
+    /// numbering.
     pub fn newest_message(&self, name: &str) -> MessageNumber {
         let machine = self.cluster.machines.get(name);
         machine.map(|machine| machine.messages.newest()).unwrap_or_default()
     }
 
-    /// Direct orders, or a question, leave for a machine. It has to be followed by
-    /// [`Self::on_direct_orders_answer`] or [`Self::on_direct_exchange_failed`].
+    /// Begins an exchange with a machine: the caller is about to send it a direct request.
+    ///
+    /// The caller must report the outcome with [`Self::on_direct_orders_answer`] or
+    /// [`Self::on_direct_exchange_failed`].
     pub fn begin_direct_exchange(
         &mut self,
         name: &str,
@@ -86,7 +99,7 @@
         DirectExchange { known, asked_at: Some(now), may_expose_term }
     }
 
-    /// A machine's answer to direct orders, or to a question.
+    /// Handles a worker's answer to a direct request. The answer has the form of a heartbeat.
     pub fn on_direct_orders_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -103,12 +116,12 @@
         let origin = MessageOrigin::DirectAnswer { asked_at: exchange.asked_at };
         let verdict = self.on_heartbeat(heartbeat, origin, now);
         if MessageNumber::from(heartbeat) <= exchange.known {
-            self.return_restarted_machine(heartbeat.machine.as_str());
+            self.delete_restarted_machine(heartbeat.machine.as_str());
         }
         verdict
     }
 
-    /// Direct orders, or a question, have no answer that can be used.
+    /// Handles a direct request without a usable answer.
     pub fn on_direct_exchange_failed(&mut self, name: &str, exchange: DirectExchange) {
         self.on_direct_orders_unanswered(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
@@ -118,90 +131,100 @@
         }
     }
 
-    /// Returns machines of which nothing has proved for longer than a worker's lease what they
-    /// hold, though their heartbeats come: neither answers nor questions reach them, so what runs
-    /// there has lost its lease.
-    pub(super) fn return_doubtful_machines(&mut self, now: Instant) {
+    /// Deletes machines whose tasks have been in doubt for longer than a worker's lease, although
+    /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so the
+    /// lease under which its tasks were started has expired.
+    pub(super) fn delete_doubtful_machines(&mut self, now: Instant) {
         let expiry_after = self.cluster.config.lease_expiry_after();
-        let mut returned = Vec::new();
+        let mut doubtful = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             let Some(doubt) = machine.doubt.as_mut() else { continue };
             doubt.tick(now);
             if doubt.is_older_than(expiry_after, now) {
-                returned.push(machine.name.clone());
+                doubtful.push(machine.name.clone());
             }
         }
-        for name in returned {
-            self.return_machine(name.as_str(), "what it holds is in doubt; machine returned");
+        for name in doubtful {
+            self.delete_machine(name.as_str(), "what it holds is in doubt; machine returned");
         }
     }
 
-    /// A worker that restarts its numbering has lost all its tasks, and its numbers no longer tell
-    /// old heartbeats from new ones. So it is not trusted again: the machine is returned.
-    pub(super) fn return_restarted_machine(&mut self, name: &str) {
-        self.return_machine(name, "worker restarted its numbering; machine returned");
+    /// Deletes a machine whose worker has restarted its message numbering. The worker has lost all
+    /// its tasks, and its numbers no longer tell which of two heartbeats is the older, so its
+    /// messages cannot be trusted any more.
+    pub(super) fn delete_restarted_machine(&mut self, name: &str) {
+        self.delete_machine(name, "worker restarted its numbering; machine returned");
     }
 
-    /// Returns a machine at once, with all that it may hold; the answered deletion shows that
-    /// nothing of it runs any more (S5b).
-    fn return_machine(&mut self, name: &str, reason: &'static str) {
+    /// Deletes a machine in the cloud without draining it, and logs the reason. An answered deletion
+    /// proves that none of its tasks runs any more (S5b).
+    fn delete_machine(&mut self, name: &str, reason: &'static str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if machine.state() != MachineState::Deleting {
             machine.enter(MachineState::Deleting);
-            self.last_delete = None;
+            self.last_deletion_retry = None;
             self.log_machine_event(name, reason);
         }
     }
 
-    /// A few machines that don't answer hold up every task claimed before, until their workers'
-    /// leases expire or the list drops them half a minute later. Returned ones are surely gone
-    /// (S5b), so those few are given up. Where many are silent it is more likely a zone, or this
-    /// controller, that is cut off: then their tasks are worth the wait.
+    /// Finishes a complete reconciliation, or deletes the last unreconciled machines if they are few
+    /// and unresponsive.
+    ///
+    /// A few unresponsive machines delay every task that an earlier leader may have started, until
+    /// their workers' leases expire or the cloud's list omits them half a minute later. A deleted
+    /// machine provably holds no task (S5b), so reconciliation need not wait for it. If many
+    /// machines don't respond, a zone or this controller is more likely to be disconnected; then
+    /// their tasks are worth the wait.
     pub(super) fn advance_reconciliation(&mut self, now: Instant) {
-        let Some(waited) = self.reconciliation.waited(now) else {
+        let Some(elapsed) = self.reconciliation.elapsed(now) else {
             return;
         };
         let machines = self.cluster.machines.len();
         if self.reconciliation.is_complete() {
-            let waited_s = waited.as_secs_f64();
+            let waited_s = elapsed.as_secs_f64();
             tracing::info!(machines, waited_s, "all machines accounted for after the failover");
-            self.reconciliation.end();
+            self.reconciliation.finish();
             return;
         }
-        let few = FEW_UNRECONCILED.min(machines / 2).max(machines / UNRECONCILED_PART);
+        let deletion_limit =
+            BASE_DELETION_LIMIT.min(machines / 2).max(machines / DELETION_LIMIT_DIVISOR);
         let grace = self.cluster.config.heartbeat_interval + RECONCILIATION_GRACE;
-        if waited < grace || !self.reconciliation.is_quiet(now) || self.reconciliation.len() > few {
+        if elapsed < grace
+            || !self.reconciliation.is_stalled(now)
+            || self.reconciliation.len() > deletion_limit
+        {
             return;
         }
         for name in self.unresponsive_machines() {
-            self.return_machine(name.as_str(), "no answer after the failover; machine returned");
+            self.delete_machine(name.as_str(), "no answer after the failover; machine returned");
         }
     }
 
-    /// Unreconciled machines that did not answer several questions in a row.
+    /// Returns the unreconciled machines that left several direct requests in a row unanswered.
     fn unresponsive_machines(&self) -> Vec<MachineName> {
-        let is_silent = |name: &&MachineName| {
+        let is_unresponsive = |name: &&MachineName| {
             let machine = self.cluster.machines.get(*name);
-            machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
+            machine.is_some_and(|machine| machine.unanswered() >= UNRESPONSIVE_AFTER)
         };
-        self.reconciliation.machines().filter(is_silent).cloned().collect()
+        self.reconciliation.machines().filter(is_unresponsive).cloned().collect()
     }
 
-    /// A machine did not answer direct orders in time.
+    /// Counts a direct request that a machine's worker did not answer in time.
     pub fn on_direct_orders_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.note_unanswered();
         }
     }
 
-    /// All tasks that earlier leaders started are accounted for.
+    /// Returns whether all tasks that earlier leaders started are accounted for.
     pub fn is_reconciled(&self) -> bool {
         self.reconciliation.is_complete()
     }
 
-    /// Whether the machine may hold tasks of earlier leaders that are not known yet (S7, S8).
+    /// Returns whether the machine may hold tasks of earlier leaders that are not known yet (S7,
+    /// S8).
     pub(crate) fn is_unreconciled(&self, machine: &str) -> bool {
         self.reconciliation.contains(machine)
     }
--- a/crates/core/src/scheduler/heartbeats/absent_tasks.rs
+++ b/crates/core/src/scheduler/heartbeats/absent_tasks.rs
@@ -1,76 +1,88 @@
-//! Tasks that a heartbeat does not show, and what it proves of them (S5a).
+//! Known tasks of a machine that its heartbeat does not list, and what that proves about them
+//! (S5a).
 
-use super::Receipt;
+use super::HeartbeatContext;
 use crate::machine::{Doubt, Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
 use std::time::Instant;
 
-/// What a heartbeat proves of one task that it lacks.
+/// What a heartbeat proves about one known task that it does not list.
 enum Absence {
-    /// It is surely not on the machine.
+    /// The task is not on the machine.
     Lost,
-    /// Its start, which left at that time, may still be carried out, or may have been.
+    /// The task's start, sent at this time, may have been executed since, or still may be.
     StartInDoubt(Instant),
     /// Nothing.
     Unknown,
 }
 
-/// What a heartbeat proves of the tasks that it lacks.
-pub(super) struct Absences {
-    /// Tasks that are surely not on the machine.
-    pub(super) lost: Vec<TaskAttempt>,
-    /// One of the worker's own heartbeats lacks a start that was sent before it.
-    pub(super) start_lost: bool,
-    /// When the newest start left that may still be on the machine.
-    newest_doubtful_start: Option<Instant>,
+/// What a heartbeat proves about the known tasks that it does not list.
+pub(super) struct AbsentTasks {
+    /// Tasks that are not on the machine.
+    pub(super) lost_tasks: Vec<TaskAttempt>,
+    /// Whether this is one of the worker's own heartbeats and does not list a task whose start was
+    /// sent with the answer to an earlier one.
+    pub(super) is_start_undelivered: bool,
+    /// When the newest of the starts in doubt was sent.
+    newest_start_in_doubt: Option<Instant>,
 }
 
-impl Absences {
-    /// What a message proves of the tasks of its machine that it lacks. It may be the first to show
-    /// starts, the newest of them sent with the answer to the heartbeat given: it was written after
-    /// that answer was taken.
-    pub(super) fn of(
+impl AbsentTasks {
+    /// Classifies the known tasks of a machine that its heartbeat does not list.
+    ///
+    /// If the heartbeat is the first to list tasks whose starts this leader sent,
+    /// `newest_confirmed_start` is the heartbeat whose answer carried the newest of those starts.
+    /// The heartbeat at hand was written after the worker received that answer.
+    pub(super) fn classify(
         machine: &Machine,
-        receipt: &Receipt,
-        newest_start_taken: Option<MessageNumber>,
+        context: &HeartbeatContext,
+        newest_confirmed_start: Option<MessageNumber>,
     ) -> Self {
-        let mut absences =
-            Self { lost: Vec::new(), start_lost: false, newest_doubtful_start: None };
-        for key in &receipt.absent {
+        let mut absent = Self {
+            lost_tasks: Vec::new(),
+            is_start_undelivered: false,
+            newest_start_in_doubt: None,
+        };
+        for key in &context.absent_tasks {
             let Some(task) = machine.tasks.get(key) else { continue };
-            let absence = receipt.absence_of(task, newest_start_taken);
-            let is_shown_lost = task.is_ordered() && receipt.origin.is_own_heartbeat();
-            absences.start_lost |= is_shown_lost && !matches!(absence, Absence::Unknown);
+            let absence = context.classify_absence(task, newest_confirmed_start);
+            let may_be_undelivered = task.is_ordered() && context.origin.is_own_heartbeat();
+            absent.is_start_undelivered |=
+                may_be_undelivered && !matches!(absence, Absence::Unknown);
             match absence {
-                Absence::Lost => absences.lost.push(key.clone()),
-                Absence::StartInDoubt(left_at) => absences.note_doubtful(left_at),
+                Absence::Lost => absent.lost_tasks.push(key.clone()),
+                Absence::StartInDoubt(sent_at) => absent.add_start_in_doubt(sent_at),
                 Absence::Unknown => {}
             }
         }
-        absences
+        absent
     }
 
-    fn note_doubtful(&mut self, left_at: Instant) {
-        let newest = self.newest_doubtful_start.map_or(left_at, |newest| newest.max(left_at));
-        self.newest_doubtful_start = Some(newest);
+    fn add_start_in_doubt(&mut self, sent_at: Instant) {
+        let newest = self.newest_start_in_doubt.map_or(sent_at, |newest| newest.max(sent_at));
+        self.newest_start_in_doubt = Some(newest);
     }
 
-    /// The doubt about the machine after that message, given the one before.
-    pub(super) fn doubt(&self, before: Option<Doubt>, receipt: &Receipt) -> Option<Doubt> {
-        // An answer to direct orders raises none: a start may just be on its way.
-        if before.is_none() && !receipt.origin.is_own_heartbeat() {
+    /// Returns the doubt about the machine's tasks after this heartbeat, given the doubt before it.
+    pub(super) fn doubt(
+        &self,
+        previous: Option<Doubt>,
+        context: &HeartbeatContext,
+    ) -> Option<Doubt> {
+        // The answer to a direct request raises no new doubt: a start may be in transit.
+        if previous.is_none() && !context.origin.is_own_heartbeat() {
             return None;
         }
-        let left_at = self.newest_doubtful_start?;
-        Some(Doubt::of_starts(left_at, receipt.now).continuing(before))
+        let sent_at = self.newest_start_in_doubt?;
+        Some(Doubt::of_starts(sent_at, context.received_at).continuing(previous))
     }
 }
 
-impl Receipt {
-    /// What the message proves of a task that it lacks.
-    fn absence_of(
+impl HeartbeatContext {
+    /// Returns what the heartbeat proves about a known task that it does not list.
+    fn classify_absence(
         &self,
         machine_task: &MachineTask,
-        newest_start_taken: Option<MessageNumber>,
+        newest_confirmed_start: Option<MessageNumber>,
     ) -> Absence {
         let Some(answered) = machine_task.state.answered_heartbeat() else {
             return match machine_task.state {
@@ -78,17 +90,18 @@
                 _ => Absence::Lost,
             };
         };
-        // A start travels only in the answer to a heartbeat, and the worker drops it after a while
-        // (S3). What was surely written after that shows whether it was carried out.
-        let left_at = machine_task.since;
+        // A start is sent only in the answer to a heartbeat, and the worker drops an answer that
+        // arrives too late (S3). A message that was provably written after the answer arrived or was
+        // dropped shows whether the start was executed.
+        let sent_at = machine_task.since;
         if self.number <= answered {
             Absence::Unknown
-        } else if newest_start_taken >= Some(answered)
-            || self.evidence.is_after_answer_to(answered, left_at)
+        } else if newest_confirmed_start >= Some(answered)
+            || self.evidence.is_after_answer_to(answered, sent_at)
         {
             Absence::Lost
         } else {
-            Absence::StartInDoubt(left_at)
+            Absence::StartInDoubt(sent_at)
         }
     }
 }
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -1,4 +1,4 @@
-//! Tasks that exited without being done: whether the job or the machine is the cause.
+//! Tasks that exited without completing: whether the job or the machine is the cause.
 
 use super::Scheduler;
 use crate::cluster::Cluster;
@@ -7,13 +7,14 @@
 use corkfield_wire::JobId;
 use std::time::{Duration, Instant};
 
-/// No start is sent to a worker for so long after it refused one.
+/// Time without starts to a worker after it refused one for lack of room, or because the task is
+/// already on the machine under another attempt.
 const REFUSAL_PAUSE: Duration = Duration::from_secs(2);
-/// A job waits so long after a start of it was refused as of no such job or task.
+/// Time without starts of a job after a worker refused one because it knows no such job or task.
 const UNKNOWN_TASK_PAUSE: Duration = Duration::from_secs(3);
 
 impl Scheduler {
-    /// A task exited otherwise than as done.
+    /// Handles a task that exited without completing.
     pub(super) fn on_task_exit(&mut self, name: &str, status: &TaskStatus, now: Instant) {
         let id = &status.task.job;
         match status.cause {
@@ -38,24 +39,26 @@
         }
     }
 
-    /// A task failed: blames its job, and the machine unless the job fails everywhere.
+    /// Handles a task that failed: counts a failure of its job, and of the machine unless the job
+    /// fails on many machines.
     fn on_task_failure(&mut self, name: &str, id: &JobId, now: Instant) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let (Some(job), Some(machine)) = (jobs.get_mut(id), machines.get_mut(name)) else {
             return;
         };
         job.failures.add(name);
-        // A job that fails everywhere says nothing about the machines it fails on.
-        let job_completes = job.run_times.has_any();
-        if job.failures.may_blame_machines() || job_completes {
+        // Failures of a job that never completed a task and fails on many machines don't indicate
+        // that a machine is faulty.
+        let has_completed_tasks = job.run_times.has_any();
+        if job.failures.may_blame_machines() || has_completed_tasks {
             machine.health.note_failure(id);
         }
-        let backs_off = job.failures.call_for_back_off();
-        if machine.health.is_faulty(job_completes) && machine.state() == MachineState::Up {
+        let must_back_off = job.failures.call_for_back_off();
+        if machine.health.is_faulty(has_completed_tasks) && machine.state() == MachineState::Up {
             machine.enter(MachineState::Draining);
             self.log_machine_event(name, "machine fails its tasks; drained and returned");
         }
-        if backs_off {
+        if must_back_off {
             self.back_off_job(id, now);
         }
     }
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats: which of them count, and what they prove.
+//! Workers' heartbeats: which of them are accepted, and what they prove about a machine's tasks.
 
 mod absent_tasks;
 mod exits;
@@ -10,47 +10,50 @@
 use crate::machine::{
     Doubt, Evidence, Machine, MachineTaskState, MessageNumber, MessageOrigin, TaskAttempt,
 };
-use absent_tasks::Absences;
+use absent_tasks::AbsentTasks;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
 use corkfield_wire::Term;
 use std::time::{Duration, Instant};
 
-/// A heartbeat that came later than this many intervals after the one before tells nothing of run
-/// times.
-const PROMPT_INTERVALS: f64 = 1.5;
+/// A heartbeat that arrives more than this many heartbeat intervals after the previous one is not
+/// used to measure run times.
+const MAX_PROMPT_INTERVALS: f64 = 1.5;
 
-/// What to do with a heartbeat.
+/// How the scheduler handled a heartbeat, and whether the caller may answer it with 200.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was taken.
+    /// The heartbeat was accepted and may be answered with 200.
     Accept,
-    /// Older than what is known, or of a machine that is gone: no answer with 200.
+    /// The heartbeat was ignored: it is older than one that was accepted, may predate it, or comes
+    /// from a machine that was removed or is being deleted. It must not be answered with 200.
     Stale,
-    /// The worker has seen a higher term than ours.
+    /// The heartbeat was ignored, because the worker has seen this term, which is higher than ours.
     HigherTerm(Term),
-    /// It was taken, but our answers may not reach the worker: one more with 200 would only seem to
-    /// renew its lease. A direct order tells.
+    /// The heartbeat was accepted, but must not be answered with 200. Answers may not reach the
+    /// worker, so another one would extend the lease as we compute it, but perhaps not the worker's
+    /// lease. A direct request shows whether the worker is reachable.
     AnswersInDoubt,
 }
 
-/// What of a heartbeat matters to each task that it shows, or lacks.
-struct Receipt {
-    /// How it came.
+/// Properties of a received heartbeat that are needed to update each of the machine's tasks.
+struct HeartbeatContext {
+    /// How the message was received.
     origin: MessageOrigin,
-    /// What proves when it was written.
+    /// Evidence of when the message was written.
     evidence: Evidence,
-    /// Tasks known of the machine that it does not show.
-    absent: Vec<TaskAttempt>,
-    /// The number of the message.
+    /// Tasks of the machine that are known to the scheduler but not listed in the heartbeat.
+    absent_tasks: Vec<TaskAttempt>,
+    /// Number of the message.
     number: MessageNumber,
-    /// The time since the machine's message before, if that is no longer than usual.
+    /// Time since the machine's previous message, or `None` if it is longer than
+    /// [`MAX_PROMPT_INTERVALS`] heartbeat intervals.
     prompt_gap: Option<Duration>,
-    /// When it came.
-    now: Instant,
+    /// When the message was received.
+    received_at: Instant,
 }
 
 impl Scheduler {
-    /// Takes a message of a worker: one of its own heartbeats, or its answer to direct orders.
+    /// Handles a message of a worker: one of its own heartbeats, or its answer to a direct request.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -61,118 +64,130 @@
         if heartbeat.term > self.term {
             return Verdict::HigherTerm(heartbeat.term);
         }
-        if self.gone.contains(heartbeat.machine.as_str()) {
+        if self.removed_machines.contains(heartbeat.machine.as_str()) {
             return Verdict::Stale;
         }
         let our_term = self.term;
-        let prompt = self.cluster.config.heartbeat_interval.mul_f64(PROMPT_INTERVALS);
+        let max_prompt_gap = self.cluster.config.heartbeat_interval.mul_f64(MAX_PROMPT_INTERVALS);
         let number = MessageNumber::from(heartbeat);
-        let machine = self.machine_of(heartbeat, now);
+        let machine = self.get_or_insert_machine(heartbeat, now);
         if machine.messages.is_outdated(number) {
             if origin.is_own_heartbeat() {
                 machine.messages.note_outdated_heartbeat(number);
             }
             return Verdict::Stale;
         }
-        let absent = machine.tasks.absent_from(heartbeat);
+        let absent_tasks = machine.tasks.absent_from(heartbeat);
         if machine.messages.has_shown_higher_term(heartbeat.term)
-            || machine.has_lost_one_of(&absent, heartbeat.agent_epoch)
+            || machine.has_lost_one_of(&absent_tasks, heartbeat.agent_epoch)
         {
-            self.return_restarted_machine(heartbeat.machine.as_str());
+            self.delete_restarted_machine(heartbeat.machine.as_str());
             return Verdict::Stale;
         }
         if heartbeat.term == our_term {
             machine.exchanges.exposure.note_shown(our_term, number);
         }
         let evidence = machine.exchanges.evidence(origin, heartbeat.term, our_term);
-        if machine.may_predate_newest(&absent, &evidence) {
+        if machine.may_predate_newest(&absent_tasks, &evidence) {
             machine.doubt = Some(Doubt::of_shown_tasks(now).continuing(machine.doubt));
             return Verdict::Stale;
         }
         let gap = machine.receive(heartbeat, origin, &evidence, now);
         if machine.update_fence(heartbeat, our_term) {
-            let prompt_gap = gap.filter(|gap| *gap <= prompt);
-            let receipt = Receipt { origin, evidence, absent, number, prompt_gap, now };
-            self.on_fresh_heartbeat(heartbeat, &receipt);
+            let prompt_gap = gap.filter(|gap| *gap <= max_prompt_gap);
+            let received_at = now;
+            let context = HeartbeatContext {
+                origin,
+                evidence,
+                absent_tasks,
+                number,
+                prompt_gap,
+                received_at,
+            };
+            self.on_fenced_heartbeat(heartbeat, &context);
         }
-        if origin.is_own_heartbeat() && self.withholds_answer(heartbeat.machine.as_str(), now) {
+        if origin.is_own_heartbeat() && self.must_withhold_answer(heartbeat.machine.as_str(), now) {
             return Verdict::AnswersInDoubt;
         }
         Verdict::Accept
     }
 
-    /// Whether an answer to the machine would only seem to renew a lease that something rests on.
-    fn withholds_answer(&self, name: &str, now: Instant) -> bool {
+    /// Returns whether a heartbeat of the machine must not be answered, because it is in doubt
+    /// whether answers renew the worker's lease, and the expiry of that lease matters: the machine
+    /// has tasks or is unreconciled.
+    fn must_withhold_answer(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
             machine.lease.withholds_answer(now)
                 && (!machine.tasks.is_empty() || self.is_unreconciled(name))
         })
     }
 
-    /// The machine that a heartbeat is of; one that was not known is known from now on.
-    fn machine_of(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> &mut Machine {
+    /// Returns the machine that sent a heartbeat, and adds it if it is unknown.
+    fn get_or_insert_machine(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> &mut Machine {
         let Cluster { machines, machine_types, .. } = &mut self.cluster;
         machines
             .entry(heartbeat.machine.clone())
             .or_insert_with(|| Machine::from_heartbeat(heartbeat, machine_types, now))
     }
 
-    /// Takes a heartbeat of a fenced machine: it shows what the machine holds (S7).
-    fn on_fresh_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, receipt: &Receipt) {
+    /// Handles an accepted heartbeat of a fenced machine, which shows which tasks the machine holds
+    /// (S7).
+    fn on_fenced_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, context: &HeartbeatContext) {
         let name = &heartbeat.machine;
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.lease.resume(receipt.now);
+            machine.lease.resume(context.received_at);
             if let Some(record) = machine.begin_recording() {
                 self.actions.push(Action::StoreMachineRecord(name.clone(), record));
             }
         }
-        self.sync_tasks(heartbeat, receipt);
-        self.reconciliation.note_reconciled(name.as_str(), receipt.now);
+        self.sync_tasks(heartbeat, context);
+        self.reconciliation.mark_reconciled(name.as_str(), context.received_at);
         if heartbeat.notice_s.is_some() {
-            self.save_noticed(name.as_str());
+            self.stop_with_checkpoints(name.as_str());
         }
     }
 
-    /// Brings the tasks known of a machine in line with its heartbeat.
-    fn sync_tasks(&mut self, heartbeat: &WorkerHeartbeat, receipt: &Receipt) {
+    /// Updates the known tasks of a machine from its heartbeat.
+    fn sync_tasks(&mut self, heartbeat: &WorkerHeartbeat, context: &HeartbeatContext) {
         let name = &heartbeat.machine;
-        let mut newest_start_taken = None;
+        let mut newest_confirmed_start = None;
         for status in &heartbeat.tasks {
-            let start_taken = self.sync_task(name.as_str(), status, receipt);
-            newest_start_taken = newest_start_taken.max(start_taken);
+            let confirmed_start = self.sync_task(name.as_str(), status, context);
+            newest_confirmed_start = newest_confirmed_start.max(confirmed_start);
         }
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
-        let absences = Absences::of(machine, receipt, newest_start_taken);
-        machine.doubt = absences.doubt(machine.doubt, receipt);
-        let Absences { lost, start_lost, .. } = absences;
-        let start_taken = newest_start_taken.is_some();
-        if start_taken || start_lost {
-            machine.note_delivery(start_taken);
+        let absent = AbsentTasks::classify(machine, context, newest_confirmed_start);
+        machine.doubt = absent.doubt(machine.doubt, context);
+        let AbsentTasks { lost_tasks, is_start_undelivered, .. } = absent;
+        let is_start_confirmed = newest_confirmed_start.is_some();
+        if is_start_confirmed || is_start_undelivered {
+            machine.note_delivery(is_start_confirmed);
         }
-        for key in lost {
+        for key in lost_tasks {
             self.release_task(name.as_str(), &key);
         }
     }
 
-    /// Has the tasks of a machine that is about to be taken save checkpoints, where they can.
-    fn save_noticed(&mut self, name: &str) {
+    /// Stops the running tasks that save checkpoints on a machine that the cloud is about to take
+    /// away, with the grace period that their jobs need to save.
+    fn stop_with_checkpoints(&mut self, name: &str) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(machine) = machines.get_mut(name) else {
             return;
         };
-        let mut saving: Vec<(TaskAttempt, Duration)> = Vec::new();
+        let mut to_stop: Vec<(TaskAttempt, Duration)> = Vec::new();
         for (key, machine_task) in machine.tasks.iter() {
             let Some(job) = jobs.get(&key.task.job).filter(|job| job.saves_checkpoints()) else {
                 continue;
             };
             if machine_task.state == MachineTaskState::Running && machine_task.stop.is_none() {
-                saving.push((key.clone(), job.stop_grace()));
+                to_stop.push((key.clone(), job.stop_grace()));
             }
         }
         let stops: Vec<Order> =
-            saving.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
+            to_stop.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
         if !stops.is_empty() {
             self.actions.push(direct_orders_action(machine, stops));
         }
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -1,62 +1,68 @@
-//! Run times of completed tasks: what they tell of machines and of estimates.
+//! Run times of completed tasks, which update machine health and run time estimates.
 
-use super::task_status::KnownTask;
-use super::Receipt;
+use super::task_status::PreviousTaskState;
+use super::HeartbeatContext;
 use crate::estimate_correction::EstimateCorrections;
 use crate::job::Job;
 use crate::machine::{Machine, MachineTaskState};
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Bounds of what one run time tells of a machine, against the mean elsewhere.
-const SLOWNESS_RATIO: RangeInclusive<f64> = 0.2..=10.0;
-/// Bounds of what one run time tells of its class's estimates.
-const ESTIMATE_RATIO: RangeInclusive<f64> = 0.05..=20.0;
+/// Bounds to which the ratio of a task's run time to the job's mean run time is clamped before it
+/// updates the slowness of a machine.
+const SLOWNESS_RATIO_BOUNDS: RangeInclusive<f64> = 0.2..=10.0;
+/// Bounds to which the ratio of a task's run time to its estimate is clamped before it updates the
+/// estimate correction of the job's class.
+const ESTIMATE_RATIO_BOUNDS: RangeInclusive<f64> = 0.05..=20.0;
 
-/// Run time of a task that has just completed.
+/// Run time of a task that has just completed, as measured by heartbeats.
 pub(super) struct RunTime {
-    /// From the heartbeat that showed it running to the one that shows it done.
-    ran: Duration,
-    /// It may have ended this much earlier.
+    /// Time from the heartbeat that first showed the task running to the one that shows it done.
+    measured: Duration,
+    /// Time since the previous message of the machine. The task may have ended this much before it
+    /// was reported.
     gap: Duration,
 }
 
-impl Receipt {
-    /// The run time of a task that this heartbeat shows as done, given what was known of it. It
-    /// is known only if its beginning and its end were reported at once: a machine that couldn't
-    /// send heartbeats for a while is not a slow one.
-    pub(super) fn run_time(&self, known: Option<KnownTask>) -> Option<RunTime> {
-        let known = known.filter(|known| known.state == MachineTaskState::Running)?;
+impl HeartbeatContext {
+    /// Returns the run time of a task that this heartbeat shows as done, given its previous state.
+    ///
+    /// Returns `None` if the start or the end of the run was not reported promptly: a machine that
+    /// could not send heartbeats for a while is not a slow machine.
+    pub(super) fn run_time(&self, previous: Option<PreviousTaskState>) -> Option<RunTime> {
+        let previous = previous.filter(|previous| previous.state == MachineTaskState::Running)?;
         let gap = self.prompt_gap?;
-        Some(RunTime { ran: self.now.duration_since(known.since), gap })
+        Some(RunTime { measured: self.received_at.duration_since(previous.since), gap })
     }
 }
 
 impl RunTime {
-    /// Takes it into the figures of the job, the machine, and the class's estimates.
-    pub(super) fn note(
+    /// Adds this run time to the statistics of the job, the machine, and the estimates of the job's
+    /// class.
+    pub(super) fn add_to_statistics(
         &self,
         corrections: &mut EstimateCorrections,
         job: &mut Job,
         machine: &mut Machine,
     ) {
-        // It may have ended at any moment since the heartbeat before: a machine whose heartbeats
-        // are held up for seconds is not a slow one.
-        let shortest = self.ran.saturating_sub(self.gap);
+        // The task may have ended at any time since the previous heartbeat. The shortest possible
+        // run time is used, so that a machine whose heartbeats are delayed by seconds does not count
+        // as slow.
+        let shortest = self.measured.saturating_sub(self.gap);
         if let Some(ratio) = job.run_times.ratio_to_mean(shortest) {
-            machine.health.note_run_time(clamp(ratio, &SLOWNESS_RATIO));
+            machine.health.note_run_time(clamp(ratio, &SLOWNESS_RATIO_BOUNDS));
         }
-        let ran_s = self.ran.as_secs_f64();
-        job.run_times.add(ran_s);
+        let measured_s = self.measured.as_secs_f64();
+        job.run_times.add(measured_s);
         let estimate_s = job.spec().estimate_s;
         if estimate_s > 0.0 {
-            let ratio = clamp(ran_s / estimate_s, &ESTIMATE_RATIO);
+            let ratio = clamp(measured_s / estimate_s, &ESTIMATE_RATIO_BOUNDS);
             corrections.add(&job.spec().class, ratio);
         }
     }
 }
 
-/// The ratio, or the bound that it is beyond.
+/// Clamps a ratio to the given bounds.
 fn clamp(ratio: f64, bounds: &RangeInclusive<f64>) -> f64 {
     ratio.clamp(*bounds.start(), *bounds.end())
 }
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -1,6 +1,6 @@
-//! What a heartbeat says of one task.
+//! Updates one task from its status in a heartbeat.
 
-use super::{Receipt, Scheduler};
+use super::{HeartbeatContext, Scheduler};
 use crate::cluster::Cluster;
 use crate::job::{Job, JobState, Placed};
 use crate::machine::{Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
@@ -8,27 +8,29 @@
 use corkfield_wire::TaskId;
 use std::time::Instant;
 
-/// What was known of a task before a heartbeat.
+/// State of a task on a machine as known before a heartbeat.
 #[derive(Clone, Copy)]
-pub(super) struct KnownTask {
-    /// What it was doing.
+pub(super) struct PreviousTaskState {
+    /// The task's state.
     pub(super) state: MachineTaskState,
-    /// Since when.
+    /// When the task entered this state.
     pub(super) since: Instant,
 }
 
-/// What a task that has not exited is to its job.
-enum LiveTask {
-    /// The attempt that the job knows.
-    Known,
-    /// Started by an earlier leader, or found again: it goes on.
-    Found,
-    /// It has to be stopped: its job needs none of its tasks, or not this attempt.
+/// How a reported attempt that has not exited relates to its job.
+enum LiveAttempt {
+    /// The job's task is placed on this machine under this attempt.
+    Placed,
+    /// The job's task is not placed anywhere, so the job adopts this attempt. It was started by an
+    /// earlier leader, or was given up before.
+    Unplaced,
+    /// The attempt must be stopped: the job needs no more of its tasks, or not this one, or the
+    /// task is placed under another attempt.
     Unwanted,
 }
 
-impl LiveTask {
-    /// What the attempt on that machine is to its job.
+impl LiveAttempt {
+    /// Returns how an attempt on the given machine relates to its job.
     fn classify(job: &Job, machine: &str, key: &TaskAttempt) -> Self {
         let index = key.task.index;
         if !job.is_live() || job.state() == JobState::DeadLettered || job.finished().contains(index)
@@ -36,9 +38,9 @@
             return Self::Unwanted;
         }
         match job.active().get(&index) {
-            None => Self::Found,
+            None => Self::Unplaced,
             Some(placed) if placed.machine.as_str() == machine && placed.attempt == key.attempt => {
-                Self::Known
+                Self::Placed
             }
             Some(placed) => {
                 let other_machine = placed.machine.as_str();
@@ -49,7 +51,7 @@
     }
 }
 
-/// The state of a task that a heartbeat shows.
+/// Returns the state of a task as its status in a heartbeat shows it.
 fn reported_state(status: &TaskStatus) -> MachineTaskState {
     match (status.phase, status.cause) {
         (TaskPhase::Fetching, _) => MachineTaskState::Fetching,
@@ -60,16 +62,17 @@
     }
 }
 
-/// Brings a task on a machine in line with its status; returns what was known before, and the
-/// task.
+/// Sets the state of a task on a machine, and adds the task if it is unknown. Returns its previous
+/// state, if any, and the task.
 fn update_machine_task<'a>(
     machine: &'a mut Machine,
     key: &TaskAttempt,
     state: MachineTaskState,
     now: Instant,
-) -> (Option<KnownTask>, &'a mut MachineTask) {
-    let known = machine.tasks.get(key).map(|t| KnownTask { state: t.state, since: t.since });
-    if known.is_none_or(|known| known.state != state) {
+) -> (Option<PreviousTaskState>, &'a mut MachineTask) {
+    let previous =
+        machine.tasks.get(key).map(|t| PreviousTaskState { state: t.state, since: t.since });
+    if previous.is_none_or(|previous| previous.state != state) {
         let TaskAttempt { task, attempt } = key;
         let attempt = attempt.get();
         let name = machine.name.as_str();
@@ -78,68 +81,70 @@
     let found = || MachineTask::found(state, now);
     let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
     machine_task.enter(state, now);
-    (known, machine_task)
+    (previous, machine_task)
 }
 
 impl Scheduler {
-    /// Takes what a heartbeat says of a task. If that shows that its start was taken, returns which
-    /// heartbeat's answer carried it.
+    /// Updates a task from its status in a heartbeat. If this heartbeat is the first to show the
+    /// task after its start was sent, returns the heartbeat whose answer carried the start.
     pub(super) fn sync_task(
         &mut self,
         name: &str,
         status: &TaskStatus,
-        receipt: &Receipt,
+        context: &HeartbeatContext,
     ) -> Option<MessageNumber> {
         let key = TaskAttempt { task: status.task.clone(), attempt: status.attempt };
         let Cluster { jobs, machines, estimate_corrections, .. } = &mut self.cluster;
         let machine = machines.get_mut(name)?;
         let state = reported_state(status);
-        let (known, machine_task) = update_machine_task(machine, &key, state, receipt.now);
-        let start_taken = known.and_then(|known| known.state.answered_heartbeat());
+        let (previous, machine_task) =
+            update_machine_task(machine, &key, state, context.received_at);
+        let confirmed_start = previous.and_then(|previous| previous.state.answered_heartbeat());
         let Some(job) = jobs.get_mut(&key.task.job) else {
-            // Cancelled, done, or not claimed yet; stopped once all jobs are claimed.
-            return start_taken;
+            // The job is cancelled, done or not claimed yet. If it has ended, the task is stopped
+            // with the answer to a heartbeat.
+            return confirmed_start;
         };
         machine_task.belongs_to(job.spec(), job.team);
         match state {
             MachineTaskState::Done => {
-                let known = known.filter(|_| machine_task.started_by_us);
+                let previous = previous.filter(|_| machine_task.started_by_us);
                 let other = job.active().get(&key.task.index).filter(|placed| {
                     placed.machine.as_str() != name || placed.attempt != key.attempt
                 });
                 let superseded = other.cloned();
                 if job.finish(key.task.index) {
                     machine.health.note_completion();
-                    if let Some(run) = receipt.run_time(known) {
-                        run.note(estimate_corrections, job, machine);
+                    if let Some(run_time) = context.run_time(previous) {
+                        run_time.add_to_statistics(estimate_corrections, job, machine);
                     }
                     if let Some(placed) = superseded {
-                        self.drop_superseded(&key.task, &placed);
+                        self.stop_superseded_attempt(&key.task, &placed);
                     }
                 }
             }
             MachineTaskState::Exited => {
-                if known.is_none_or(|known| known.state != MachineTaskState::Exited) {
+                if previous.is_none_or(|previous| previous.state != MachineTaskState::Exited) {
                     job.release(key.task.index, name, key.attempt);
-                    self.on_task_exit(name, status, receipt.now);
+                    self.on_task_exit(name, status, context.received_at);
                 }
             }
-            _ => match LiveTask::classify(job, name, &key) {
-                LiveTask::Known => {}
-                LiveTask::Found => {
+            _ => match LiveAttempt::classify(job, name, &key) {
+                LiveAttempt::Placed => {}
+                LiveAttempt::Unplaced => {
                     job.place(key.task.index, name, key.attempt);
                     machine.touch_image(&job.record.spec.image, job.record.spec.image_gb);
                 }
-                LiveTask::Unwanted => machine_task.stop_at_once(),
+                LiveAttempt::Unwanted => machine_task.stop_at_once(),
             },
         }
         self.remove_job_if_closed(&key.task.job);
-        start_taken
+        confirmed_start
     }
 
-    /// A task was done under another attempt than the placed one: a late message shows it. The
-    /// placed attempt has nothing left to do.
-    fn drop_superseded(&mut self, task: &TaskId, placed: &Placed) {
+    /// Stops the placed attempt at a task that a delayed message shows as done under another
+    /// attempt. An attempt whose start was not sent yet is unassigned.
+    fn stop_superseded_attempt(&mut self, task: &TaskId, placed: &Placed) {
         let Placed { machine: name, attempt } = placed;
         let key = TaskAttempt { task: task.clone(), attempt: *attempt };
         let Some(machine) = self.cluster.machines.get_mut(name) else {
--- a/crates/core/src/scheduler/job_states.rs
+++ b/crates/core/src/scheduler/job_states.rs
@@ -1,4 +1,4 @@
-//! Changes of a job's state, and what becomes of its assigned tasks with them.
+//! Changes of a job's state, and their effect on the job's assigned tasks.
 
 use super::Scheduler;
 use crate::cluster::Cluster;
@@ -7,54 +7,54 @@
 use corkfield_wire::{JobId, MachineName, TaskId};
 use std::time::Instant;
 
-/// A task that was chosen for a machine, and that no order has left for yet.
+/// A task that is assigned to a machine and whose start was not sent yet.
 struct AssignedTask {
     machine: MachineName,
     key: TaskAttempt,
 }
 
 impl Scheduler {
-    /// Changes a job. If its tasks may no longer start under the generation that they could start
-    /// under before, its assigned tasks are taken back.
+    /// Changes a job. Unassigns its assigned tasks if they may no longer start under the generation
+    /// that applied before the change.
     ///
-    /// Their starts could not leave: the order's generation must be that of the job's record.
-    /// Left where they are, they would keep room, and their team's share, for a start that never
-    /// comes (a job backs off for up to a minute), and would leave with an attempt of an earlier
-    /// claim after the next one.
+    /// Starts of these tasks could not be sent, because an order must carry the generation of the
+    /// job's record. If they stayed assigned, they would occupy room on their machines and count
+    /// against their team's limit while the job backs off (up to a minute). After the next claim
+    /// they would be started under an attempt of an earlier claim.
     pub(super) fn change_job(&mut self, id: &JobId, change: impl FnOnce(&mut Job)) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        let before = job.start_generation();
+        let previous_generation = job.start_generation();
         change(job);
-        if before.is_some() && before != job.start_generation() {
+        if previous_generation.is_some() && previous_generation != job.start_generation() {
             self.unassign_tasks_of(id);
         }
     }
 
-    /// The job waits before any more of it is started, if anything of it may be started now.
+    /// Pauses starts of a job until the given time, if its tasks may be started now.
     pub(super) fn pause_job(&mut self, id: &JobId, until: Instant) {
         self.change_job(id, |job| {
-            // A refusal that comes late says nothing new of a job that waits, or is dead-lettered.
+            // A delayed refusal must not change a job that is paused already or dead-lettered.
             if job.may_start() {
                 job.enter(JobState::BackingOff(until));
             }
         });
     }
 
-    /// The job failed wherever it was tried.
+    /// Backs off a job that failed on several machines, or on all that it may run on.
     pub(super) fn back_off_job(&mut self, id: &JobId, now: Instant) {
         self.change_job(id, |job| job.back_off(now));
     }
 
-    /// Takes a job's assigned tasks off their machines: they wait again.
+    /// Removes a job's assigned tasks from their machines, so that they wait for placement again.
     fn unassign_tasks_of(&mut self, id: &JobId) {
         for AssignedTask { machine, key } in self.assigned_tasks_of(id) {
             self.release_task(machine.as_str(), &key);
         }
     }
 
-    /// A job's assigned tasks.
+    /// Returns a job's assigned tasks.
     fn assigned_tasks_of(&self, id: &JobId) -> Vec<AssignedTask> {
         let Cluster { jobs, machines, .. } = &self.cluster;
         let Some(job) = jobs.get(id) else {
--- a/crates/core/src/scheduler/machine_events.rs
+++ b/crates/core/src/scheduler/machine_events.rs
@@ -1,35 +1,35 @@
-//! Log lines of what happens to machines: whole waves of them share a line.
+//! Log lines about machines. Events of the same kind on many machines are combined into one line.
 
 use corkfield_wire::MachineName;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Between two rounds of log lines.
+/// Minimum time between two rounds of log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Events of one kind since the last log line of that kind.
 #[derive(Debug)]
 struct EventCount {
-    /// How many machines it happened to.
+    /// Number of events, each of one machine.
     machines: u32,
-    /// The first machine that it happened to.
+    /// Machine of the first of these events.
     first: MachineName,
 }
 
-/// What happened to machines and was not logged yet.
+/// Machine events that have not been logged yet.
 #[derive(Debug, Default)]
 pub(super) struct MachineEventLog {
-    /// By kind of event.
+    /// Event counts by kind of event, which is also the log message.
     events: BTreeMap<&'static str, EventCount>,
-    /// When a line was written last.
-    logged_at: Option<Instant>,
-    /// Machines that take no orders, as logged last.
-    unreachable: usize,
+    /// When a line was last logged.
+    last_logged_at: Option<Instant>,
+    /// Number of unreachable machines that was last logged.
+    logged_unreachable: usize,
 }
 
 impl MachineEventLog {
-    /// Notes what operators should know of a machine.
-    pub(super) fn note(&mut self, machine: &str, event: &'static str) {
+    /// Adds an event of a machine that operators should see.
+    pub(super) fn add(&mut self, machine: &str, event: &'static str) {
         tracing::debug!(machine, "{event}");
         let count = self
             .events
@@ -38,21 +38,22 @@
         count.machines += 1;
     }
 
-    /// Whether the last log lines are old enough.
+    /// Returns whether [`LOG_INTERVAL`] has passed since a line was last logged.
     pub(super) fn is_due(&self, now: Instant) -> bool {
-        let recently = |at| now.saturating_duration_since(at) < LOG_INTERVAL;
-        !self.logged_at.is_some_and(recently)
+        let is_recent = |at| now.saturating_duration_since(at) < LOG_INTERVAL;
+        !self.last_logged_at.is_some_and(is_recent)
     }
 
-    /// Writes what was noted, and how many machines take no orders if that has changed.
-    pub(super) fn write(&mut self, unreachable: usize, now: Instant) {
-        if unreachable != std::mem::replace(&mut self.unreachable, unreachable) {
+    /// Logs the number of unreachable machines if it has changed, and all events added since the
+    /// last call.
+    pub(super) fn flush(&mut self, unreachable: usize, now: Instant) {
+        if unreachable != std::mem::replace(&mut self.logged_unreachable, unreachable) {
             tracing::info!(machines = unreachable, "machines send heartbeats but take no orders");
-            self.logged_at = Some(now);
+            self.last_logged_at = Some(now);
         }
         for (event, EventCount { machines, first }) in std::mem::take(&mut self.events) {
             tracing::info!(machines, machine = first.as_str(), "{event}");
-            self.logged_at = Some(now);
+            self.last_logged_at = Some(now);
         }
     }
 }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -1,4 +1,5 @@
-//! Machines that come and go: what the cloud lists, and what is deleted.
+//! Adding and removing machines: the cloud's machine list, deletions, and the tasks of removed
+//! machines.
 
 use super::{Action, Scheduler};
 use crate::machine::{Machine, MachineState, MachineTask, Recorded, TaskAttempt};
@@ -7,11 +8,11 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Deletions that were not answered are requested again after this time.
-const DELETE_RETRY: Duration = Duration::from_secs(3);
+/// Time after which pending deletions are requested again.
+const DELETION_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
 impl Scheduler {
-    /// Takes over the cloud's machine types, also for machines known already.
+    /// Sets the cloud's machine types, and updates the sizes of the known machines.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         for machine in self.cluster.machines.values_mut() {
             machine.update_size(&types);
@@ -19,19 +20,19 @@
         self.cluster.machine_types = types;
     }
 
-    /// Drains a machine: it gets no new tasks, and is returned once it is empty.
+    /// Drains a machine: it gets no new tasks, and is deleted once it is empty.
     pub fn drain_machine(&mut self, name: &str) {
         self.cluster.drain(name);
     }
 
-    /// The write of the machine's record was answered: it is `stored`, or the write failed.
+    /// Handles the end of a write of a machine's record. `stored` is false if the write failed.
     pub fn on_machine_record_written(&mut self, name: &str, stored: bool) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.finish_recording(stored);
         }
     }
 
-    /// Takes a task off a machine that surely no longer has it (S5).
+    /// Removes a task from a machine that provably does not hold it any more (S5).
     pub(super) fn release_task(&mut self, name: &str, key: &TaskAttempt) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -53,49 +54,52 @@
         self.remove_job_if_closed(&task.job);
     }
 
-    /// Takes those tasks off a machine that surely no longer has them (S5).
-    pub(super) fn release_tasks(&mut self, name: &str, which: impl Fn(&MachineTask) -> bool) {
+    /// Removes all tasks that match `predicate` from a machine that provably does not hold them any
+    /// more (S5).
+    pub(super) fn release_tasks(&mut self, name: &str, predicate: impl Fn(&MachineTask) -> bool) {
         let Some(machine) = self.cluster.machines.get(name) else {
             return;
         };
-        let released = machine.tasks.iter().filter(|(_, machine_task)| which(machine_task));
+        let released = machine.tasks.iter().filter(|(_, machine_task)| predicate(machine_task));
         let keys: Vec<TaskAttempt> = released.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.release_task(name, &key);
         }
     }
 
-    /// The machine is surely gone, and all that was on it (S5b).
+    /// Removes a machine that provably no longer exists, with all its tasks (S5b).
     fn remove_machine(&mut self, name: &str) {
         self.release_tasks(name, |_| true);
         if let Some(machine) = self.cluster.machines.remove(name) {
-            tracing::debug!(machine = name, "machine gone");
+            tracing::debug!(machine = name, "machine removed");
             if machine.recorded != Recorded::No {
                 self.actions.push(Action::DeleteMachineRecord(MachineName::from(name)));
             }
         }
         self.reconciliation.remove(name);
-        self.gone.insert(name, self.cluster.machines.len());
+        self.removed_machines.insert(name, self.cluster.machines.len());
     }
 
-    /// A deletion was answered with 200.
+    /// Handles a deletion of machines that the cloud answered with 200.
     pub fn on_machines_deleted(&mut self, names: &[MachineName]) {
         for name in names {
             self.remove_machine(name.as_str());
         }
     }
 
-    /// A whole list of the cloud, asked for at `asked`.
-    pub fn on_machine_list(&mut self, list: &[ListedMachine], asked: Instant, now: Instant) {
+    /// Handles the cloud's complete list of machines, which was requested at `requested_at`.
+    pub fn on_machine_list(&mut self, list: &[ListedMachine], requested_at: Instant, now: Instant) {
         for entry in list {
-            self.take_listed_machine(entry, now);
+            self.update_listed_machine(entry, now);
         }
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
         let settles_after = self.cluster.config.missing_machine_gone_after();
         let machines = self.cluster.machines.values();
-        // It existed when we came to know it, and this list describes a later moment.
+        // A list may lag behind the cloud's state. A missing machine is removed only if the list was
+        // requested so long after the machine became known that it must describe a later moment.
         let missing = machines.filter(|machine| {
-            !listed.contains(machine.name.as_str()) && asked >= machine.known_since + settles_after
+            !listed.contains(machine.name.as_str())
+                && requested_at >= machine.known_since + settles_after
         });
         let missing: Vec<MachineName> = missing.map(|machine| machine.name.clone()).collect();
         for name in missing {
@@ -104,9 +108,10 @@
         }
     }
 
-    /// Takes one entry of the cloud's list.
-    fn take_listed_machine(&mut self, entry: &ListedMachine, now: Instant) {
-        if self.gone.contains(entry.name.as_str()) {
+    /// Adds or updates a machine from its entry in the cloud's list. A machine that the cloud lists
+    /// as failed is removed, and its deletion requested.
+    fn update_listed_machine(&mut self, entry: &ListedMachine, now: Instant) {
+        if self.removed_machines.contains(entry.name.as_str()) {
             return;
         }
         if entry.state == ListedState::Failed {
@@ -122,23 +127,25 @@
         machine.note_listed_addr(&entry.addr);
     }
 
-    /// Requests the deletion of drained machines that are empty, and, from time to time, once more
-    /// of all that were to be deleted and are still there.
+    /// Requests the deletion of drained machines that are empty. Every [`DELETION_RETRY_INTERVAL`],
+    /// requests all pending deletions again.
     pub(super) fn request_deletions(&mut self, now: Instant) {
-        let retry = self.last_delete.is_none_or(|at| now.duration_since(at) >= DELETE_RETRY);
-        let mut delete = Vec::new();
+        let is_retry_due = self
+            .last_deletion_retry
+            .is_none_or(|at| now.duration_since(at) >= DELETION_RETRY_INTERVAL);
+        let mut names_to_delete = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             if machine.state() == MachineState::Draining && machine.tasks.is_empty() {
                 machine.enter(MachineState::Deleting);
-                delete.push(machine.name.clone());
-            } else if machine.state() == MachineState::Deleting && retry {
-                delete.push(machine.name.clone());
+                names_to_delete.push(machine.name.clone());
+            } else if machine.state() == MachineState::Deleting && is_retry_due {
+                names_to_delete.push(machine.name.clone());
             }
         }
-        if retry {
-            self.last_delete = Some(now);
+        if is_retry_due {
+            self.last_deletion_retry = Some(now);
         }
-        for names in delete.chunks(MAX_DELETE) {
+        for names in names_to_delete.chunks(MAX_DELETE) {
             self.actions.push(Action::DeleteMachines(names.to_vec()));
         }
     }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler of a leader: the one view of all jobs and machines, rebuilt from records and
-//! heartbeats.
+//! The leader's scheduler: its view of all jobs and machines, which it rebuilds from stored records
+//! and workers' heartbeats.
 //!
 //! Safety rules are named S1 to S12 as in `docs/design.md`.
 
@@ -39,85 +39,87 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// The scheduler of one leader: all claimed jobs, all machines, and the decisions.
+/// The scheduler of one leader: tracks claimed jobs and machines, and decides what runs where.
 pub struct Scheduler {
-    /// The view of jobs and machines that all parts share.
+    /// Jobs and machines, shared with placement and scaling.
     pub(crate) cluster: Cluster,
-    /// The term under which its orders travel.
+    /// Term that this leader's orders carry.
     term: Term,
-    /// Machines that are gone.
-    gone: RemovedMachines,
-    /// Unfinished jobs that are not claimed yet: their tasks are neither stopped nor forgotten.
-    unclaimed: BTreeSet<JobId>,
-    /// Machines that have not shown what they hold since the failover (S7).
+    /// Names of machines that no longer exist.
+    removed_machines: RemovedMachines,
+    /// Unfinished jobs that this leader has not claimed yet. Their tasks are neither stopped nor
+    /// forgotten.
+    unclaimed_jobs: BTreeSet<JobId>,
+    /// Machines that have not reported their tasks since the failover (S7).
     reconciliation: Reconciliation,
-    /// What is to be done outside.
+    /// Side effects that the caller has not collected yet.
     pub(crate) actions: Vec<Action>,
-    /// Draws samples of machines.
+    /// Random number generator for sampling machines.
     pub(crate) rng: SmallRng,
-    /// Rentals under way, and what was learned of earlier ones.
+    /// Pending rentals, and the outcome of earlier ones.
     pub(crate) scaling: Scaling,
-    /// When deletions were requested again last.
-    last_delete: Option<Instant>,
-    /// Placement passes so far.
+    /// When pending machine deletions were last requested again.
+    last_deletion_retry: Option<Instant>,
+    /// Number of placement passes run so far.
     pub(crate) passes: u64,
-    /// What happened to machines and was not logged yet.
+    /// Machine events that have not been logged yet.
     machine_events: MachineEventLog,
-    /// Machines and tasks looked at in placement passes.
+    /// Number of machines and tasks examined in placement passes so far.
     pub(crate) steps: u64,
 }
 
 impl Scheduler {
-    /// A leader without jobs and machines, under a term that nobody else ever holds.
+    /// Creates a scheduler without jobs and machines. No other leader may ever hold `term`.
     pub fn new(config: Config, term: Term, seed: u64) -> Self {
         Self {
             cluster: Cluster::new(config),
             term,
-            gone: RemovedMachines::default(),
-            unclaimed: BTreeSet::new(),
+            removed_machines: RemovedMachines::default(),
+            unclaimed_jobs: BTreeSet::new(),
             reconciliation: Reconciliation::default(),
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             scaling: Scaling::new(term),
-            last_delete: None,
+            last_deletion_retry: None,
             passes: 0,
             machine_events: MachineEventLog::default(),
             steps: 0,
         }
     }
 
-    /// The term under which its orders travel.
+    /// Returns the term that this leader's orders carry.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Takes a higher term after a worker showed one that is higher than ours.
+    /// Raises this leader's term to `term`, after a worker has reported a higher term than ours.
     pub fn raise_term(&mut self, term: Term) {
         self.term = self.term.max(term);
     }
 
-    /// What is to be done outside since the last call.
+    /// Returns the side effects to carry out that were decided since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// A claimed job.
+    /// Returns a claimed job, or `None` if this leader has not claimed it.
     pub fn job(&self, id: &JobId) -> Option<&Job> {
         self.cluster.jobs.get(id)
     }
 
-    /// A known machine.
+    /// Returns the machine with the given name, if it is known.
     pub fn machine(&self, name: &str) -> Option<&Machine> {
         self.cluster.machines.get(name)
     }
 
-    /// How many machines are known.
+    /// Returns the number of known machines.
     pub fn machine_count(&self) -> usize {
         self.cluster.machines.len()
     }
 
-    /// Notes what operators should know of a machine. Whole waves of them share a log line.
+    /// Logs an event of a machine for operators. Events of the same kind on many machines are
+    /// combined into one log line.
     pub(crate) fn log_machine_event(&mut self, machine: &str, event: &'static str) {
-        self.machine_events.note(machine, event);
+        self.machine_events.add(machine, event);
     }
 }
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -1,4 +1,4 @@
-//! Answers to heartbeats: which orders leave with them, and how long an answer may wait.
+//! Answers to heartbeats: which orders they carry, and whether they may be delayed.
 
 use super::Scheduler;
 use crate::job::Job;
@@ -8,11 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Orders in one answer; keeps the answer's only line far below 64 KiB.
+/// Maximum number of orders in one answer. It keeps the answer, which is a single line, far below
+/// 64 KiB.
 const MAX_ORDERS: usize = 250;
 
 impl Scheduler {
-    /// Whether a placement pass might start something there, now that it has sent a heartbeat.
+    /// Returns whether a placement pass may assign tasks to a machine that has just sent a
+    /// heartbeat.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
             machine.accepts_starts(now, Duration::MAX)
@@ -20,23 +22,30 @@
         }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting() > 0)
     }
 
-    /// Whether starts wait for that machine's next heartbeat.
+    /// Returns whether tasks are assigned to the machine whose starts were not sent yet.
     pub fn has_assigned_tasks(&self, name: &str) -> bool {
-        let assigned =
+        let is_assigned =
             |machine_task: &MachineTask| machine_task.state == MachineTaskState::Assigned;
-        self.cluster.machines.get(name).is_some_and(|machine| machine.tasks.values().any(assigned))
+        self.cluster
+            .machines
+            .get(name)
+            .is_some_and(|machine| machine.tasks.values().any(is_assigned))
     }
 
-    /// Whether the answer to a heartbeat may wait for tasks to start: the machine has nothing to
-    /// report.
+    /// Returns whether the answer to the machine's heartbeat may be held back until there are
+    /// orders for it. This is so if the machine is up, fenced, has no tasks and is not about to be
+    /// taken away by the cloud.
     pub fn may_delay_answer(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
             m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
         })
     }
 
-    /// The answer to the heartbeat with this agent epoch and number. `may_start` is false while
-    /// our own lease may have ended (S4). Every call counts as an answer with 200.
+    /// Returns the orders for the answer to a heartbeat, which is identified by the machine's name,
+    /// the agent epoch and the sequence number.
+    ///
+    /// `may_start` is false while the lease of this controller may have expired (S4). Every call
+    /// counts as an answer with 200, which renews the worker's lease.
     pub fn orders_for_answer(
         &mut self,
         name: &str,
@@ -54,69 +63,72 @@
         if !machine.fenced {
             return Vec::new();
         }
-        let mut orders = forget_or_mark_stopped(machine, &self.cluster.jobs, &self.unclaimed);
+        let mut orders =
+            forget_exited_or_stop_orphaned(machine, &self.cluster.jobs, &self.unclaimed_jobs);
         orders.extend(machine.stops());
         orders.truncate(MAX_ORDERS);
         let is_newest = machine.messages.newest() == answered;
         if may_start && is_newest && machine.accepts_starts(now, Duration::MAX) {
-            let most = MAX_ORDERS - orders.len();
-            orders.extend(order_starts(machine, &self.cluster.jobs, answered, most, now));
+            let max_starts = MAX_ORDERS - orders.len();
+            orders.extend(order_starts(machine, &self.cluster.jobs, answered, max_starts, now));
         }
         orders
     }
 }
 
-/// Orders the worker to forget tasks that have exited, and marks tasks to be stopped that are
-/// nobody's.
-fn forget_or_mark_stopped(
+/// Returns orders to forget exited tasks, and marks orphaned tasks to be stopped. A task is
+/// orphaned if its job is neither known nor waiting to be claimed.
+fn forget_exited_or_stop_orphaned(
     machine: &mut Machine,
     jobs: &BTreeMap<JobId, Job>,
-    unclaimed: &BTreeSet<JobId>,
+    unclaimed_jobs: &BTreeSet<JobId>,
 ) -> Vec<Order> {
     let mut orders = Vec::new();
     for (key, machine_task) in machine.tasks.iter_mut() {
         let job = jobs.get(&key.task.job);
-        if job.is_none() && unclaimed.contains(&key.task.job) {
+        if job.is_none() && unclaimed_jobs.contains(&key.task.job) {
             continue;
         }
         if may_forget(machine_task.state, job, key.task.index) {
             orders.push(Order::Forget { task: key.task.clone(), attempt: key.attempt });
         } else if job.is_none() && machine_task.takes_room() {
-            // S11: nobody's task, so cancelled, done or lost.
+            // S11: the task is orphaned, because its job is cancelled, done or lost.
             machine_task.stop_at_once();
         }
     }
     orders
 }
 
-/// Whether the worker may forget a task, given its job if that is known.
+/// Returns whether the worker may forget a task, given the task's state and its job if that is
+/// known.
 fn may_forget(state: MachineTaskState, job: Option<&Job>, index: u32) -> bool {
     match state {
-        // S9: stored before it is forgotten.
+        // S9: a result is stored before the worker forgets it.
         MachineTaskState::Done => job.is_none_or(|job| !job.is_live() || job.is_stored(index)),
         MachineTaskState::Exited => true,
         _ => false,
     }
 }
 
-/// Orders up to `most` assigned tasks to start, with the answer to that heartbeat (S3).
+/// Returns orders to start up to `max_starts` assigned tasks, for the answer to the heartbeat
+/// `answered` (S3).
 fn order_starts(
     machine: &mut Machine,
     jobs: &BTreeMap<JobId, Job>,
     answered: MessageNumber,
-    most: usize,
+    max_starts: usize,
     now: Instant,
 ) -> Vec<Order> {
     let MessageNumber { agent_epoch, sequence } = answered;
     let mut starts = Vec::new();
     for (key, machine_task) in machine.tasks.iter_mut() {
-        if machine_task.state != MachineTaskState::Assigned || starts.len() >= most {
+        if machine_task.state != MachineTaskState::Assigned || starts.len() >= max_starts {
             continue;
         }
         let Some(job) = jobs.get(&key.task.job).filter(|job| job.may_start()) else {
             continue;
         };
-        // The order's generation must be that of the job's record.
+        // A start must carry the generation of its job's record.
         debug_assert_eq!(key.attempt.generation(), job.record.generation);
         let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
         machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -1,4 +1,4 @@
-//! Figures of a scheduler for operators.
+//! Statistics of a scheduler for operators.
 
 use super::Scheduler;
 use crate::job::JobState;
@@ -6,35 +6,35 @@
 use corkfield_wire::JobId;
 use std::time::{Duration, Instant};
 
-/// Figures for operators.
+/// Statistics of a scheduler for operators.
 #[derive(Debug, Clone, Default)]
 pub struct Overview {
-    /// Claimed jobs.
+    /// Number of claimed jobs.
     pub jobs: usize,
-    /// Tasks that have no place.
+    /// Number of unfinished tasks that are not placed on a machine.
     pub waiting_tasks: u64,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running_tasks: u64,
-    /// The job with waiting tasks that was accepted first, and how long ago.
+    /// The job accepted first of those with waiting tasks, and the time since it was accepted.
     pub oldest_waiting: Option<(JobId, Duration)>,
-    /// Dead-lettered jobs: those at the claim limit.
+    /// Dead-lettered jobs: those that reached the claim limit.
     pub dead_lettered: Vec<JobId>,
-    /// The highest count of claims of a job.
+    /// The highest claim count of any claimed job.
     pub most_claims: u32,
-    /// Machines that take tasks.
+    /// Number of machines that accept tasks.
     pub machines_up: usize,
-    /// Machines whose workers have sent no heartbeat yet.
+    /// Number of machines whose workers have not sent a heartbeat yet.
     pub machines_booting: usize,
-    /// Machines that have not shown what they hold since the failover.
+    /// Number of machines that have not reported their tasks since the failover.
     pub machines_unreconciled: usize,
-    /// Placement passes since this controller became the leader.
+    /// Number of placement passes since this controller became the leader.
     pub passes: u64,
-    /// Machines and tasks that these looked at.
+    /// Number of machines and tasks examined in these passes.
     pub steps: u64,
 }
 
 impl Scheduler {
-    /// Figures for operators.
+    /// Returns the current statistics.
     pub fn overview(&self, now: Instant) -> Overview {
         let mut overview = Overview {
             jobs: self.cluster.jobs.len(),
@@ -54,7 +54,7 @@
         overview
     }
 
-    /// Counts jobs and their tasks.
+    /// Adds the statistics of all claimed jobs and their tasks.
     fn count_jobs(&self, overview: &mut Overview, now: Instant) {
         for (id, job) in &self.cluster.jobs {
             overview.waiting_tasks += u64::from(job.waiting());
@@ -64,8 +64,9 @@
                 overview.dead_lettered.push(id.clone());
             }
             let age = now.saturating_duration_since(job.accepted_at);
-            let older = overview.oldest_waiting.as_ref().is_none_or(|(_, oldest)| age > *oldest);
-            if job.waiting() > 0 && older {
+            let is_oldest =
+                overview.oldest_waiting.as_ref().is_none_or(|(_, oldest)| age > *oldest);
+            if job.waiting() > 0 && is_oldest {
                 overview.oldest_waiting = Some((id.clone(), age));
             }
         }
--- a/crates/core/src/scheduler/reconciliation.rs
+++ b/crates/core/src/scheduler/reconciliation.rs
@@ -1,76 +1,79 @@
-//! Which machines of earlier leaders have not shown yet what they hold (S7).
+//! Reconciliation after a failover: which recorded machines have not reported their tasks yet (S7).
 
 use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// While others still come, the rest may be on their way: when a cut ends or hung machines go on,
-/// they answer one after the other, and the last of them must not be taken for the silent few.
-const QUIET_AFTER: Duration = Duration::from_secs(3);
+/// Reconciliation counts as stalled if no machine was reconciled for this long. When a network
+/// partition ends or suspended machines resume, they report one after the other. The last of them
+/// must not be mistaken for a few unresponsive machines.
+const STALLED_AFTER: Duration = Duration::from_secs(3);
 
 /// Machines recorded by earlier leaders whose tasks are not known yet (S7).
 #[derive(Debug, Default)]
 pub(super) struct Reconciliation {
-    /// Their names.
+    /// Names of the unreconciled machines.
     machines: BTreeSet<MachineName>,
-    /// Since when there are any.
-    since: Option<Instant>,
-    /// When the newest of them showed what it holds.
+    /// When this reconciliation started, or `None` if none is in progress.
+    started_at: Option<Instant>,
+    /// When a machine was last reconciled.
     last_progress_at: Option<Instant>,
 }
 
 impl Reconciliation {
-    /// An earlier leader may have started tasks on that machine.
-    pub(super) fn expect(&mut self, machine: &str, now: Instant) {
+    /// Adds a machine on which an earlier leader may have started tasks.
+    pub(super) fn add(&mut self, machine: &str, now: Instant) {
         self.machines.insert(MachineName::from(machine));
-        self.since.get_or_insert(now);
+        self.started_at.get_or_insert(now);
     }
 
-    /// The machine has shown what it holds.
-    pub(super) fn note_reconciled(&mut self, machine: &str, now: Instant) {
+    /// Marks a machine as reconciled: it has reported its tasks.
+    pub(super) fn mark_reconciled(&mut self, machine: &str, now: Instant) {
         if self.machines.remove(machine) {
             self.last_progress_at = Some(now);
         }
     }
 
-    /// The machine surely holds nothing: it is gone, or its worker's lease has expired.
+    /// Removes a machine that cannot hold tasks: it no longer exists, or its worker's lease has
+    /// expired.
     pub(super) fn remove(&mut self, machine: &str) {
         self.machines.remove(machine);
     }
 
-    /// Whether all tasks that earlier leaders started are accounted for.
+    /// Returns whether all tasks that earlier leaders started are accounted for.
     pub(super) fn is_complete(&self) -> bool {
         self.machines.is_empty()
     }
 
-    /// Whether the machine has not shown yet what it holds.
+    /// Returns whether the machine is unreconciled.
     pub(super) fn contains(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
-    /// How many machines have not shown yet what they hold.
+    /// Returns the number of unreconciled machines.
     pub(super) fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// The machines that have not shown yet what they hold.
+    /// Returns the names of the unreconciled machines.
     pub(super) fn machines(&self) -> impl Iterator<Item = &MachineName> {
         self.machines.iter()
     }
 
-    /// How long this reconciliation has lasted; none if it is over, and was said to be.
-    pub(super) fn waited(&self, now: Instant) -> Option<Duration> {
-        self.since.map(|since| now.saturating_duration_since(since))
+    /// Returns the time since this reconciliation started, or `None` if it has not started or
+    /// [`Self::finish`] was called since.
+    pub(super) fn elapsed(&self, now: Instant) -> Option<Duration> {
+        self.started_at.map(|started_at| now.saturating_duration_since(started_at))
     }
 
-    /// Whether no machine has shown what it holds for some time.
-    pub(super) fn is_quiet(&self, now: Instant) -> bool {
-        let recently = |at| now.saturating_duration_since(at) < QUIET_AFTER;
-        !self.last_progress_at.is_some_and(recently)
+    /// Returns whether no machine was reconciled within the last [`STALLED_AFTER`].
+    pub(super) fn is_stalled(&self, now: Instant) -> bool {
+        let is_recent = |at| now.saturating_duration_since(at) < STALLED_AFTER;
+        !self.last_progress_at.is_some_and(is_recent)
     }
 
-    /// The reconciliation is over.
-    pub(super) fn end(&mut self) {
-        self.since = None;
+    /// Finishes this reconciliation, once its completion is logged.
+    pub(super) fn finish(&mut self) {
+        self.started_at = None;
     }
 }
--- a/crates/core/src/scheduler/removed_machines.rs
+++ b/crates/core/src/scheduler/removed_machines.rs
@@ -1,35 +1,37 @@
-//! Names of machines that are gone.
+//! Names of machines that no longer exist.
 
 use corkfield_wire::MachineName;
 use std::collections::{HashSet, VecDeque};
 
-/// So many names are kept at the least, and several times as many as there are machines.
-const MIN_KEPT: usize = 20_000;
-/// See [`MIN_KEPT`].
-const KEPT_PER_MACHINE: usize = 8;
+/// Names are discarded only above this number, and above [`NAMES_PER_MACHINE`] times the number of
+/// known machines.
+const MIN_NAMES: usize = 20_000;
+/// Names kept per known machine; see [`MIN_NAMES`].
+const NAMES_PER_MACHINE: usize = 8;
 
-/// Names of machines that are gone, kept so that late messages don't bring them back.
+/// Names of machines that no longer exist. They are kept so that delayed messages don't add the
+/// machines again.
 #[derive(Debug, Default)]
 pub(super) struct RemovedMachines {
-    /// For look-ups.
+    /// The names, for look-ups.
     names: HashSet<MachineName>,
-    /// The same names, the first to go at the front.
+    /// The same names in order of removal, the oldest at the front.
     by_age: VecDeque<MachineName>,
 }
 
 impl RemovedMachines {
-    /// Whether a machine of that name is gone.
+    /// Returns whether a machine of that name was removed.
     pub(super) fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
-    /// Notes that a machine is gone, beside `machines` that are known, and forgets the oldest
-    /// name if there are too many.
-    pub(super) fn insert(&mut self, name: &str, machines: usize) {
+    /// Adds the name of a removed machine. Discards the oldest name if there are too many for
+    /// `machine_count` known machines.
+    pub(super) fn insert(&mut self, name: &str, machine_count: usize) {
         if self.names.insert(MachineName::from(name)) {
             self.by_age.push_back(MachineName::from(name));
         }
-        if self.by_age.len() > MIN_KEPT.max(machines * KEPT_PER_MACHINE) {
+        if self.by_age.len() > MIN_NAMES.max(machine_count * NAMES_PER_MACHINE) {
             if let Some(oldest) = self.by_age.pop_front() {
                 self.names.remove(&oldest);
             }
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -1,4 +1,4 @@
-//! What only time brings about.
+//! Periodic work: timeouts, retries and statistics that depend on time alone.
 
 use super::Scheduler;
 use crate::cluster::Cluster;
@@ -8,24 +8,25 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A decision that no heartbeat came to fetch is taken back after this time.
+/// A task is unassigned if its machine has sent no heartbeat for this long, so that its start could
+/// not be sent.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Scheduler {
-    /// Everything that only time brings about.
+    /// Runs all periodic work. The caller calls this at regular intervals.
     pub fn tick(&mut self, now: Instant) {
         self.expire_worker_leases(now);
-        self.return_doubtful_machines(now);
+        self.delete_doubtful_machines(now);
         self.unassign_undeliverable_tasks(now);
         self.tick_jobs(now);
         self.count_running_tasks();
         self.advance_reconciliation(now);
         self.request_deletions(now);
-        self.write_machine_events(now);
+        self.flush_machine_events(now);
     }
 
-    /// Ends the leases of workers that no controller can have answered for longer than they last:
-    /// their tasks are surely stopped (S5c).
+    /// Expires the leases of workers that no controller can have answered for longer than a lease
+    /// lasts. Such a worker has provably stopped its tasks (S5c).
     fn expire_worker_leases(&mut self, now: Instant) {
         let expiry_after = self.cluster.config.lease_expiry_after();
         let machines = self.cluster.machines.values_mut();
@@ -40,21 +41,24 @@
         }
     }
 
-    /// Takes tasks off machines that won't be ordered to start them. Also off one that sends
-    /// heartbeats, but takes no more tasks: no start goes to a machine that drains or is about to
-    /// be taken, so what was assigned to it would wait there for ever, and hold up its return.
+    /// Removes assigned tasks from machines that accept no starts at present.
+    ///
+    /// This includes machines that send heartbeats but drain or are about to be taken away by the
+    /// cloud. No start is sent to them, so their assigned tasks would wait forever and delay the
+    /// deletion of a draining machine.
     fn unassign_undeliverable_tasks(&mut self, now: Instant) {
         let machines = self.cluster.machines.values();
-        let waiting_in_vain = machines.filter(|machine| {
+        let unavailable = machines.filter(|machine| {
             !machine.accepts_starts(now, ASSIGNMENT_TIMEOUT) && !machine.tasks.is_empty()
         });
-        let names: Vec<MachineName> = waiting_in_vain.map(|machine| machine.name.clone()).collect();
+        let names: Vec<MachineName> = unavailable.map(|machine| machine.name.clone()).collect();
         for name in names {
             self.release_tasks(name.as_str(), |task| task.state == MachineTaskState::Assigned);
         }
     }
 
-    /// Ends back-offs that are over, and begins those of jobs that failed wherever they may run.
+    /// Ends back-offs whose time has passed, and backs off jobs that have failed on every machine
+    /// that they may run on.
     fn tick_jobs(&mut self, now: Instant) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let mut failed_everywhere = Vec::new();
@@ -63,7 +67,7 @@
                 job.enter(JobState::NeedsReclaim);
             }
             job.update_unplaced_since(now);
-            // A job that failed on every machine there is would otherwise wait for ever.
+            // Without a back-off, a job that has failed on every machine would wait forever.
             if job.may_start() && job.has_failed() && !machines.values().any(|m| is_untried(m, job))
             {
                 failed_everywhere.push(id.clone());
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Counts each job's running tasks.
+    /// Updates the number of running tasks of each job.
     fn count_running_tasks(&mut self) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let mut running: BTreeMap<&JobId, u32> = BTreeMap::new();
@@ -88,18 +92,18 @@
         }
     }
 
-    /// Writes log lines of what happened to machines, from time to time.
-    fn write_machine_events(&mut self, now: Instant) {
+    /// Logs the pending machine events, if the last round of log lines is old enough.
+    fn flush_machine_events(&mut self, now: Instant) {
         if !self.machine_events.is_due(now) {
             return;
         }
-        let unreachable = |m: &&Machine| m.reachability() == Reachability::Unreachable;
-        let unreachable = self.cluster.machines.values().filter(unreachable).count();
-        self.machine_events.write(unreachable, now);
+        let is_unreachable = |m: &&Machine| m.reachability() == Reachability::Unreachable;
+        let unreachable = self.cluster.machines.values().filter(is_unreachable).count();
+        self.machine_events.flush(unreachable, now);
     }
 }
 
-/// Whether the job may run on the machine and has not failed there.
+/// Returns whether the job may run on the machine and has not failed there.
 fn is_untried(machine: &Machine, job: &Job) -> bool {
     machine.state() == MachineState::Up
         && machine.allows(job.spec())
