--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -156,8 +156,8 @@
         self.delete_machine(name, "worker restarted its numbering; machine returned");
     }
 
-    /// Deletes a machine in the cloud without draining it, and logs the reason. An answered deletion
-    /// proves that none of its tasks runs any more (S5b).
+    /// Marks a machine for deletion without draining it, and logs the reason. The cloud's answer to
+    /// the deletion proves that none of the machine's tasks runs any more (S5b).
     fn delete_machine(&mut self, name: &str, reason: &'static str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -173,8 +173,8 @@
     /// and unresponsive.
     ///
     /// A few unresponsive machines delay every task that an earlier leader may have started, until
-    /// their workers' leases expire or the cloud's list omits them half a minute later. A deleted
-    /// machine provably holds no task (S5b), so reconciliation need not wait for it. If many
+    /// their workers' leases expire or the cloud's list omits them half a minute later. Once
+    /// the cloud has answered a machine's deletion, the machine provably holds no task (S5b). If many
     /// machines don't respond, a zone or this controller is more likely to be disconnected; then
     /// their tasks are worth the wait.
     pub(super) fn advance_reconciliation(&mut self, now: Instant) {
