--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -135,7 +135,7 @@
     /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so the
     /// lease under which its tasks were started has expired.
     pub(super) fn delete_doubtful_machines(&mut self, now: Instant) {
-        let expiry_after = self.cluster.config.lease_expiry_after();
+        let expiry_after = self.cluster.config.lease_expiry_timeout();
         let mut doubtful = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             let Some(doubt) = machine.doubt.as_mut() else { continue };
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -57,7 +57,7 @@
         let estimate_s = job.spec().estimate_s;
         if estimate_s > 0.0 {
             let ratio = clamp(measured_s / estimate_s, &ESTIMATE_RATIO_BOUNDS);
-            corrections.add(&job.spec().class, ratio);
+            corrections.add_sample(&job.spec().class, ratio);
         }
     }
 }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -22,7 +22,7 @@
 
     /// Drains a machine: it gets no new tasks, and is deleted once it is empty.
     pub fn drain_machine(&mut self, name: &str) {
-        self.cluster.drain(name);
+        self.cluster.drain_machine(name);
     }
 
     /// Handles the end of a write of a machine's record. `stored` is false if the write failed.
@@ -93,7 +93,7 @@
             self.update_listed_machine(entry, now);
         }
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
-        let settles_after = self.cluster.config.missing_machine_gone_after();
+        let settles_after = self.cluster.config.missing_machine_timeout();
         let machines = self.cluster.machines.values();
         // A list may lag behind the cloud's state. A missing machine is removed only if the list was
         // requested so long after the machine became known that it must describe a later moment.
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -28,7 +28,7 @@
     /// Expires the leases of workers that no controller can have answered for longer than a lease
     /// lasts. Such a worker has provably stopped its tasks (S5c).
     fn expire_worker_leases(&mut self, now: Instant) {
-        let expiry_after = self.cluster.config.lease_expiry_after();
+        let expiry_after = self.cluster.config.lease_expiry_timeout();
         let machines = self.cluster.machines.values_mut();
         let expired: Vec<MachineName> = machines
             .filter_map(|machine| {
