--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -1,7 +1,7 @@
 //! A controller while it leads: preparation, and the loops that serve workers and jobs.
 
 use super::context::LeadershipContext;
-use super::election::Elected;
+use super::election::WonElection;
 use super::machine_records::MachineRecordQueue;
 use super::state::{LeadershipClaim, LeadershipState, SharedScheduler};
 use corkfield_core::Scheduler;
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 
 /// While the replica lags behind the claim of the leader record, it is looked at this often.
-const REPLICA_WAIT: Duration = Duration::from_millis(200);
+const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What the loops of one leader share, from the claim of the leader record to the end of leading.
 pub(super) struct ActiveLeader {
@@ -26,16 +26,16 @@
     /// The claim of the leader record.
     pub(super) claim: Rc<LeadershipClaim>,
     /// Jobs were claimed, or a rental was filled: more machines may be needed at once.
-    pub(super) scaling_wanted: Rc<Notify>,
+    pub(super) scaling_requested: Rc<Notify>,
     /// Claimed jobs whose finished tasks are being read.
-    pub(super) reading: Rc<RefCell<HashSet<JobId>>>,
+    pub(super) loading_jobs: Rc<RefCell<HashSet<JobId>>>,
     /// Machines whose records are to be written.
     pub(super) machine_records: Rc<MachineRecordQueue>,
 }
 
 impl ActiveLeader {
     /// Begins the preparation of a leader.
-    pub(super) fn new(context: Rc<LeadershipContext>, elected: Elected) -> Self {
+    pub(super) fn new(context: Rc<LeadershipContext>, elected: WonElection) -> Self {
         let seed = context.env.random();
         let config = context.env.settings.scheduler_config();
         let mut scheduler = Scheduler::new(config, elected.term, seed);
@@ -51,15 +51,15 @@
             context,
             scheduler: Rc::new(RefCell::new(scheduler)),
             claim,
-            scaling_wanted: Rc::default(),
-            reading: Rc::default(),
+            scaling_requested: Rc::default(),
+            loading_jobs: Rc::default(),
             machine_records: Rc::default(),
         }
     }
 
     /// A transaction that is carried out only while this controller leads: a leader that was
     /// replaced can't add anything that its successor doesn't know.
-    pub(super) fn when_leading(&self) -> Transaction {
+    pub(super) fn leader_transaction(&self) -> Transaction {
         Transaction::default().when(LEADER_KEY, self.claim.record_version.get())
     }
 
@@ -68,24 +68,24 @@
         self.prepare().await;
         tokio::join!(
             self.claim_jobs(),
-            self.store_completions(),
+            self.commit_completions(),
             self.dispatch_actions(),
             self.write_machine_records(),
-            self.run_timers(),
+            self.run_ticks_and_scaling(),
             self.run_placement_passes(),
             self.poll_machine_list(),
             self.fence_machines(),
             self.refresh_machine_types(),
-            self.raise_terms(),
+            self.raise_term_when_exceeded(),
         );
     }
 
     /// Takes over what earlier leaders left, up to the first heartbeat that may be answered.
     async fn prepare(&self) {
         self.load_machine_records().await;
-        self.until_replica_shows_claim().await;
+        self.wait_until_replica_has_claim().await;
         // The most urgent jobs first: heartbeats are of little use without the jobs of their tasks.
-        self.claim_round().await;
+        self.claim_next_batch().await;
         let leadership = &self.context.leadership;
         leadership.enter(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
         leadership.close_all_but(&self.context.replica.contents.borrow().jobs);
@@ -93,11 +93,11 @@
 
     /// What the leaders before us claimed last may not be in the replica yet, and tasks of jobs
     /// that nobody knows are stopped.
-    async fn until_replica_shows_claim(&self) {
+    async fn wait_until_replica_has_claim(&self) {
         let replica = &self.context.replica;
         while replica.contents.borrow().revision() < self.claim.record_version.get() {
             let changed = replica.changed.notified();
-            let _ = tokio::time::timeout(REPLICA_WAIT, changed).await;
+            let _ = tokio::time::timeout(REPLICA_CHECK_INTERVAL, changed).await;
         }
     }
 }
--- a/crates/corkfield/src/leadership/cancelled.rs
+++ b/crates/corkfield/src/leadership/cancelled_jobs.rs
@@ -7,7 +7,7 @@
 /// Cancelled jobs that were heard of, kept so that no replica of the store that lags brings
 /// them back. A job leaves with the next read of the store, so that this is far above what users
 /// cancel meanwhile on thousands of machines; it bounds what a faulty controller can make us keep.
-const MAX_CANCELLED: usize = 65_536;
+const MAX_CANCELLED_JOBS: usize = 65_536;
 
 /// Jobs that the state service holds as cancelled, whatever the replica still shows, and when
 /// that became known.
@@ -25,7 +25,7 @@
         if self.since.insert(id.clone(), at).is_none() {
             self.order.push_back(id.clone());
         }
-        if self.order.len() > MAX_CANCELLED {
+        if self.order.len() > MAX_CANCELLED_JOBS {
             if let Some(oldest) = self.order.pop_front() {
                 self.since.remove(&oldest);
             }
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of job records under the leader record.
 
 use super::active_leader::ActiveLeader;
-use super::completion_commits::{finished_chunks, MAX_TRANSACTION_BYTES};
+use super::completion_commits::{read_finished_chunks, MAX_TRANSACTION_BYTES};
 use super::context::LeadershipContext;
 use super::state::SharedScheduler;
 use crate::clock::{now, unix_time_ms};
@@ -16,13 +16,13 @@
 /// Records are looked through this often, if no change of them is seen before.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
 /// Above so many records that are due, a claim takes as many as a transaction may change.
-const MANY_DUE: usize = 32;
+const LARGE_BATCH_THRESHOLD: usize = 32;
 /// After a failed read of a job's finished tasks.
 const FINISHED_TASKS_RETRY: Duration = Duration::from_millis(200);
 
 /// What a look at the job records came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ClaimRound {
+pub(super) enum ClaimBatchOutcome {
     /// A batch was claimed, and more records are due.
     MoreDue,
     /// All records that were due are claimed.
@@ -65,35 +65,35 @@
     pub(super) async fn claim_jobs(&self) {
         loop {
             let changed = self.context.replica.changed.notified();
-            if self.claim_round().await != ClaimRound::MoreDue {
+            if self.claim_next_batch().await != ClaimBatchOutcome::MoreDue {
                 self.context.env.timers.within(CLAIM_INTERVAL, changed).await;
             }
         }
     }
 
     /// Closes what is over, and claims a batch of what is new or has to be claimed anew.
-    pub(super) async fn claim_round(&self) -> ClaimRound {
-        self.context.leadership.forget_cancelled(&self.context.replica);
-        let mut due = self.due_jobs();
+    pub(super) async fn claim_next_batch(&self) -> ClaimBatchOutcome {
+        self.context.leadership.prune_cancelled(&self.context.replica);
+        let mut due = self.sync_jobs_and_find_due();
         let all = due.len();
         self.truncate_to_batch(&mut due);
         let more_due = due.len() < all;
         if due.is_empty() {
-            return ClaimRound::Complete;
+            return ClaimBatchOutcome::Complete;
         }
         let Some(claim) = self.claim(due).await else {
-            return ClaimRound::Failed;
+            return ClaimBatchOutcome::Failed;
         };
-        self.take_up(claim);
+        self.register_claimed_jobs(claim);
         if more_due {
-            ClaimRound::MoreDue
+            ClaimBatchOutcome::MoreDue
         } else {
-            ClaimRound::Complete
+            ClaimBatchOutcome::Complete
         }
     }
 
     /// Makes the scheduler see which jobs are over or not claimed yet; what is to be claimed.
-    fn due_jobs(&self) -> Vec<Versioned<JobRecord>> {
+    fn sync_jobs_and_find_due(&self) -> Vec<Versioned<JobRecord>> {
         let contents = self.context.replica.contents.borrow();
         let mut scheduler = self.scheduler.borrow_mut();
         let is_cancelled = |id: &JobId| self.context.leadership.is_cancelled(id);
@@ -101,10 +101,10 @@
         let unclaimed = contents.jobs.keys().filter(|id| scheduler.job(id).is_none());
         let unclaimed = unclaimed.filter(|id| !is_cancelled(id)).cloned().collect();
         scheduler.set_unclaimed(unclaimed);
-        let reading = self.reading.borrow();
+        let loading_jobs = self.loading_jobs.borrow();
         let mut due = Vec::new();
         for (id, job) in &contents.jobs {
-            if is_cancelled(id) || reading.contains(id) {
+            if is_cancelled(id) || loading_jobs.contains(id) {
                 continue;
             }
             if scheduler.needs_claim(&job.record, job.version) {
@@ -121,7 +121,11 @@
         let claim_batch = self.context.env.settings.operator.claim_batch as usize;
         // A failover has hundreds of them. How long they take is set by the changes that may be
         // written a second; larger claims spare most of the transactions.
-        let batch = if due.len() > MANY_DUE { max_changes } else { claim_batch.min(max_changes) };
+        let batch = if due.len() > LARGE_BATCH_THRESHOLD {
+            max_changes
+        } else {
+            claim_batch.min(max_changes)
+        };
         due.truncate(batch);
         truncate_to_bytes(due, MAX_TRANSACTION_BYTES);
     }
@@ -130,10 +134,11 @@
     /// to be carried out.
     async fn claim(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
         let own_key = controller_key(self.context.env.name.as_str());
-        let mut transaction = self.when_leading().when(own_key, self.claim.membership.version);
+        let mut transaction =
+            self.leader_transaction().when(own_key, self.claim.membership.version);
         let mut records = Vec::new();
         for job in batch {
-            let record = self.claimed_record(job.record);
+            let record = self.apply_claim(job.record);
             let key = job_key(&record.spec.id);
             transaction = transaction.when(key.clone(), job.version).put(key, store_value(&record));
             records.push(record);
@@ -143,22 +148,22 @@
     }
 
     /// Gives the scheduler what was claimed.
-    fn take_up(&self, claim: StoredClaim) {
+    fn register_claimed_jobs(&self, claim: StoredClaim) {
         let version = claim.version;
         for record in claim.records {
             if record.is_chunked() && record.done > 0 {
-                self.read_finished(record, version);
+                self.load_finished_tasks(record, version);
             } else {
                 let finished = record.finished.clone();
                 let job = ClaimedJob { record, finished, version };
-                take_claimed(&self.context, &self.scheduler, job);
+                register_claimed_job(&self.context, &self.scheduler, job);
             }
         }
-        self.scaling_wanted.notify_one();
+        self.scaling_requested.notify_one();
     }
 
     /// The record as it stands after our claim.
-    fn claimed_record(&self, mut record: JobRecord) -> JobRecord {
+    fn apply_claim(&self, mut record: JobRecord) -> JobRecord {
         let owner = self.claim.membership.incarnation.clone();
         if record.start_watermark > 0 || self.scheduler.borrow().may_start_soon(&record.spec, now())
         {
@@ -183,7 +188,7 @@
         let env = &self.context.env;
         match env.state.transaction(RequestClass::Claim, transaction).await {
             Ok(version) => Some(version),
-            Err(StateError::NoAnswer(_)) => self.find_claim(claimed.first()?).await,
+            Err(StateError::NoAnswer(_)) => self.read_back_claim(claimed.first()?).await,
             Err(error) => {
                 tracing::debug!(jobs = claimed.len(), %error, "claim failed");
                 env.pause(50..150).await;
@@ -194,7 +199,7 @@
 
     /// The version of a claim without an answer, if it was carried out: all of it, as it is one
     /// transaction.
-    async fn find_claim(&self, record: &JobRecord) -> Option<Revision> {
+    async fn read_back_claim(&self, record: &JobRecord) -> Option<Revision> {
         let key = job_key(&record.spec.id);
         let item = self.context.env.state.get(RequestClass::Claim, &key).await.ok()??;
         let found: JobRecord = serde_json::from_value(item.value).ok()?;
@@ -203,29 +208,29 @@
     }
 
     /// Takes up a claimed job once its finished tasks are read. Other claims don't wait for that.
-    fn read_finished(&self, record: JobRecord, version: Revision) {
+    fn load_finished_tasks(&self, record: JobRecord, version: Revision) {
         let id = record.spec.id.clone();
-        self.reading.borrow_mut().insert(id.clone());
-        let (context, reading) = (self.context.clone(), self.reading.clone());
+        self.loading_jobs.borrow_mut().insert(id.clone());
+        let (context, loading_jobs) = (self.context.clone(), self.loading_jobs.clone());
         // It goes on no longer than the leader that claimed the job.
         let scheduler = Rc::downgrade(&self.scheduler);
         tokio::task::spawn_local(async move {
             while let Some(scheduler) = scheduler.upgrade() {
-                if let Some(finished) = finished_chunks(&context, &id).await {
+                if let Some(finished) = read_finished_chunks(&context, &id).await {
                     let job = ClaimedJob { record, finished, version };
-                    take_claimed(&context, &scheduler, job);
+                    register_claimed_job(&context, &scheduler, job);
                     break;
                 }
                 drop(scheduler);
                 tokio::time::sleep(FINISHED_TASKS_RETRY).await;
             }
-            reading.borrow_mut().remove(&id);
+            loading_jobs.borrow_mut().remove(&id);
         });
     }
 }
 
 /// Gives the scheduler a job that was claimed.
-fn take_claimed(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
+fn register_claimed_job(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
     let ClaimedJob { record, finished, version } = job;
     let age = Duration::from_millis(unix_time_ms().saturating_sub(record.accepted_ms));
     let id = record.spec.id.clone();
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// The list is read once in the time in which the cloud takes so many requests, ...
-const LIST_INTERVAL_REQUESTS: f64 = 6.0;
+const REQUESTS_PER_LIST: f64 = 6.0;
 /// ... within these bounds.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 const MAX_LIST_INTERVAL_S: f64 = 10.0;
@@ -23,14 +23,14 @@
     pub(super) async fn poll_machine_list(&self) {
         let context = &self.context;
         let requests_per_s = context.env.settings.platform.params.cloud.rps.max(0.1);
-        let interval_s = (LIST_INTERVAL_REQUESTS / requests_per_s)
-            .clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
+        let interval_s =
+            (REQUESTS_PER_LIST / requests_per_s).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
         let interval = Duration::from_secs_f64(interval_s);
         loop {
-            let asked = now();
+            let requested_at = now();
             match context.env.cloud.machines().await {
                 Ok(list) => {
-                    self.scheduler.borrow_mut().on_machine_list(&list, asked, now());
+                    self.scheduler.borrow_mut().on_machine_list(&list, requested_at, now());
                     context.leadership.actions_pending.notify_one();
                 }
                 Err(error) => tracing::debug!(%error, "can't list machines"),
@@ -44,7 +44,7 @@
         loop {
             let pause = match self.context.env.cloud.types().await {
                 Ok(types) => {
-                    self.take_machine_types(types).await;
+                    self.update_machine_types(types).await;
                     TYPES_INTERVAL
                 }
                 Err(error) => {
@@ -56,14 +56,14 @@
         }
     }
 
-    async fn take_machine_types(&self, types: Vec<MachineType>) {
+    async fn update_machine_types(&self, types: Vec<MachineType>) {
         let known = self.context.replica.contents.borrow().types.clone();
         self.scheduler.borrow_mut().set_types(types.clone());
-        if known.is_some_and(|known| same_types(&known, &types)) {
+        if known.is_some_and(|known| are_equal_except_spot_prices(&known, &types)) {
             return;
         }
         let value = store_value(&MachineTypesRecord { types });
-        let transaction = self.when_leading().put(MACHINE_TYPES_KEY, value);
+        let transaction = self.leader_transaction().put(MACHINE_TYPES_KEY, value);
         if let Err(error) =
             self.context.env.state.transaction(RequestClass::Claim, &transaction).await
         {
@@ -73,7 +73,7 @@
 }
 
 /// Prices of spot machines move all the time; that alone is not worth a write.
-fn same_types(known: &[MachineType], read: &[MachineType]) -> bool {
+fn are_equal_except_spot_prices(known: &[MachineType], read: &[MachineType]) -> bool {
     let without_spot_price = |kind: &MachineType| MachineType { spot_price: 0.0, ..kind.clone() };
     known.len() == read.len()
         && known.iter().zip(read).all(|(a, b)| without_spot_price(a) == without_spot_price(b))
--- a/crates/corkfield/src/leadership/cloud_inventory/tests.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory/tests.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn machine_types_are_stored_anew_for_more_than_spot_prices() {
-    assert!(same_types(&[kind(2.0, 0.5)], &[kind(2.0, 0.7)]));
-    assert!(!same_types(&[kind(2.0, 0.5)], &[kind(2.5, 0.5)]));
-    assert!(!same_types(&[kind(2.0, 0.5)], &[]));
+    assert!(are_equal_except_spot_prices(&[kind(2.0, 0.5)], &[kind(2.0, 0.7)]));
+    assert!(!are_equal_except_spot_prices(&[kind(2.0, 0.5)], &[kind(2.5, 0.5)]));
+    assert!(!are_equal_except_spot_prices(&[kind(2.0, 0.5)], &[]));
 }
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -3,7 +3,7 @@
 use super::active_leader::ActiveLeader;
 use super::claims::ClaimedJob;
 use super::context::LeadershipContext;
-use super::in_flight::{InFlight, InFlightGuard};
+use super::in_flight::{InFlightCounter, InFlightGuard};
 use super::state::SharedScheduler;
 use crate::clock::now;
 use crate::store_value::{serialized_bytes, store_value};
@@ -21,7 +21,7 @@
 /// a slow answer, and with hundreds of jobs their tasks would wait to be announced meanwhile.
 const MAX_TRANSACTIONS_IN_FLIGHT: usize = 6;
 /// Changes that a transaction may have for completion commits, at the least: those of one job.
-const MIN_CHANGES: u32 = 4;
+const MIN_CHANGES_PER_TRANSACTION: u32 = 4;
 /// Changes of one job's completion commit, as a rule.
 const CHANGES_PER_COMMIT: usize = 2;
 /// Bytes of values that share a transaction, of completion commits or of claims, far below what
@@ -38,21 +38,21 @@
 
 impl ActiveLeader {
     /// Stores finished tasks and first starts as they become due.
-    pub(super) async fn store_completions(&self) {
+    pub(super) async fn commit_completions(&self) {
         let context = &self.context;
         let params = &context.env.settings.platform.params;
-        let max_changes = params.state.txn_ops.max(MIN_CHANGES) as usize;
-        let in_flight = InFlight::default();
+        let max_changes = params.state.txn_ops.max(MIN_CHANGES_PER_TRANSACTION) as usize;
+        let in_flight = InFlightCounter::default();
         loop {
             let free = MAX_TRANSACTIONS_IN_FLIGHT.saturating_sub(in_flight.count());
             let max_commits = free * max_changes / CHANGES_PER_COMMIT;
             let due = self.scheduler.borrow_mut().due_completion_commits(max_commits, now());
             if due.is_empty() {
-                let woken = context.leadership.commit_wanted.notified();
+                let woken = context.leadership.commits_due.notified();
                 context.env.timers.within(IDLE_INTERVAL, woken).await;
                 continue;
             }
-            for batch in batches(due, max_changes) {
+            for batch in group_into_batches(due, max_changes) {
                 let committer =
                     Committer { context: context.clone(), scheduler: self.scheduler.clone() };
                 tokio::task::spawn_local(committer.run(batch, in_flight.begin()));
@@ -85,7 +85,7 @@
 }
 
 /// Jobs that share a transaction, within what one may change.
-fn batches(due: Vec<CompletionCommit>, max_changes: usize) -> Vec<Vec<JobCommit>> {
+fn group_into_batches(due: Vec<CompletionCommit>, max_changes: usize) -> Vec<Vec<JobCommit>> {
     let mut batches: Vec<Vec<JobCommit>> = Vec::new();
     let mut batch: Vec<JobCommit> = Vec::new();
     let (mut changes, mut bytes) = (0, 0);
@@ -116,7 +116,7 @@
     async fn run(self, batch: Vec<JobCommit>, in_flight: InFlightGuard) {
         self.store(batch).await;
         drop(in_flight);
-        self.context.leadership.commit_wanted.notify_one();
+        self.context.leadership.commits_due.notify_one();
     }
 
     /// Stores finished tasks while the records are still of our claims (S9).
@@ -142,7 +142,7 @@
         self.context.leadership.request_pass();
         for commit in commits {
             if commit.finishes && commit.record.is_chunked() {
-                drop_chunks(&self.context, &commit.record).await;
+                delete_finished_chunks(&self.context, &commit.record).await;
             }
         }
     }
@@ -157,8 +157,11 @@
                 StateError::NoAnswer(_) => true,
                 _ => false,
             };
-            let found =
-                if may_have_changed { self.find_own(id, &commit.record).await } else { None };
+            let found = if may_have_changed {
+                self.read_own_record(id, &commit.record).await
+            } else {
+                None
+            };
             let found = found.map(|job| (job.record, job.finished, job.version));
             self.scheduler.borrow_mut().completion_commit_failed(id, found);
         }
@@ -168,7 +171,7 @@
     }
 
     /// The record as the store has it, if it is still of our claim.
-    async fn find_own(&self, id: &JobId, ours: &JobRecord) -> Option<ClaimedJob> {
+    async fn read_own_record(&self, id: &JobId, ours: &JobRecord) -> Option<ClaimedJob> {
         let state = &self.context.env.state;
         let read = state.get(RequestClass::Completion, &job_key(id)).await.ok()?;
         let Some(item) = read else {
@@ -188,7 +191,7 @@
             return None;
         }
         let finished = if record.is_chunked() {
-            finished_chunks(&self.context, id).await?
+            read_finished_chunks(&self.context, id).await?
         } else {
             record.finished.clone()
         };
@@ -197,7 +200,10 @@
 }
 
 /// Finished tasks of a job that is too large to keep them in its record; `None` without an answer.
-pub(super) async fn finished_chunks(context: &LeadershipContext, id: &JobId) -> Option<TaskSet> {
+pub(super) async fn read_finished_chunks(
+    context: &LeadershipContext,
+    id: &JobId,
+) -> Option<TaskSet> {
     let state = &context.env.state;
     let (items, _) = state.list(RequestClass::Claim, &finished_prefix(id)).await.ok()?;
     let mut finished = TaskSet::default();
@@ -210,7 +216,7 @@
 }
 
 /// Drops the finished tasks of a job that is done; what is left of them does no harm.
-async fn drop_chunks(context: &LeadershipContext, record: &JobRecord) {
+async fn delete_finished_chunks(context: &LeadershipContext, record: &JobRecord) {
     let chunks = record.spec.tasks.div_ceil(CHUNK_TASKS);
     let keys: Vec<String> = (0..chunks).map(|chunk| finished_key(&record.spec.id, chunk)).collect();
     for part in keys.chunks(CHUNKS_PER_DELETION) {
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -26,19 +26,23 @@
 #[test]
 fn jobs_share_a_transaction_up_to_its_changes() {
     let due: Vec<CompletionCommit> = (0..5).map(|number| commit(number, "i")).collect();
-    assert_eq!(sizes(&batches(due.clone(), 4)), [4, 1]);
+    assert_eq!(sizes(&group_into_batches(due.clone(), 4)), [4, 1]);
     let mut finished = due;
     finished.iter_mut().for_each(|commit| commit.finishes = true);
-    assert_eq!(sizes(&batches(finished, 4)), [2, 2, 1], "each drops a record and writes one");
+    assert_eq!(
+        sizes(&group_into_batches(finished, 4)),
+        [2, 2, 1],
+        "each drops a record and writes one"
+    );
 }
 
 #[test]
 fn jobs_share_a_transaction_up_to_its_bytes() {
     let large = "i".repeat(MAX_TRANSACTION_BYTES / 2);
     let due = vec![commit(0, "i"), commit(1, &large), commit(2, &large), commit(3, "i")];
-    assert_eq!(sizes(&batches(due, 100)), [2, 2]);
+    assert_eq!(sizes(&group_into_batches(due, 100)), [2, 2]);
     let larger_than_all = "i".repeat(MAX_TRANSACTION_BYTES);
-    assert_eq!(sizes(&batches(vec![commit(0, &larger_than_all)], 100)), [1]);
+    assert_eq!(sizes(&group_into_batches(vec![commit(0, &larger_than_all)], 100)), [1]);
 }
 
 #[test]
--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -24,12 +24,12 @@
 
 impl LeadershipContext {
     /// Whether starts may leave, and machines be rented or returned (S4).
-    pub(super) fn may_start(&self) -> bool {
-        self.leadership.may_start(&self.session_lease)
+    pub(super) fn has_valid_lease(&self) -> bool {
+        self.leadership.has_valid_lease(&self.session_lease)
     }
 
     /// Whether the lease that the claim rests on has ended.
-    pub(super) fn lost_lease_of(&self, claim: &LeadershipClaim) -> bool {
+    pub(super) fn has_lost_lease(&self, claim: &LeadershipClaim) -> bool {
         let current = self.session_lease.current();
         current.is_none_or(|current| current.incarnation != claim.membership.incarnation)
     }
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -68,7 +68,7 @@
     /// The machine refused the orders: it is in this agent epoch.
     OtherAgentEpoch(AgentEpoch),
     /// No answer, none that can be used, or one that shows a higher term than ours.
-    Unusable,
+    NoUsableAnswer,
 }
 
 /// What is sent straight to a machine, and where.
@@ -99,17 +99,17 @@
     let DirectOrderTarget { mut agent_epoch, purpose, .. } = *target;
     for _ in 0..MAX_AGENT_EPOCHS_TRIED {
         let request = DirectRequest { machine, addr, agent_epoch, purpose, orders: &orders };
-        match send_once(context, scheduler, &request).await {
+        match send_and_apply_answer(context, scheduler, &request).await {
             DirectOrderOutcome::Answered => break,
             DirectOrderOutcome::OtherAgentEpoch(other) => agent_epoch = other,
-            DirectOrderOutcome::Unusable => return,
+            DirectOrderOutcome::NoUsableAnswer => return,
         }
     }
     context.leadership.request_pass();
 }
 
 /// Sends a request once; its end is noted with the scheduler whatever it is.
-async fn send_once(
+async fn send_and_apply_answer(
     context: &LeadershipContext,
     scheduler: &SharedScheduler,
     request: &DirectRequest<'_>,
@@ -117,14 +117,14 @@
     let DirectRequest { machine, purpose, .. } = *request;
     let exchange = scheduler.borrow_mut().begin_direct_exchange(machine, purpose, now());
     let term = scheduler.borrow().term();
-    let Some((reply, heartbeat)) = exchange_once(context, request, term).await else {
+    let Some((reply, heartbeat)) = send_http_request(context, request, term).await else {
         scheduler.borrow_mut().direct_exchange_failed(machine, exchange);
-        return DirectOrderOutcome::Unusable;
+        return DirectOrderOutcome::NoUsableAnswer;
     };
     let verdict = scheduler.borrow_mut().on_direct_orders_answer(&heartbeat, exchange, now());
     if let Verdict::HigherTerm(term) = verdict {
-        context.leadership.note_higher_term(term);
-        return DirectOrderOutcome::Unusable;
+        context.leadership.record_higher_term(term);
+        return DirectOrderOutcome::NoUsableAnswer;
     }
     let refused = reply.status == STATUS_OTHER_AGENT_EPOCH;
     if refused && heartbeat.agent_epoch != request.agent_epoch {
@@ -134,7 +134,7 @@
 }
 
 /// The machine's answer, and the heartbeat in it; none without an answer of that machine.
-async fn exchange_once(
+async fn send_http_request(
     context: &LeadershipContext,
     request: &DirectRequest<'_>,
     term: Term,
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -17,7 +17,7 @@
 const MAX_PROOF_AGE_WITHOUT_TYPES: Duration = Duration::from_secs(4);
 
 /// A claimed leader record.
-pub(super) struct Elected {
+pub(super) struct WonElection {
     /// The membership key that the claim is conditional on.
     pub(super) membership: Current,
     /// Version of the leader record as it was claimed.
@@ -36,10 +36,10 @@
 }
 
 /// Who holds the leader record.
-enum Holder {
+enum HolderStatus {
     /// Nobody; or this controller, which does not lead: the answer to its claim was lost, or
     /// leading broke off. It claims anew, under a new term.
-    NobodyElse,
+    NoOtherHolder,
     /// Another controller, which is still there.
     Present,
     /// Another controller, whose membership key has this version now: of a later incarnation, or
@@ -48,10 +48,10 @@
 }
 
 /// Claims the leader record if its holder is gone; `None` if it is not, or the claim failed.
-pub(super) async fn elect(context: &LeadershipContext) -> Option<Elected> {
-    let Candidacy { membership, previous, conditions } = candidacy(context)?;
+pub(super) async fn try_claim_leadership(context: &LeadershipContext) -> Option<WonElection> {
+    let Candidacy { membership, previous, conditions } = prepare_candidacy(context)?;
     context.leadership.enter(LeadershipState::Electing);
-    give_precedence(context, previous.as_ref()).await;
+    wait_before_claim(context, previous.as_ref()).await;
     let previous_term = previous.map_or(Term::default(), |record| record.term);
     let term = previous_term.max(context.leadership.highest_seen_term()).next();
     let record = LeaderRecord {
@@ -62,7 +62,7 @@
     };
     let transaction = conditions.put(LEADER_KEY, store_value(&record));
     match context.env.state.transaction(RequestClass::Claim, &transaction).await {
-        Ok(record_version) => Some(Elected { membership, record_version, term }),
+        Ok(record_version) => Some(WonElection { membership, record_version, term }),
         Err(error) => {
             tracing::debug!(term = term.get(), %error, "claim of the leader record failed");
             context.leadership.enter(LeadershipState::Standby);
@@ -72,7 +72,7 @@
 }
 
 /// `None` without a valid lease, without a usable replica, or while the leader is there.
-fn candidacy(context: &LeadershipContext) -> Option<Candidacy> {
+fn prepare_candidacy(context: &LeadershipContext) -> Option<Candidacy> {
     let lease = &context.session_lease;
     let membership = lease.current().filter(|_| lease.is_valid())?;
     let replica = &context.replica;
@@ -90,35 +90,35 @@
     let mut conditions = Transaction::default()
         .when(LEADER_KEY, version)
         .when(controller_key(own_name.as_str()), membership.version);
-    match holder(&contents, previous.as_ref(), own_name) {
-        Holder::Present => return None,
-        Holder::Gone { membership_key, version } => {
+    match holder_status(&contents, previous.as_ref(), own_name) {
+        HolderStatus::Present => return None,
+        HolderStatus::Gone { membership_key, version } => {
             conditions = conditions.when(membership_key, version);
         }
-        Holder::NobodyElse => {}
+        HolderStatus::NoOtherHolder => {}
     }
     Some(Candidacy { membership, previous, conditions })
 }
 
-fn holder(
+fn holder_status(
     contents: &ReplicaContents,
     record: Option<&LeaderRecord>,
     own_name: &ControllerName,
-) -> Holder {
-    let Some(record) = record else { return Holder::NobodyElse };
+) -> HolderStatus {
+    let Some(record) = record else { return HolderStatus::NoOtherHolder };
     let Some(name) = record.node.as_ref().filter(|name| *name != own_name) else {
-        return Holder::NobodyElse;
+        return HolderStatus::NoOtherHolder;
     };
     if contents.is_present(record) {
-        return Holder::Present;
+        return HolderStatus::Present;
     }
     let version =
         contents.controllers.get(name).map_or(Revision::NONE, |membership| membership.version);
-    Holder::Gone { membership_key: controller_key(name.as_str()), version }
+    HolderStatus::Gone { membership_key: controller_key(name.as_str()), version }
 }
 
 /// Lets a named successor take over first; and not all controllers claim at once.
-async fn give_precedence(context: &LeadershipContext, previous: Option<&LeaderRecord>) {
+async fn wait_before_claim(context: &LeadershipContext, previous: Option<&LeaderRecord>) {
     let successor = previous.and_then(|record| record.successor.as_ref());
     if successor.is_some_and(|name| *name != context.env.name) {
         tokio::time::sleep(SUCCESSOR_HEAD_START).await;
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -17,10 +17,10 @@
     contents: &ReplicaContents,
     record: &LeaderRecord,
 ) -> Option<Option<(String, Revision)>> {
-    match holder(contents, Some(record), &ControllerName::from("a")) {
-        Holder::NobodyElse => Some(None),
-        Holder::Present => None,
-        Holder::Gone { membership_key, version } => Some(Some((membership_key, version))),
+    match holder_status(contents, Some(record), &ControllerName::from("a")) {
+        HolderStatus::NoOtherHolder => Some(None),
+        HolderStatus::Present => None,
+        HolderStatus::Gone { membership_key, version } => Some(Some((membership_key, version))),
     }
 }
 
@@ -42,5 +42,8 @@
     assert_eq!(condition(&contents, &record(Some("c"), "c-1")), Some(without), "has no key");
     assert_eq!(condition(&contents, &record(Some("a"), "a-1")), Some(None), "this controller");
     assert_eq!(condition(&contents, &record(None, "")), Some(None), "after a hand-over");
-    assert!(matches!(holder(&contents, None, &ControllerName::from("a")), Holder::NobodyElse));
+    assert!(matches!(
+        holder_status(&contents, None, &ControllerName::from("a")),
+        HolderStatus::NoOtherHolder
+    ));
 }
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -26,19 +26,19 @@
     /// its lease has expired or it is gone. Never all at once: each takes a socket, and all answers
     /// together would hold up the heartbeats that come at the same time.
     pub(super) async fn fence_machines(&self) {
-        let mut last_tried: HashMap<MachineName, Instant> = HashMap::new();
+        let mut last_attempts: HashMap<MachineName, Instant> = HashMap::new();
         loop {
             let round_started = now();
-            let targets = self.next_fence_targets(&last_tried, round_started);
+            let targets = self.next_fence_targets(&last_attempts, round_started);
             if targets.is_empty() {
                 if self.scheduler.borrow().is_reconciled() {
-                    last_tried.clear();
+                    last_attempts.clear();
                 }
                 self.context.env.timers.tick(IDLE_INTERVAL).await;
                 continue;
             }
             for target in targets {
-                last_tried.insert(target.machine.clone(), round_started);
+                last_attempts.insert(target.machine.clone(), round_started);
                 self.fence(target);
             }
             tokio::time::sleep(FENCE_ROUND_PAUSE).await;
@@ -49,22 +49,22 @@
     /// never asked.
     fn next_fence_targets(
         &self,
-        last_tried: &HashMap<MachineName, Instant>,
+        last_attempts: &HashMap<MachineName, Instant>,
         round_started: Instant,
     ) -> Vec<DirectOrderTarget> {
         let targets = self.scheduler.borrow().fence_targets();
         let in_flight = self.context.leadership.direct_orders.machines();
-        let tried_recently = |machine: &MachineName| {
-            let tried = last_tried.get(machine);
+        let was_tried_recently = |machine: &MachineName| {
+            let tried = last_attempts.get(machine);
             tried.is_some_and(|at| round_started.saturating_duration_since(*at) < FENCE_RETRY)
         };
         let mut targets: Vec<DirectOrderTarget> = targets
             .into_iter()
             .filter(|target| {
-                !in_flight.contains(&target.machine) && !tried_recently(&target.machine)
+                !in_flight.contains(&target.machine) && !was_tried_recently(&target.machine)
             })
             .collect();
-        targets.sort_by_key(|target| last_tried.get(&target.machine).copied());
+        targets.sort_by_key(|target| last_attempts.get(&target.machine).copied());
         targets.truncate(MAX_FENCES_PER_ROUND);
         targets
     }
@@ -77,7 +77,7 @@
     }
 
     /// Takes a term above one that a worker has seen.
-    pub(super) async fn raise_terms(&self) {
+    pub(super) async fn raise_term_when_exceeded(&self) {
         loop {
             let seen = self.context.leadership.highest_seen_term();
             let term = self.scheduler.borrow().term();
@@ -96,7 +96,7 @@
             term,
             successor: None,
         };
-        let transaction = self.when_leading().put(LEADER_KEY, store_value(&record));
+        let transaction = self.leader_transaction().put(LEADER_KEY, store_value(&record));
         match self.context.env.state.transaction(RequestClass::Claim, &transaction).await {
             Ok(version) => {
                 self.claim.record_version.set(version);
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -11,23 +11,23 @@
 use std::time::Duration;
 
 /// How often the leader looks whether its place is another's, or should be.
-const LEADERSHIP_CHECK: Duration = Duration::from_millis(500);
+const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A leader hands over after so many heartbeat intervals, and this long, without a heartbeat.
-const QUIET_HEARTBEAT_INTERVALS: f64 = 1.5;
-const QUIET_GRACE: Duration = Duration::from_secs(1);
+const HANDOVER_HEARTBEAT_INTERVALS: f64 = 1.5;
+const HANDOVER_GRACE: Duration = Duration::from_secs(1);
 /// A transfer request counts for this long.
-const TRANSFER_REQUEST_AGE: Duration = Duration::from_secs(3);
+const MAX_TRANSFER_REQUEST_AGE: Duration = Duration::from_secs(3);
 /// Between two transfer requests of a controller.
 const TRANSFER_REQUEST_PAUSE: Duration = Duration::from_millis(700);
 
 impl ActiveLeader {
     /// Waits until the lease is lost or another controller leads.
-    pub(super) async fn until_leadership_lost(&self) -> LeadershipEnd {
+    pub(super) async fn wait_until_leadership_lost(&self) -> LeadershipEnd {
         let context = &self.context;
         loop {
             let replica_changed = context.replica.changed.notified();
             let lease_changed = context.session_lease.changed.notified();
-            if context.lost_lease_of(&self.claim) {
+            if context.has_lost_lease(&self.claim) {
                 return LeadershipEnd::LeaseLost;
             }
             if context.leadership.is_replaced(&context.replica.contents.borrow()) {
@@ -36,23 +36,23 @@
             tokio::select! {
                 () = replica_changed => {}
                 () = lease_changed => {}
-                () = context.env.timers.tick(LEADERSHIP_CHECK) => {}
+                () = context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL) => {}
             }
         }
     }
 
-    /// Beside [`Self::until_leadership_lost`], which must see at once that another leads, however
+    /// Beside [`Self::wait_until_leadership_lost`], which must see at once that another leads, however
     /// long a hand-over's transaction takes.
-    pub(super) async fn until_handed_over(&self) {
-        while !self.hand_over().await {
-            self.context.env.timers.tick(LEADERSHIP_CHECK).await;
+    pub(super) async fn wait_until_handed_over(&self) {
+        while !self.try_hand_over().await {
+            self.context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL).await;
         }
     }
 
     /// A leader that gets no heartbeats, while workers come to another controller, leaves
     /// its place to that one.
-    async fn hand_over(&self) -> bool {
-        if !self.is_quiet() {
+    async fn try_hand_over(&self) -> bool {
+        if !self.lacks_heartbeats() {
             return false;
         }
         let Some(successor) = self.requested_successor() else {
@@ -64,22 +64,23 @@
             term: self.scheduler.borrow().term(),
             successor: Some(successor.clone()),
         };
-        let transaction = self.when_leading().put(LEADER_KEY, store_value(&record));
+        let transaction = self.leader_transaction().put(LEADER_KEY, store_value(&record));
         tracing::info!(%successor, "no heartbeats; handing over leadership");
         self.context.env.state.transaction(RequestClass::Lease, &transaction).await.is_ok()
     }
 
     /// Whether no heartbeat came for so long that workers may not reach this controller.
-    fn is_quiet(&self) -> bool {
+    fn lacks_heartbeats(&self) -> bool {
         let workers = &self.context.env.settings.platform.params.workers;
-        let limit = workers.heartbeat_interval().mul_f64(QUIET_HEARTBEAT_INTERVALS) + QUIET_GRACE;
+        let limit =
+            workers.heartbeat_interval().mul_f64(HANDOVER_HEARTBEAT_INTERVALS) + HANDOVER_GRACE;
         self.context.leadership.time_since_heartbeat().is_some_and(|quiet| quiet >= limit)
     }
 
     /// Another controller that asked for the place just now.
     fn requested_successor(&self) -> Option<ControllerName> {
         let contents = self.context.replica.contents.borrow();
-        let mut recent = contents.transfer_requested_within(TRANSFER_REQUEST_AGE);
+        let mut recent = contents.transfer_requested_within(MAX_TRANSFER_REQUEST_AGE);
         recent.find(|name| **name != self.context.env.name).cloned()
     }
 }
--- a/crates/corkfield/src/leadership/in_flight.rs
+++ b/crates/corkfield/src/leadership/in_flight.rs
@@ -4,17 +4,17 @@
 
 /// Counts what is in flight: as many as there are guards.
 #[derive(Default)]
-pub(super) struct InFlight(Rc<()>);
+pub(super) struct InFlightCounter(Rc<()>);
 
 /// Counts as one in flight until it is dropped.
 pub(super) struct InFlightGuard {
-    _counted: Rc<()>,
+    _counter: Rc<()>,
 }
 
-impl InFlight {
+impl InFlightCounter {
     /// Counts one more.
     pub(super) fn begin(&self) -> InFlightGuard {
-        InFlightGuard { _counted: self.0.clone() }
+        InFlightGuard { _counter: self.0.clone() }
     }
 
     /// How many are in flight.
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -1,7 +1,7 @@
 //! Records of the machines that may hold tasks: every machine has one before its first task.
 
 use super::active_leader::ActiveLeader;
-use super::in_flight::{InFlight, InFlightGuard};
+use super::in_flight::{InFlightCounter, InFlightGuard};
 use crate::clock::{now, unix_time_ms};
 use crate::store_value::store_value;
 use corkfield_state::{RequestClass, StateError};
@@ -31,8 +31,8 @@
 pub(super) struct MachineRecordQueue {
     waiting: RefCell<VecDeque<MachineRecordWrite>>,
     /// There are such records, or a write of records has ended.
-    write_wanted: Notify,
-    in_flight: InFlight,
+    queue_changed: Notify,
+    in_flight: InFlightCounter,
 }
 
 impl MachineRecordQueue {
@@ -89,7 +89,7 @@
         let queue = &self.machine_records;
         if !records.is_empty() {
             queue.waiting.borrow_mut().extend(records);
-            queue.write_wanted.notify_one();
+            queue.queue_changed.notify_one();
         }
         if !erased.is_empty() {
             // A record written after its machine's was dropped would hold up the next failover.
@@ -109,7 +109,7 @@
         loop {
             let batch = queue.next_batch(self.context.max_transaction_changes());
             if batch.is_empty() {
-                queue.write_wanted.notified().await;
+                queue.queue_changed.notified().await;
                 continue;
             }
             self.write_batch(batch, queue.in_flight.begin());
@@ -119,7 +119,7 @@
     /// Writes machine records, conditional on the leader record: a leader that was replaced
     /// can't add machines that its successor doesn't know.
     fn write_batch(&self, batch: Vec<MachineRecordWrite>, in_flight: InFlightGuard) {
-        let mut transaction = self.when_leading();
+        let mut transaction = self.leader_transaction();
         let recorded_ms = unix_time_ms();
         let mut machines = Vec::new();
         for MachineRecordWrite { machine, record } in batch {
@@ -138,7 +138,7 @@
             }
             context.leadership.request_pass();
             drop(in_flight);
-            queue.write_wanted.notify_one();
+            queue.queue_changed.notify_one();
         });
     }
 
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`run`] stands by until this controller can claim the leader record ([`election`]), and then
 //! leads until its lease or its place is lost ([`handover`]). [`state`] is the state
-//! machine of that, [`shared`] what handlers of users, workers and peers see of it. The loops of a leader are methods of
+//! machine of that, [`shared_state`] what handlers of users, workers and peers see of it. The loops of a leader are methods of
 //! [`active_leader::ActiveLeader`], by concern:
 //!
 //! | module | loops |
@@ -18,7 +18,7 @@
 
 mod actions;
 mod active_leader;
-mod cancelled;
+mod cancelled_jobs;
 mod claims;
 mod cloud_inventory;
 mod completion_commits;
@@ -33,13 +33,13 @@
 mod overview;
 mod placement_passes;
 mod scaling;
-mod shared;
+mod shared_state;
 mod state;
 
 use crate::environment::Environment;
 use active_leader::ActiveLeader;
 use corkfield_state::RateBudget;
-use election::Elected;
+use election::WonElection;
 use handover::request_transfer;
 use state::{LeadershipEnd, LeadershipState};
 use std::rc::Rc;
@@ -47,11 +47,11 @@
 
 pub use context::LeadershipContext;
 pub use overview::overview;
-pub use shared::Leadership;
+pub use shared_state::Leadership;
 
 /// The leader's part of the state service's limits; the others share the rest.
-const LEADER_REQUESTS: f64 = 0.6;
-const LEADER_WRITES: f64 = 0.7;
+const LEADER_REQUEST_SHARE: f64 = 0.6;
+const LEADER_WRITE_SHARE: f64 = 0.7;
 /// Seconds' worth of the leader's writes that may come at once.
 const LEADER_BURST_S: f64 = 1.0;
 /// The others write nothing but what users send, little on average and much at once: so many
@@ -59,48 +59,51 @@
 const STANDBY_BURST_S: f64 = 5.0;
 
 /// A standby controller looks this often whether it may lead, if it sees no change before.
-const STANDBY_INTERVAL: Duration = Duration::from_millis(500);
+const STANDBY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-const LEADER_BUDGET: RateBudget =
-    RateBudget { requests: LEADER_REQUESTS, writes: LEADER_WRITES, burst_s: LEADER_BURST_S };
+const LEADER_BUDGET: RateBudget = RateBudget {
+    requests: LEADER_REQUEST_SHARE,
+    writes: LEADER_WRITE_SHARE,
+    burst_s: LEADER_BURST_S,
+};
 
 fn standby_budget(env: &Environment) -> RateBudget {
     let others = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
     RateBudget {
-        requests: (1.0 - LEADER_REQUESTS) / others,
-        writes: (1.0 - LEADER_WRITES) / others,
+        requests: (1.0 - LEADER_REQUEST_SHARE) / others,
+        writes: (1.0 - LEADER_WRITE_SHARE) / others,
         burst_s: STANDBY_BURST_S,
     }
 }
 
 /// Stands by, and leads whenever the leader record can be claimed.
 pub async fn run(context: Rc<LeadershipContext>) {
-    stand_by(&context);
+    enter_standby(&context);
     loop {
-        if let Some(elected) = election::elect(&context).await {
+        if let Some(elected) = election::try_claim_leadership(&context).await {
             lead(&context, elected).await;
-            stand_by(&context);
+            enter_standby(&context);
         }
         let changed = context.replica.changed.notified();
-        context.env.timers.within(STANDBY_INTERVAL, changed).await;
+        context.env.timers.within(STANDBY_CHECK_INTERVAL, changed).await;
         request_transfer(&context).await;
     }
 }
 
-fn stand_by(context: &LeadershipContext) {
+fn enter_standby(context: &LeadershipContext) {
     context.leadership.enter(LeadershipState::Standby);
     context.env.state.set_budget(standby_budget(&context.env));
 }
 
 /// Leads until the lease or the place is lost.
-async fn lead(context: &Rc<LeadershipContext>, elected: Elected) {
+async fn lead(context: &Rc<LeadershipContext>, elected: WonElection) {
     let term = elected.term;
     tracing::info!(term = term.get(), "leadership acquired");
     context.env.state.set_budget(LEADER_BUDGET);
     let leader = ActiveLeader::new(context.clone(), elected);
     let end = tokio::select! {
-        end = leader.until_leadership_lost() => end,
-        () = leader.until_handed_over() => LeadershipEnd::HandedOver,
+        end = leader.wait_until_leadership_lost() => end,
+        () = leader.wait_until_handed_over() => LeadershipEnd::HandedOver,
         () = leader.run() => LeadershipEnd::Replaced,
     };
     tracing::info!(term = term.get(), ?end, "leadership ended");
--- a/crates/corkfield/src/leadership/placement_passes.rs
+++ b/crates/corkfield/src/leadership/placement_passes.rs
@@ -8,7 +8,7 @@
 const PAUSE_PER_MACHINE: Duration = Duration::from_micros(250);
 const MAX_PAUSE_FOR_MACHINES: Duration = Duration::from_millis(120);
 /// And this many times as long as the last one took: leases, heartbeats and users come between.
-const PAUSE_PER_DURATION: u32 = 3;
+const PAUSE_TO_DURATION_RATIO: u32 = 3;
 
 impl ActiveLeader {
     /// Runs a pass whenever one is asked for, and the last one was long enough ago.
@@ -16,7 +16,7 @@
         let leadership = &self.context.leadership;
         let mut earliest = tokio::time::Instant::now();
         loop {
-            leadership.pass_wanted.notified().await;
+            leadership.pass_requested.notified().await;
             tokio::time::sleep_until(earliest).await;
             let started = now();
             let machines = {
@@ -27,7 +27,7 @@
             let duration = now().saturating_duration_since(started);
             leadership.pass_done.notify_waiters();
             leadership.actions_pending.notify_one();
-            leadership.commit_wanted.notify_one();
+            leadership.commits_due.notify_one();
             earliest = tokio::time::Instant::now() + pause_after(duration, machines);
         }
     }
@@ -36,5 +36,5 @@
 /// Time without a pass after one that took so long, over so many machines.
 fn pause_after(duration: Duration, machines: usize) -> Duration {
     let for_machines = PAUSE_PER_MACHINE * u32::try_from(machines).unwrap_or(u32::MAX);
-    for_machines.min(MAX_PAUSE_FOR_MACHINES).max(duration * PAUSE_PER_DURATION)
+    for_machines.min(MAX_PAUSE_FOR_MACHINES).max(duration * PAUSE_TO_DURATION_RATIO)
 }
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -20,21 +20,21 @@
 const MIN_SCALE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A rental without an answer is sent so often in all, with this pause between.
-const RENTAL_TRIES: u32 = 4;
+const MAX_RENTAL_ATTEMPTS: u32 = 4;
 const RENTAL_RETRY: Duration = Duration::from_millis(500);
 
 impl ActiveLeader {
     /// Lets the scheduler see time pass, and scale out or in.
-    pub(super) async fn run_timers(&self) {
+    pub(super) async fn run_ticks_and_scaling(&self) {
         let mut last_tick = None;
         let mut last_scaling = None;
         loop {
             // A claim is followed by a look at the machines without delay: boots take long. So is a
             // rental that was filled: a request has a few dozen machines at most, and a fleet of
             // thousands would otherwise be asked for at that many a second.
-            let scaling_wanted = self.scaling_wanted.notified();
+            let scaling_requested = self.scaling_requested.notified();
             let interval = self.tick_interval();
-            let woken = self.context.env.timers.within(interval, scaling_wanted).await;
+            let woken = self.context.env.timers.within(interval, scaling_requested).await;
             if woken {
                 let pause = MIN_SCALE_INTERVAL.saturating_sub(time_since(last_scaling));
                 tokio::time::sleep(pause).await;
@@ -55,7 +55,7 @@
     /// Another controller may lead by now, with machines that from here seem idle, silent or never
     /// to have come up. While the service is out for all nobody can have taken over since.
     fn may_scale(&self) -> bool {
-        self.context.may_start() || self.context.peers.nobody_has_store()
+        self.context.has_valid_lease() || self.context.peers.nobody_has_store()
     }
 
     fn tick_interval(&self) -> Duration {
@@ -69,13 +69,13 @@
     /// Asks the cloud for machines.
     pub(super) fn rent_machines(&self, request: RentRequest) {
         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
-        let scaling_wanted = self.scaling_wanted.clone();
+        let scaling_requested = self.scaling_requested.clone();
         tokio::task::spawn_local(async move {
             let outcome = rent(&context.env, &request).await;
             let filled = is_filled(&request, &outcome);
             scheduler.borrow_mut().rental_answered(&request, outcome, now());
             if filled && request.count >= MAX_RENT {
-                scaling_wanted.notify_one();
+                scaling_requested.notify_one();
             }
         });
     }
@@ -83,7 +83,7 @@
     /// Returns machines to the cloud. Without a valid lease this is left for later: it is asked for
     /// again while it is due (S4).
     pub(super) fn return_machines(&self, machines: Vec<MachineName>) {
-        if !self.context.may_start() {
+        if !self.context.has_valid_lease() {
             tracing::debug!(machines = machines.len(), "not returned without a valid lease");
             return;
         }
@@ -112,7 +112,7 @@
 
 /// Sends a rental until it is answered, or has been tried often enough.
 async fn rent(env: &Environment, request: &RentRequest) -> Result<Vec<MachineName>, RentalFailure> {
-    for _ in 0..RENTAL_TRIES {
+    for _ in 0..MAX_RENTAL_ATTEMPTS {
         match env.cloud.rent(request).await {
             Ok(machines) => return Ok(machines),
             Err(CloudError::NoCapacity) => return Err(RentalFailure::NoCapacity),
--- a/crates/corkfield/src/leadership/shared.rs
+++ b/crates/corkfield/src/leadership/shared_state.rs
@@ -1,6 +1,6 @@
 //! What a controller's other parts see of election and leading, and their messages to its loops.
 
-use super::cancelled::CancelledJobs;
+use super::cancelled_jobs::CancelledJobs;
 use super::direct_orders::DirectOrdersInFlight;
 use super::held_answers::HeldAnswers;
 use super::state::{LeadershipState, SharedScheduler};
@@ -34,15 +34,15 @@
     /// The scheduler may have decided something to be carried out.
     pub(super) actions_pending: Notify,
     /// Finished tasks may be due to be stored.
-    pub(super) commit_wanted: Notify,
+    pub(super) commits_due: Notify,
     /// Something changed that a placement pass should see.
-    pub(super) pass_wanted: Notify,
+    pub(super) pass_requested: Notify,
     /// A placement pass has ended.
     pub(super) pass_done: Notify,
     highest_seen_term: Cell<Term>,
     /// Workers that came here although their leader was known, since the process began.
-    stray_workers: Cell<u64>,
-    transfer_wanted: Cell<bool>,
+    misdirected_heartbeats: Cell<u64>,
+    has_new_misdirected_heartbeats: Cell<bool>,
 }
 
 impl Leadership {
@@ -72,7 +72,7 @@
     }
 
     /// Waits until preparation of the leader ends, in leading or not.
-    pub async fn until_ready(&self) {
+    pub async fn wait_for_preparation(&self) {
         self.ready.notified().await;
     }
 
@@ -101,7 +101,7 @@
 
     /// Whether starts may leave (S4), and machines be returned: the lease that the claim rests on
     /// surely goes on. One that was lost and taken anew doesn't count for what was claimed before.
-    pub fn may_start(&self, lease: &SessionLease) -> bool {
+    pub fn has_valid_lease(&self, lease: &SessionLease) -> bool {
         let state = self.state.borrow();
         let Some(claim) = state.claim() else { return false };
         lease.is_valid()
@@ -130,7 +130,7 @@
     /// The state service holds the job as cancelled: this controller committed that, or another
     /// one that did, or read it, said so. The replica may lag, or the service may refuse this
     /// controller.
-    pub fn note_cancelled(&self, id: &JobId) {
+    pub fn record_cancelled(&self, id: &JobId) {
         self.cancelled.borrow_mut().insert(id, now());
         self.close_jobs(std::slice::from_ref(id));
     }
@@ -143,7 +143,7 @@
     /// Drops what a read begun later shows: as a rule the job is no longer unfinished. If it still
     /// is, there is a fault in another controller; its tasks were stopped for nothing, and it is
     /// claimed anew.
-    pub(super) fn forget_cancelled(&self, replica: &StoreReplica) {
+    pub(super) fn prune_cancelled(&self, replica: &StoreReplica) {
         let Some(proven) = replica.proven_at() else { return };
         let mut cancelled = self.cancelled.borrow_mut();
         for id in cancelled.known_before(proven) {
@@ -155,7 +155,7 @@
     }
 
     /// A worker's heartbeat was accepted; the scheduler may have decided something upon it.
-    pub fn note_heartbeat(&self) {
+    pub fn record_heartbeat(&self) {
         if let LeadershipState::Leading { last_heartbeat, .. } = &mut *self.state.borrow_mut() {
             *last_heartbeat = now();
         }
@@ -174,7 +174,7 @@
 
     /// Asks for a placement pass.
     pub fn request_pass(&self) {
-        self.pass_wanted.notify_one();
+        self.pass_requested.notify_one();
     }
 
     /// Asks for a placement pass, and waits for its end. One pass serves all that wait: a pass
@@ -186,7 +186,7 @@
     }
 
     /// A worker has seen a term above ours: the next one has to lie above it.
-    pub fn note_higher_term(&self, term: Term) {
+    pub fn record_higher_term(&self, term: Term) {
         self.highest_seen_term.set(self.highest_seen_term.get().max(term));
     }
 
@@ -201,23 +201,23 @@
     }
 
     /// Forgets a held answer that went, unless a later one of the machine took its place.
-    pub fn release_held_answer(&self, machine: &str, answer_due: &Rc<Notify>) {
+    pub fn remove_held_answer(&self, machine: &str, answer_due: &Rc<Notify>) {
         self.held_answers.release(machine, answer_due);
     }
 
     /// A worker came here although the leader has been known for a while: it may be that the
     /// leader can't be reached. Workers that only look for a new leader are no such sign.
-    pub fn note_stray_worker(&self, leader_known_for: Duration) {
+    pub fn record_misdirected_heartbeat(&self, leader_known_for: Duration) {
         if leader_known_for > LEADER_SETTLED_AFTER {
-            self.stray_workers.set(self.stray_workers.get() + 1);
-            self.transfer_wanted.set(true);
+            self.misdirected_heartbeats.set(self.misdirected_heartbeats.get() + 1);
+            self.has_new_misdirected_heartbeats.set(true);
         }
     }
 
     /// What is to be stored for the leader to see, once for all stray workers since the last call.
     pub(super) fn take_transfer_request(&self) -> Option<TransferRequest> {
-        let wanted = self.transfer_wanted.take();
-        wanted.then(|| TransferRequest { count: self.stray_workers.get() })
+        let wanted = self.has_new_misdirected_heartbeats.take();
+        wanted.then(|| TransferRequest { count: self.misdirected_heartbeats.get() })
     }
 }
 
--- a/crates/corkfield/src/leadership/shared/tests.rs
+++ b/crates/corkfield/src/leadership/shared_state/tests.rs
@@ -90,7 +90,7 @@
     let leadership = Leadership::default();
     let earlier = leadership.hold_answer("m-1");
     let later = leadership.hold_answer("m-1");
-    leadership.release_held_answer("m-1", &earlier);
+    leadership.remove_held_answer("m-1", &earlier);
     leadership.held_answers.answer("m-1");
     assert!(is_woken(&later).await && !is_woken(&earlier).await);
 }
@@ -98,10 +98,10 @@
 #[test]
 fn stray_workers_share_a_transfer_request_once_the_leader_is_known_for_long() {
     let leadership = Leadership::default();
-    leadership.note_stray_worker(LEADER_SETTLED_AFTER);
+    leadership.record_misdirected_heartbeat(LEADER_SETTLED_AFTER);
     assert_eq!(leadership.take_transfer_request(), None);
-    leadership.note_stray_worker(LEADER_SETTLED_AFTER + Duration::from_millis(1));
-    leadership.note_stray_worker(LEADER_SETTLED_AFTER + Duration::from_millis(1));
+    leadership.record_misdirected_heartbeat(LEADER_SETTLED_AFTER + Duration::from_millis(1));
+    leadership.record_misdirected_heartbeat(LEADER_SETTLED_AFTER + Duration::from_millis(1));
     assert_eq!(leadership.take_transfer_request(), Some(TransferRequest { count: 2 }));
     assert_eq!(leadership.take_transfer_request(), None);
 }
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -282,6 +282,6 @@
     }
 
     fn job_cancelled(&self, id: &JobId) {
-        self.leadership.note_cancelled(id);
+        self.leadership.record_cancelled(id);
     }
 }
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -38,7 +38,7 @@
     /// moment for whoever leads. Called only for what was committed or read here: a cancellation
     /// whose commit had no answer may never come about, and is not announced.
     pub async fn notify_all(&self, id: &JobId) {
-        self.leadership.note_cancelled(id);
+        self.leadership.record_cancelled(id);
         let peers = self.env.settings.platform.peers.iter();
         self.outbox.add_for_all(peers.map(|peer| peer.node.as_str()), id);
         let leaders = self.linked_leaders();
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -62,7 +62,8 @@
         let connection = Some(ConnectionId { process: self.env.process, number: connection });
         let received = RelayedHeartbeat { heartbeat, connection };
         if self.leadership.is_leading() && !self.leadership.is_ready() {
-            let _ = tokio::time::timeout(FAILOVER_WAIT, self.leadership.until_ready()).await;
+            let _ =
+                tokio::time::timeout(FAILOVER_WAIT, self.leadership.wait_for_preparation()).await;
         }
         if self.leadership.is_ready() {
             self.answer_as_leader(&received).await
@@ -90,7 +91,7 @@
                     return self.check_relayed(response);
                 }
             }
-            self.leadership.note_stray_worker(self.replica.leader_known_for());
+            self.leadership.record_misdirected_heartbeat(self.replica.leader_known_for());
         }
         let (machine, sequence) = (&heartbeat.machine, heartbeat.sequence);
         tracing::debug!(%machine, sequence, controller = ?leader, "worker redirected");
@@ -125,7 +126,7 @@
         if let Some(refusal) = self.refuse(&scheduler, received) {
             return refusal;
         }
-        self.leadership.note_heartbeat();
+        self.leadership.record_heartbeat();
         if scheduler.borrow().may_start_on(heartbeat.machine.as_str(), now()) {
             self.leadership.wait_for_pass().await;
         }
@@ -136,7 +137,8 @@
         if !same || !self.may_answer() {
             return json(421, &Redirect { report_to: self.other_leader() });
         }
-        let may_start = self.leadership.may_start(&self.session_lease) && self.has_start_proof();
+        let may_start =
+            self.leadership.has_valid_lease(&self.session_lease) && self.has_start_proof();
         let mut scheduler = scheduler.borrow_mut();
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
         let orders =
@@ -168,7 +170,7 @@
             Verdict::Accept => None,
             Verdict::Stale => Some(retry_later("stale report")),
             Verdict::HigherTerm(term) => {
-                self.leadership.note_higher_term(term);
+                self.leadership.record_higher_term(term);
                 Some(retry_later("a higher term is needed"))
             }
             Verdict::AnswersInDoubt => Some(retry_later("answers may not arrive")),
@@ -184,7 +186,7 @@
         if may_delay_answer && scheduler.borrow().may_delay_answer(machine) {
             let released = self.leadership.hold_answer(machine);
             let _ = tokio::time::timeout(hold, released.notified()).await;
-            self.leadership.release_held_answer(machine, &released);
+            self.leadership.remove_held_answer(machine, &released);
         }
     }
 
