--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler decided.
+//! Carries out the scheduler's decisions.
 
 use super::active_leader::ActiveLeader;
 use super::direct_orders::send_direct_orders;
@@ -6,7 +6,8 @@
 use corkfield_core::{Action, DirectOrderTarget, DirectPurpose};
 
 impl ActiveLeader {
-    /// Takes the scheduler's decisions as they come. None of them holds up the next ones.
+    /// Dispatches the scheduler's actions as they are produced. Requests to other services run in
+    /// tasks of their own, so that no action delays the next ones.
     pub(super) async fn dispatch_actions(&self) {
         loop {
             let actions = self.scheduler.borrow_mut().take_actions();
@@ -23,7 +24,7 @@
                     }
                     Action::Erase(machine) => erased.push(machine),
                     Action::Answer(machine) => {
-                        self.context.leadership.held_answers.answer(machine.as_str());
+                        self.context.leadership.held_answers.release(machine.as_str());
                     }
                     Action::Direct { machine, addr, agent_epoch, orders } => {
                         let purpose = DirectPurpose::Order;
--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -1,4 +1,4 @@
-//! A controller while it leads: preparation, and the loops that serve workers and jobs.
+//! The leading controller: its preparation, and the loops that serve workers and jobs.
 
 use super::context::LeadershipContext;
 use super::election::WonElection;
@@ -14,34 +14,36 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// While the replica lags behind the claim of the leader record, it is looked at this often.
+/// Interval at which the replica's revision is checked while the replica lags behind the claim of
+/// the leader record. A change in the replica triggers the check earlier.
 const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the loops of one leader share, from the claim of the leader record to the end of leading.
+/// State shared by the loops of a leader, from the claim of the leader record until leading ends.
 pub(super) struct ActiveLeader {
-    /// The parts of the controller.
+    /// Components of the controller.
     pub(super) context: Rc<LeadershipContext>,
-    /// Decides what runs where, under the term of the claim.
+    /// Decides which task runs on which machine. Its orders carry the term of this leader.
     pub(super) scheduler: SharedScheduler,
     /// The claim of the leader record.
     pub(super) claim: Rc<LeadershipClaim>,
-    /// Jobs were claimed, or a rental was filled: more machines may be needed at once.
+    /// Notified when jobs were claimed or a rental request was filled, as more machines may be
+    /// needed at once.
     pub(super) scaling_requested: Rc<Notify>,
     /// Claimed jobs whose finished tasks are being read.
     pub(super) loading_jobs: Rc<RefCell<HashSet<JobId>>>,
-    /// Machines whose records are to be written.
+    /// Machine records that wait to be written.
     pub(super) machine_records: Rc<MachineRecordQueue>,
 }
 
 impl ActiveLeader {
-    /// Begins the preparation of a leader.
-    pub(super) fn new(context: Rc<LeadershipContext>, elected: WonElection) -> Self {
+    /// Creates the leader after a won election, and enters the `Preparing` state.
+    pub(super) fn new(context: Rc<LeadershipContext>, won: WonElection) -> Self {
         let seed = context.env.random();
         let config = context.env.settings.scheduler_config();
-        let mut scheduler = Scheduler::new(config, elected.term, seed);
+        let mut scheduler = Scheduler::new(config, won.term, seed);
         let claim = Rc::new(LeadershipClaim {
-            membership: elected.membership,
-            record_version: Cell::new(elected.record_version),
+            membership: won.membership,
+            record_version: Cell::new(won.record_version),
         });
         context.leadership.enter(LeadershipState::Preparing(claim.clone()));
         if let Some(types) = context.replica.contents.borrow().types.clone() {
@@ -57,13 +59,13 @@
         }
     }
 
-    /// A transaction that is carried out only while this controller leads: a leader that was
-    /// replaced can't add anything that its successor doesn't know.
+    /// Returns a transaction that is conditional on this controller's leader record, so that a
+    /// replaced leader can't write anything that its successor doesn't know of.
     pub(super) fn leader_transaction(&self) -> Transaction {
         Transaction::default().when(LEADER_KEY, self.claim.record_version.get())
     }
 
-    /// Prepares, then serves; returns only if all its loops end, which they don't.
+    /// Prepares the leader, then runs its loops, which never return.
     pub(super) async fn run(&self) {
         self.prepare().await;
         tokio::join!(
@@ -80,19 +82,21 @@
         );
     }
 
-    /// Takes over what earlier leaders left, up to the first heartbeat that may be answered.
+    /// Loads the state that earlier leaders stored, then enters the `Leading` state, in which
+    /// heartbeats are answered.
     async fn prepare(&self) {
         self.load_machine_records().await;
         self.wait_until_replica_has_claim().await;
-        // The most urgent jobs first: heartbeats are of little use without the jobs of their tasks.
+        // The most urgent jobs are claimed before heartbeats are answered, as heartbeats are of
+        // little use without the jobs of the tasks that they report.
         self.claim_next_batch().await;
         let leadership = &self.context.leadership;
         leadership.enter(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
         leadership.close_all_but(&self.context.replica.contents.borrow().jobs);
     }
 
-    /// What the leaders before us claimed last may not be in the replica yet, and tasks of jobs
-    /// that nobody knows are stopped.
+    /// Waits until the replica contains the claim of the leader record, and so every job that
+    /// earlier leaders claimed. Tasks of jobs missing from the replica would be stopped.
     async fn wait_until_replica_has_claim(&self) {
         let replica = &self.context.replica;
         while replica.contents.borrow().revision() < self.claim.record_version.get() {
--- a/crates/corkfield/src/leadership/cancelled_jobs.rs
+++ b/crates/corkfield/src/leadership/cancelled_jobs.rs
@@ -1,52 +1,53 @@
-//! Jobs known to be cancelled, whatever the replica of the store still shows.
+//! Jobs known to be cancelled although the replica may still show them as unfinished.
 
 use corkfield_wire::JobId;
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
 
-/// Cancelled jobs that were heard of, kept so that no replica of the store that lags brings
-/// them back. A job leaves with the next read of the store, so that this is far above what users
-/// cancel meanwhile on thousands of machines; it bounds what a faulty controller can make us keep.
+/// Maximum number of cancelled jobs kept, so that a faulty controller can't exhaust memory with
+/// notifications. A job is removed after the next read of the state service, and the limit is far
+/// above what users of thousands of machines cancel between two reads.
 const MAX_CANCELLED_JOBS: usize = 65_536;
 
-/// Jobs that the state service holds as cancelled, whatever the replica still shows, and when
-/// that became known.
+/// Jobs that are stored as cancelled in the state service, with the time at which this controller
+/// learned of it. They are kept until the replica is newer than that, so that a lagging replica
+/// does not make the leader claim them again.
 #[derive(Default)]
 pub(super) struct CancelledJobs {
-    since: HashMap<JobId, Instant>,
-    /// The same jobs, oldest first.
-    order: VecDeque<JobId>,
+    known_since: HashMap<JobId, Instant>,
+    /// The same jobs, in order of insertion.
+    insertion_order: VecDeque<JobId>,
 }
 
 impl CancelledJobs {
-    /// The job is known to be cancelled since that moment, or longer. The oldest makes way if there
-    /// are too many.
+    /// Adds a job known to be cancelled since `at`, or updates its time. Evicts the job inserted
+    /// first if there are too many.
     pub(super) fn insert(&mut self, id: &JobId, at: Instant) {
-        if self.since.insert(id.clone(), at).is_none() {
-            self.order.push_back(id.clone());
+        if self.known_since.insert(id.clone(), at).is_none() {
+            self.insertion_order.push_back(id.clone());
         }
-        if self.order.len() > MAX_CANCELLED_JOBS {
-            if let Some(oldest) = self.order.pop_front() {
-                self.since.remove(&oldest);
+        if self.insertion_order.len() > MAX_CANCELLED_JOBS {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.known_since.remove(&oldest);
             }
         }
     }
 
-    /// Whether the job is known to be cancelled.
+    /// Returns whether the job is known to be cancelled.
     pub(super) fn contains(&self, id: &JobId) -> bool {
-        self.since.contains_key(id)
+        self.known_since.contains_key(id)
     }
 
-    /// Jobs that became known as cancelled before that moment.
+    /// Returns the jobs that became known as cancelled before `moment`.
     pub(super) fn known_before(&self, moment: Instant) -> Vec<JobId> {
-        let earlier = self.since.iter().filter(|(_, at)| **at < moment);
+        let earlier = self.known_since.iter().filter(|(_, at)| **at < moment);
         earlier.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Forgets the job.
+    /// Removes the job.
     pub(super) fn remove(&mut self, id: &JobId) {
-        self.since.remove(id);
-        self.order.retain(|other| other != id);
+        self.known_since.remove(id);
+        self.insertion_order.retain(|other| other != id);
     }
 }
 
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of job records under the leader record.
+//! Claims job records, conditional on the leader record.
 
 use super::active_leader::ActiveLeader;
 use super::completion_commits::{read_finished_chunks, MAX_TRANSACTION_BYTES};
@@ -13,55 +13,56 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Records are looked through this often, if no change of them is seen before.
+/// Interval at which the replica is checked for job records to claim. A change in the replica
+/// triggers the check earlier.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
-/// Above so many records that are due, a claim takes as many as a transaction may change.
+/// If more records than this are due, a claim covers as many as a transaction may change.
 const LARGE_BATCH_THRESHOLD: usize = 32;
-/// After a failed read of a job's finished tasks.
+/// Pause after a failed read of a job's finished tasks.
 const FINISHED_TASKS_RETRY: Duration = Duration::from_millis(200);
 
-/// What a look at the job records came to.
+/// Outcome of claiming one batch of job records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimBatchOutcome {
     /// A batch was claimed, and more records are due.
     MoreDue,
-    /// All records that were due are claimed.
-    Complete,
-    /// The claim was refused, or it is not known that it was carried out.
+    /// No more records are due.
+    AllClaimed,
+    /// The claim was refused, or its outcome is unknown.
     Failed,
 }
 
-/// Records that were claimed together.
+/// Job records claimed with one transaction.
 struct StoredClaim {
     records: Vec<JobRecord>,
-    /// Version of all of them.
+    /// Version that the transaction gave to all records.
     version: Revision,
 }
 
-/// A job record of our claim as the store has it, with the job's finished tasks.
+/// A stored job record that this leader claimed, with the job's finished tasks.
 pub(super) struct ClaimedJob {
-    /// The record as it is stored.
+    /// The record as stored.
     pub(super) record: JobRecord,
-    /// Finished tasks, also of a job too large to keep them in its record.
+    /// Finished tasks. For a job too large to keep them in its record, read from the job's chunks.
     pub(super) finished: TaskSet,
     /// Version of the record.
     pub(super) version: Revision,
 }
 
-/// Keeps the first records that have no more than so many bytes together, and one at least.
-/// They are counted as they were before the claim, which changes a few bytes of each.
+/// Truncates `due` to the longest prefix of records with at most `max_bytes` bytes in total, but
+/// at least one record. Sizes are those before the claim, which changes a few bytes per record.
 fn truncate_to_bytes(due: &mut Vec<Versioned<JobRecord>>, max_bytes: usize) {
     let mut bytes = 0;
-    let fits = due.iter().take_while(|job| {
+    let fitting = due.iter().take_while(|job| {
         bytes += serialized_bytes(&job.record);
         bytes <= max_bytes
     });
-    let count = fits.count();
+    let count = fitting.count();
     due.truncate(count.max(1));
 }
 
 impl ActiveLeader {
-    /// Claims jobs as they come, and again when their claim has to be renewed.
+    /// Claims new jobs, and reclaims jobs whose claim has to be renewed, in an endless loop.
     pub(super) async fn claim_jobs(&self) {
         loop {
             let changed = self.context.replica.changed.notified();
@@ -71,28 +72,29 @@
         }
     }
 
-    /// Closes what is over, and claims a batch of what is new or has to be claimed anew.
+    /// Closes jobs that are no longer unfinished, and claims a batch of the records that are due.
     pub(super) async fn claim_next_batch(&self) -> ClaimBatchOutcome {
         self.context.leadership.prune_cancelled(&self.context.replica);
         let mut due = self.sync_jobs_and_find_due();
-        let all = due.len();
+        let due_count = due.len();
         self.truncate_to_batch(&mut due);
-        let more_due = due.len() < all;
+        let more_due = due.len() < due_count;
         if due.is_empty() {
-            return ClaimBatchOutcome::Complete;
+            return ClaimBatchOutcome::AllClaimed;
         }
-        let Some(claim) = self.claim(due).await else {
+        let Some(claim) = self.claim_records(due).await else {
             return ClaimBatchOutcome::Failed;
         };
         self.register_claimed_jobs(claim);
         if more_due {
             ClaimBatchOutcome::MoreDue
         } else {
-            ClaimBatchOutcome::Complete
+            ClaimBatchOutcome::AllClaimed
         }
     }
 
-    /// Makes the scheduler see which jobs are over or not claimed yet; what is to be claimed.
+    /// Closes jobs that are no longer unfinished, passes the set of unclaimed jobs to the scheduler
+    /// and returns the records that have to be claimed.
     fn sync_jobs_and_find_due(&self) -> Vec<Versioned<JobRecord>> {
         let contents = self.context.replica.contents.borrow();
         let mut scheduler = self.scheduler.borrow_mut();
@@ -114,13 +116,13 @@
         due
     }
 
-    /// Keeps the most urgent records, as many as one claim takes.
+    /// Truncates `due` to the most urgent records, as many as one claim covers.
     fn truncate_to_batch(&self, due: &mut Vec<Versioned<JobRecord>>) {
         due.sort_by_key(|job| (job.record.spec.priority, job.record.accepted_ms));
         let max_changes = self.context.max_transaction_changes();
         let claim_batch = self.context.env.settings.operator.claim_batch as usize;
-        // A failover has hundreds of them. How long they take is set by the changes that may be
-        // written a second; larger claims spare most of the transactions.
+        // After a failover hundreds of records are due. The limit on changes per second determines
+        // how long their claims take; large batches only save most of the transactions.
         let batch = if due.len() > LARGE_BATCH_THRESHOLD {
             max_changes
         } else {
@@ -130,9 +132,9 @@
         truncate_to_bytes(due, MAX_TRANSACTION_BYTES);
     }
 
-    /// The design's claim: one conditional transaction over a few records. `None` if it is not known
-    /// to be carried out.
-    async fn claim(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
+    /// Claims a batch of records with one conditional transaction. Returns `None` if the claim was
+    /// refused or its outcome is unknown.
+    async fn claim_records(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
         let own_key = controller_key(self.context.env.name.as_str());
         let mut transaction =
             self.leader_transaction().when(own_key, self.claim.membership.version);
@@ -147,7 +149,7 @@
         Some(StoredClaim { records, version })
     }
 
-    /// Gives the scheduler what was claimed.
+    /// Passes claimed jobs to the scheduler, after reading finished tasks stored in chunks.
     fn register_claimed_jobs(&self, claim: StoredClaim) {
         let version = claim.version;
         for record in claim.records {
@@ -162,7 +164,8 @@
         self.scaling_requested.notify_one();
     }
 
-    /// The record as it stands after our claim.
+    /// Returns the record as changed by this leader's claim. Dead-letters a job that has exceeded
+    /// the claim limit (S12).
     fn apply_claim(&self, mut record: JobRecord) -> JobRecord {
         let owner = self.claim.membership.incarnation.clone();
         if record.start_watermark > 0 || self.scheduler.borrow().may_start_soon(&record.spec, now())
@@ -179,7 +182,8 @@
         record
     }
 
-    /// The version at which the claim is stored; `None` if it is not known to be.
+    /// Runs the transaction of a claim and returns the version of the claimed records. Returns
+    /// `None` if the claim was refused or its outcome is unknown.
     async fn store_claim(
         &self,
         transaction: &Transaction,
@@ -197,8 +201,8 @@
         }
     }
 
-    /// The version of a claim without an answer, if it was carried out: all of it, as it is one
-    /// transaction.
+    /// Reads back one record of a claim that was not answered. Returns its version if the claim
+    /// was carried out, which then holds for all records, as they share one transaction.
     async fn read_back_claim(&self, record: &JobRecord) -> Option<Revision> {
         let key = job_key(&record.spec.id);
         let item = self.context.env.state.get(RequestClass::Claim, &key).await.ok()??;
@@ -207,12 +211,13 @@
         is_ours.then_some(item.version)
     }
 
-    /// Takes up a claimed job once its finished tasks are read. Other claims don't wait for that.
+    /// Reads a claimed job's finished tasks in the background, then passes the job to the
+    /// scheduler. Other claims don't wait for the read.
     fn load_finished_tasks(&self, record: JobRecord, version: Revision) {
         let id = record.spec.id.clone();
         self.loading_jobs.borrow_mut().insert(id.clone());
         let (context, loading_jobs) = (self.context.clone(), self.loading_jobs.clone());
-        // It goes on no longer than the leader that claimed the job.
+        // A weak reference, so that the reads end with the leader that claimed the job.
         let scheduler = Rc::downgrade(&self.scheduler);
         tokio::task::spawn_local(async move {
             while let Some(scheduler) = scheduler.upgrade() {
@@ -229,13 +234,13 @@
     }
 }
 
-/// Gives the scheduler a job that was claimed.
+/// Passes a claimed job to the scheduler.
 fn register_claimed_job(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
     let ClaimedJob { record, finished, version } = job;
     let age = Duration::from_millis(unix_time_ms().saturating_sub(record.accepted_ms));
     let id = record.spec.id.clone();
     scheduler.borrow_mut().on_job_claimed(record, finished, version, age, now());
-    // It may have been cancelled while the claim's answer was under way.
+    // The job may have been cancelled before the claim was answered.
     let unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
     if !unfinished || context.leadership.is_cancelled(&id) {
         scheduler.borrow_mut().close_job(&id);
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -1,4 +1,4 @@
-//! What the cloud says: its list of machines, and the machine types with their prices.
+//! Polls the cloud for its list of machines and for the machine types with their prices.
 
 use super::active_leader::ActiveLeader;
 use crate::clock::now;
@@ -8,18 +8,21 @@
 use corkfield_wire::records::{MachineTypesRecord, MACHINE_TYPES_KEY};
 use std::time::Duration;
 
-/// The list is read once in the time in which the cloud takes so many requests, ...
+/// The machine list is read once in the time in which the cloud's rate limit allows this many
+/// requests, within [`MIN_LIST_INTERVAL_S`] and [`MAX_LIST_INTERVAL_S`].
 const REQUESTS_PER_LIST: f64 = 6.0;
-/// ... within these bounds.
+/// Lower bound on the interval between two reads of the machine list, in seconds.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
+/// Upper bound on the interval between two reads of the machine list, in seconds.
 const MAX_LIST_INTERVAL_S: f64 = 10.0;
 
+/// Interval between two reads of the machine types.
 const TYPES_INTERVAL: Duration = Duration::from_secs(20);
-/// After a failed read of the machine types.
+/// Pause after a failed read of the machine types.
 const TYPES_RETRY: Duration = Duration::from_secs(1);
 
 impl ActiveLeader {
-    /// Reads the cloud's list of machines again and again.
+    /// Periodically reads the cloud's list of machines and passes it to the scheduler.
     pub(super) async fn poll_machine_list(&self) {
         let context = &self.context;
         let requests_per_s = context.env.settings.platform.params.cloud.rps.max(0.1);
@@ -39,7 +42,8 @@
         }
     }
 
-    /// Machine types come from the cloud, and are kept in the store for when it is away.
+    /// Periodically reads the machine types from the cloud. They are also stored in the state
+    /// service, so that a new leader has them while the cloud does not answer.
     pub(super) async fn refresh_machine_types(&self) {
         loop {
             let pause = match self.context.env.cloud.types().await {
@@ -56,6 +60,7 @@
         }
     }
 
+    /// Passes the machine types to the scheduler, and stores them if they have changed.
     async fn update_machine_types(&self, types: Vec<MachineType>) {
         let known = self.context.replica.contents.borrow().types.clone();
         self.scheduler.borrow_mut().set_types(types.clone());
@@ -72,9 +77,11 @@
     }
 }
 
-/// Prices of spot machines move all the time; that alone is not worth a write.
+/// Returns whether both lists are equal apart from spot prices. Spot prices change all the time,
+/// and such a change alone does not justify a write to the state service.
 fn are_equal_except_spot_prices(known: &[MachineType], read: &[MachineType]) -> bool {
-    let without_spot_price = |kind: &MachineType| MachineType { spot_price: 0.0, ..kind.clone() };
+    let without_spot_price =
+        |machine_type: &MachineType| MachineType { spot_price: 0.0, ..machine_type.clone() };
     known.len() == read.len()
         && known.iter().zip(read).all(|(a, b)| without_spot_price(a) == without_spot_price(b))
 }
--- a/crates/corkfield/src/leadership/cloud_inventory/tests.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn kind(price: f64, spot_price: f64) -> MachineType {
+fn machine_type(price: f64, spot_price: f64) -> MachineType {
     MachineType {
         name: "small".to_owned(),
         cpus: 4.0,
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn machine_types_are_stored_anew_for_more_than_spot_prices() {
-    assert!(are_equal_except_spot_prices(&[kind(2.0, 0.5)], &[kind(2.0, 0.7)]));
-    assert!(!are_equal_except_spot_prices(&[kind(2.0, 0.5)], &[kind(2.5, 0.5)]));
-    assert!(!are_equal_except_spot_prices(&[kind(2.0, 0.5)], &[]));
+fn changed_spot_prices_alone_do_not_count_as_changed_machine_types() {
+    assert!(are_equal_except_spot_prices(&[machine_type(2.0, 0.5)], &[machine_type(2.0, 0.7)]));
+    assert!(!are_equal_except_spot_prices(&[machine_type(2.0, 0.5)], &[machine_type(2.5, 0.5)]));
+    assert!(!are_equal_except_spot_prices(&[machine_type(2.0, 0.5)], &[]));
 }
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -1,4 +1,5 @@
-//! Storing finished tasks and first starts, with the generation of our claim as condition (S9).
+//! Stores finished tasks and raised start watermarks, conditional on the claimed version of the job
+//! record (S9).
 
 use super::active_leader::ActiveLeader;
 use super::claims::ClaimedJob;
@@ -17,51 +18,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Transactions under way at once. One after another, each would wait for the loop's turn and for
-/// a slow answer, and with hundreds of jobs their tasks would wait to be announced meanwhile.
+/// Maximum number of concurrent transactions. If they ran one after another, slow answers would add
+/// up, and with hundreds of jobs finished tasks would be reported late.
 const MAX_TRANSACTIONS_IN_FLIGHT: usize = 6;
-/// Changes that a transaction may have for completion commits, at the least: those of one job.
+/// Lower bound on the changes per transaction, enough for the completion commit of one job.
 const MIN_CHANGES_PER_TRANSACTION: u32 = 4;
-/// Changes of one job's completion commit, as a rule.
+/// Usual number of changes in the completion commit of one job.
 const CHANGES_PER_COMMIT: usize = 2;
-/// Bytes of values that share a transaction, of completion commits or of claims, far below what
-/// one may have.
+/// Maximum total size of the completion commits or claims that are batched into one transaction.
+/// Far below the state service's limit.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 32 * 1024;
-/// Chunks of finished tasks that are dropped with one transaction.
+/// Number of chunks of finished tasks deleted with one transaction.
 const CHUNKS_PER_DELETION: usize = 4;
 
-/// While nothing is due, and no placement pass ends. What comes in between two passes is stored
-/// together.
+/// Interval at which due completion commits are collected while none are due. The end of a
+/// placement pass or of a transaction triggers this earlier. What becomes due between two passes is
+/// stored together.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// After a transaction that the state service refused for another reason than its conditions.
+/// Pause after a transaction that failed for another reason than a conflict or a missing answer.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(300);
 
 impl ActiveLeader {
-    /// Stores finished tasks and first starts as they become due.
+    /// Stores finished tasks and start watermarks as they become due, in an endless loop.
     pub(super) async fn commit_completions(&self) {
         let context = &self.context;
         let params = &context.env.settings.platform.params;
         let max_changes = params.state.txn_ops.max(MIN_CHANGES_PER_TRANSACTION) as usize;
         let in_flight = InFlightCounter::default();
         loop {
-            let free = MAX_TRANSACTIONS_IN_FLIGHT.saturating_sub(in_flight.count());
-            let max_commits = free * max_changes / CHANGES_PER_COMMIT;
+            let free_slots = MAX_TRANSACTIONS_IN_FLIGHT.saturating_sub(in_flight.count());
+            let max_commits = free_slots * max_changes / CHANGES_PER_COMMIT;
             let due = self.scheduler.borrow_mut().due_completion_commits(max_commits, now());
             if due.is_empty() {
-                let woken = context.leadership.commits_due.notified();
-                context.env.timers.within(IDLE_INTERVAL, woken).await;
+                let notified = context.leadership.commits_due.notified();
+                context.env.timers.within(IDLE_INTERVAL, notified).await;
                 continue;
             }
             for batch in group_into_batches(due, max_changes) {
                 let committer =
                     Committer { context: context.clone(), scheduler: self.scheduler.clone() };
-                tokio::task::spawn_local(committer.run(batch, in_flight.begin()));
+                tokio::task::spawn_local(committer.run(batch, in_flight.increment()));
             }
         }
     }
 }
 
-/// One job's part of a transaction.
+/// The completion commit of one job, and the conditions and changes that store it.
 struct JobCommit {
     commit: CompletionCommit,
     transaction: Transaction,
@@ -84,7 +86,7 @@
     }
 }
 
-/// Jobs that share a transaction, within what one may change.
+/// Groups completion commits into batches that each fit into one transaction.
 fn group_into_batches(due: Vec<CompletionCommit>, max_changes: usize) -> Vec<Vec<JobCommit>> {
     let mut batches: Vec<Vec<JobCommit>> = Vec::new();
     let mut batch: Vec<JobCommit> = Vec::new();
@@ -106,21 +108,23 @@
     batches
 }
 
-/// Carries out one transaction of completion commits.
+/// Runs one transaction of completion commits in the background.
 struct Committer {
     context: Rc<LeadershipContext>,
     scheduler: SharedScheduler,
 }
 
 impl Committer {
+    /// Stores the batch, then wakes the commit loop.
     async fn run(self, batch: Vec<JobCommit>, in_flight: InFlightGuard) {
-        self.store(batch).await;
+        self.store_batch(batch).await;
         drop(in_flight);
         self.context.leadership.commits_due.notify_one();
     }
 
-    /// Stores finished tasks while the records are still of our claims (S9).
-    async fn store(&self, batch: Vec<JobCommit>) {
+    /// Stores a batch with one transaction, which is conditional on the versions of the job records
+    /// and so on this leader's claims (S9).
+    async fn store_batch(&self, batch: Vec<JobCommit>) {
         let mut transaction = Transaction::default();
         let mut commits = Vec::new();
         for job_commit in batch {
@@ -130,12 +134,13 @@
         }
         let state = &self.context.env.state;
         match state.transaction(RequestClass::Completion, &transaction).await {
-            Ok(version) => self.stored(&commits, version).await,
-            Err(error) => self.failed(&commits, &error).await,
+            Ok(version) => self.on_committed(&commits, version).await,
+            Err(error) => self.on_failed(&commits, &error).await,
         }
     }
 
-    async fn stored(&self, commits: &[CompletionCommit], version: Revision) {
+    /// Reports the committed batch to the scheduler, and deletes the chunks of finished jobs.
+    async fn on_committed(&self, commits: &[CompletionCommit], version: Revision) {
         for commit in commits {
             self.scheduler.borrow_mut().completion_committed(commit, version);
         }
@@ -147,11 +152,13 @@
         }
     }
 
-    async fn failed(&self, commits: &[CompletionCommit], error: &StateError) {
+    /// Reports a failed transaction to the scheduler, with the stored record of each job whose
+    /// record may have changed, so that the scheduler can retry from it.
+    async fn on_failed(&self, commits: &[CompletionCommit], error: &StateError) {
         tracing::debug!(jobs = commits.len(), %error, "completion commit failed");
         for commit in commits {
             let id = &commit.job;
-            // Of a transaction that was refused, only the records named have changed.
+            // A conflict names the records whose conditions failed. The others are unchanged.
             let may_have_changed = match error {
                 StateError::Conflict(failed) => failed.contains(&job_key(id)),
                 StateError::NoAnswer(_) => true,
@@ -170,23 +177,27 @@
         }
     }
 
-    /// The record as the store has it, if it is still of our claim.
+    /// Reads the job's stored record and finished tasks. Returns `None` if the read fails or the
+    /// record is no longer of the same claim. Closes the job if its record was deleted or claimed
+    /// by another incarnation.
     async fn read_own_record(&self, id: &JobId, ours: &JobRecord) -> Option<ClaimedJob> {
         let state = &self.context.env.state;
         let read = state.get(RequestClass::Completion, &job_key(id)).await.ok()?;
         let Some(item) = read else {
-            // Cancelled, or a final write of ours that was carried out after all.
+            // The job was cancelled, or an earlier commit that finished it was carried out although
+            // it was not answered.
             self.scheduler.borrow_mut().close_job(id);
             return None;
         };
         let record: JobRecord = serde_json::from_value(item.value).ok()?;
         if record.generation != ours.generation && record.owner == ours.owner {
-            // A claim of our own, after a back-off, came in between. It takes the job up again.
+            // This leader has reclaimed the job after a back-off in the meantime. That claim passes
+            // the job to the scheduler again.
             return None;
         }
         if record.generation != ours.generation {
             let generation = record.generation.get();
-            tracing::warn!(job = %id, generation, "job has a newer generation in the store; closed");
+            tracing::warn!(job = %id, generation, "job closed: newer generation in the store");
             self.scheduler.borrow_mut().close_job(id);
             return None;
         }
@@ -199,7 +210,8 @@
     }
 }
 
-/// Finished tasks of a job that is too large to keep them in its record; `None` without an answer.
+/// Reads the finished tasks of a job that is too large to keep them in its record. Returns `None`
+/// if the read fails.
 pub(super) async fn read_finished_chunks(
     context: &LeadershipContext,
     id: &JobId,
@@ -215,7 +227,8 @@
     Some(finished)
 }
 
-/// Drops the finished tasks of a job that is done; what is left of them does no harm.
+/// Deletes the chunks of finished tasks of a job that is done. Errors are ignored, as leftover
+/// chunks do no harm.
 async fn delete_finished_chunks(context: &LeadershipContext, record: &JobRecord) {
     let chunks = record.spec.tasks.div_ceil(CHUNK_TASKS);
     let keys: Vec<String> = (0..chunks).map(|chunk| finished_key(&record.spec.id, chunk)).collect();
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use corkfield_wire::JobSpec;
 
-fn commit(number: u32, image: &str) -> CompletionCommit {
+fn completion_commit(number: u32, image: &str) -> CompletionCommit {
     let spec = format!(
         "{{\"name_id\":\"j-{number:06}\",\"pool\":\"c\",\"owner\":\"t\",\"shape\":\"sweep\",\
          \"rank\":\"normal\",\"pieces\":9,\"vcpus\":1,\"accelerators\":0,\"mem_gb\":1,\
@@ -19,35 +19,43 @@
     }
 }
 
-fn sizes(batches: &[Vec<JobCommit>]) -> Vec<usize> {
+fn batch_sizes(batches: &[Vec<JobCommit>]) -> Vec<usize> {
     batches.iter().map(Vec::len).collect()
 }
 
 #[test]
-fn jobs_share_a_transaction_up_to_its_changes() {
-    let due: Vec<CompletionCommit> = (0..5).map(|number| commit(number, "i")).collect();
-    assert_eq!(sizes(&group_into_batches(due.clone(), 4)), [4, 1]);
+fn batches_are_limited_by_the_changes_of_a_transaction() {
+    let due: Vec<CompletionCommit> = (0..5).map(|number| completion_commit(number, "i")).collect();
+    assert_eq!(batch_sizes(&group_into_batches(due.clone(), 4)), [4, 1]);
     let mut finished = due;
     finished.iter_mut().for_each(|commit| commit.finishes = true);
     assert_eq!(
-        sizes(&group_into_batches(finished, 4)),
+        batch_sizes(&group_into_batches(finished, 4)),
         [2, 2, 1],
-        "each drops a record and writes one"
+        "each deletes a record and writes another"
     );
 }
 
 #[test]
-fn jobs_share_a_transaction_up_to_its_bytes() {
+fn batches_are_limited_by_the_bytes_of_a_transaction() {
     let large = "i".repeat(MAX_TRANSACTION_BYTES / 2);
-    let due = vec![commit(0, "i"), commit(1, &large), commit(2, &large), commit(3, "i")];
-    assert_eq!(sizes(&group_into_batches(due, 100)), [2, 2]);
-    let larger_than_all = "i".repeat(MAX_TRANSACTION_BYTES);
-    assert_eq!(sizes(&group_into_batches(vec![commit(0, &larger_than_all)], 100)), [1]);
+    let due = vec![
+        completion_commit(0, "i"),
+        completion_commit(1, &large),
+        completion_commit(2, &large),
+        completion_commit(3, "i"),
+    ];
+    assert_eq!(batch_sizes(&group_into_batches(due, 100)), [2, 2]);
+    let larger_than_limit = "i".repeat(MAX_TRANSACTION_BYTES);
+    assert_eq!(
+        batch_sizes(&group_into_batches(vec![completion_commit(0, &larger_than_limit)], 100)),
+        [1]
+    );
 }
 
 #[test]
-fn a_finished_job_leaves_a_final_record_in_place_of_its_own() {
-    let mut commit = commit(0, "i");
+fn final_commit_replaces_the_job_record_by_a_final_record() {
+    let mut commit = completion_commit(0, "i");
     commit.finishes = true;
     let id = commit.job.clone();
     let transaction = JobCommit::new(commit).transaction;
--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -1,4 +1,4 @@
-//! The parts of a controller that election and leading work with.
+//! The components of a controller that election and leading use.
 
 use super::state::LeadershipClaim;
 use super::Leadership;
@@ -8,33 +8,34 @@
 use crate::session_lease::SessionLease;
 use std::rc::Rc;
 
-/// Handles of the controller's parts, shared by all loops of election and leading.
+/// Handles to the controller's components, shared by all loops of election and leading.
 pub struct LeadershipContext {
-    /// Settings, clients of outside services, timers and random numbers.
+    /// Settings, clients of external services, timers and the random number generator.
     pub env: Rc<Environment>,
-    /// The local copy of the store's keys.
+    /// Local copy of the replicated keys of the state service.
     pub replica: Rc<StoreReplica>,
     /// This controller's lease and membership key.
     pub session_lease: Rc<SessionLease>,
-    /// The other controllers.
+    /// Last known state of the other controllers.
     pub peers: Rc<Peers>,
-    /// State that is shared with the handlers of users, workers and peers.
+    /// State shared with the handlers of requests from users, workers and peers.
     pub leadership: Rc<Leadership>,
 }
 
 impl LeadershipContext {
-    /// Whether starts may leave, and machines be rented or returned (S4).
+    /// Returns whether this controller leads and the lease behind its claim is still valid. Start
+    /// orders may be sent, and machines may be returned, only then (S4).
     pub(super) fn has_valid_lease(&self) -> bool {
         self.leadership.has_valid_lease(&self.session_lease)
     }
 
-    /// Whether the lease that the claim rests on has ended.
+    /// Returns whether the lease under which `claim` was made has been lost.
     pub(super) fn has_lost_lease(&self, claim: &LeadershipClaim) -> bool {
         let current = self.session_lease.current();
         current.is_none_or(|current| current.incarnation != claim.membership.incarnation)
     }
 
-    /// How many changes a transaction of the state service may have; one at least.
+    /// Returns the maximum number of changes in a transaction of the state service; at least one.
     pub(super) fn max_transaction_changes(&self) -> usize {
         self.env.settings.platform.params.state.txn_ops.max(1) as usize
     }
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -1,4 +1,5 @@
-//! Orders sent straight to a machine: stops, and fences (S7). Starts never go this way (S3).
+//! Orders sent directly to a machine's worker instead of with the answer to its heartbeat: stops
+//! and fences (S7). Start orders are never sent this way (S3).
 
 use super::context::LeadershipContext;
 use super::state::SharedScheduler;
@@ -12,23 +13,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Time limit of one request to a machine.
 const DIRECT_ORDER_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A machine may be in a later agent epoch than we know: its refusal says which.
+/// Maximum number of agent epochs tried per call. A worker in a later agent epoch than the one
+/// known here refuses the orders, and its refusal contains its current agent epoch.
 const MAX_AGENT_EPOCHS_TRIED: usize = 2;
+/// Maximum size of a machine's answer.
 const MAX_ANSWER_BYTES: usize = 256 * 1024;
-/// Status with which a worker refuses orders for another agent epoch than its own.
+/// HTTP status with which a worker refuses orders for another agent epoch than its own.
 const STATUS_OTHER_AGENT_EPOCH: u16 = 409;
 
-/// Machines to which direct orders are under way, and how many.
+/// Counts the requests with direct orders in flight, by machine.
 #[derive(Default)]
 pub(super) struct DirectOrdersInFlight {
     by_machine: RefCell<HashMap<MachineName, usize>>,
 }
 
 impl DirectOrdersInFlight {
-    /// Counts direct orders to a machine until the guard is dropped; `None` if too many are under
-    /// way: each takes a socket, and after a failover there is one for every machine.
-    fn begin<'a>(&'a self, machine: &'a str, max: usize) -> Option<DirectOrderGuard<'a>> {
+    /// Counts a request to `machine` until the guard is dropped. Returns `None` if `max` requests
+    /// to all machines are in flight: each takes a socket, and after a failover every machine gets
+    /// one.
+    fn try_begin<'a>(&'a self, machine: &'a str, max: usize) -> Option<DirectOrderGuard<'a>> {
         let mut by_machine = self.by_machine.borrow_mut();
         if by_machine.values().sum::<usize>() >= max {
             return None;
@@ -37,13 +42,13 @@
         Some(DirectOrderGuard { in_flight: self, machine })
     }
 
-    /// Machines to which direct orders are under way.
+    /// Returns the machines to which direct orders are in flight.
     pub(super) fn machines(&self) -> HashSet<MachineName> {
         self.by_machine.borrow().keys().cloned().collect()
     }
 }
 
-/// Direct orders under way to one machine.
+/// Counts as one request in flight to the machine until it is dropped.
 struct DirectOrderGuard<'a> {
     in_flight: &'a DirectOrdersInFlight,
     machine: &'a str,
@@ -61,17 +66,17 @@
     }
 }
 
-/// What came of sending direct orders once.
+/// Outcome of sending direct orders once.
 enum DirectOrderOutcome {
-    /// The machine's answer was taken up.
+    /// The machine answered, and its answer was passed to the scheduler.
     Answered,
-    /// The machine refused the orders: it is in this agent epoch.
+    /// The machine refused the orders, as it is in this agent epoch.
     OtherAgentEpoch(AgentEpoch),
-    /// No answer, none that can be used, or one that shows a higher term than ours.
+    /// The machine gave no usable answer, or one with a higher term than this leader's.
     NoUsableAnswer,
 }
 
-/// What is sent straight to a machine, and where.
+/// A request with direct orders to one machine.
 struct DirectRequest<'a> {
     machine: &'a str,
     addr: SocketAddr,
@@ -80,9 +85,9 @@
     orders: &'a [Order],
 }
 
-/// Sends orders to a machine, or asks it what it holds, and lets the scheduler take up its answer, a
-/// heartbeat. What is left out here goes with the answer to the machine's next heartbeat, or, if it
-/// is a fence or a question, soon again.
+/// Sends direct orders to a machine, or inspects which tasks it holds, and passes its answer, a
+/// heartbeat, to the scheduler. If this fails, orders are sent again with the answer to the
+/// machine's next heartbeat, and fences and inspections are repeated soon after.
 pub(super) async fn send_direct_orders(
     context: &LeadershipContext,
     scheduler: &SharedScheduler,
@@ -92,8 +97,8 @@
     let Ok(addr) = target.addr.parse() else { return };
     let machine = target.machine.as_str();
     let max = context.env.settings.sockets().direct_orders_in_flight;
-    let Some(_in_flight) = context.leadership.direct_orders.begin(machine, max) else {
-        tracing::debug!(machine, "too many direct orders in flight");
+    let Some(_in_flight) = context.leadership.direct_orders.try_begin(machine, max) else {
+        tracing::debug!(machine, "direct orders not sent: too many in flight");
         return;
     };
     let DirectOrderTarget { mut agent_epoch, purpose, .. } = *target;
@@ -108,7 +113,7 @@
     context.leadership.request_pass();
 }
 
-/// Sends a request once; its end is noted with the scheduler whatever it is.
+/// Sends a request once and reports its outcome to the scheduler.
 async fn send_and_apply_answer(
     context: &LeadershipContext,
     scheduler: &SharedScheduler,
@@ -133,7 +138,8 @@
     DirectOrderOutcome::Answered
 }
 
-/// The machine's answer, and the heartbeat in it; none without an answer of that machine.
+/// Sends the HTTP request. Returns the answer and the heartbeat in its body, or `None` if there is
+/// no readable answer from that machine.
 async fn send_http_request(
     context: &LeadershipContext,
     request: &DirectRequest<'_>,
@@ -158,7 +164,8 @@
     };
     let heartbeat: WorkerHeartbeat = serde_json::from_slice(&reply.body).ok()?;
     if heartbeat.machine.as_str() != machine {
-        tracing::debug!(machine, answered_by = %heartbeat.machine, "another machine answered");
+        let answered_by = &heartbeat.machine;
+        tracing::debug!(machine, %answered_by, "direct orders answered by another machine");
         return None;
     }
     Some((reply, heartbeat))
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Claiming the leader record once its holder is gone.
+//! Leader election: a conditional claim of the leader record once its holder is gone.
 
 use super::context::LeadershipContext;
 use super::state::LeadershipState;
@@ -9,45 +9,52 @@
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
 use corkfield_wire::store::Transaction;
 use corkfield_wire::{ControllerName, Revision, Term};
+use std::ops::Range;
 use std::time::Duration;
 
-/// Other controllers leave the named successor this long to take over.
+/// Time for which other controllers delay their claim after a handover, so that the named
+/// successor claims first.
 const SUCCESSOR_HEAD_START: Duration = Duration::from_secs(2);
-/// Without machine types a replica whose newest read is older than this is no reason to claim.
+/// Random delay of a claim without a named successor, in milliseconds.
+const CLAIM_JITTER_MS: Range<u64> = 0..60;
+/// While the replica contains no machine types, the leader record is claimed only if the last
+/// successful read of the state service started at most this long ago.
 const MAX_PROOF_AGE_WITHOUT_TYPES: Duration = Duration::from_secs(4);
 
-/// A claimed leader record.
+/// A successful claim of the leader record.
 pub(super) struct WonElection {
-    /// The membership key that the claim is conditional on.
+    /// This controller's lease and membership key, which the claim was conditional on.
     pub(super) membership: Current,
-    /// Version of the leader record as it was claimed.
+    /// Version of the leader record that the claim wrote.
     pub(super) record_version: Revision,
-    /// A term that nobody else ever holds.
+    /// The term of the claim. No other leader ever uses it.
     pub(super) term: Term,
 }
 
-/// What a claim of the leader record rests on.
+/// Preconditions of a claim of the leader record.
 struct Candidacy {
     membership: Current,
-    /// The leader record as the replica shows it.
+    /// The leader record in the replica.
     previous: Option<LeaderRecord>,
-    /// Holds the conditions of the claim, and no change yet.
+    /// Transaction with the conditions of the claim, but without changes.
     conditions: Transaction,
 }
 
-/// Who holds the leader record.
+/// Who holds the leader record, and whether that controller still has its membership key.
 enum HolderStatus {
-    /// Nobody; or this controller, which does not lead: the answer to its claim was lost, or
-    /// leading broke off. It claims anew, under a new term.
+    /// The record names no controller, or names this one although it is not leading, because the
+    /// answer to its claim was lost or a loop of the leader panicked. This controller may claim
+    /// the record again, under a new term.
     NoOtherHolder,
-    /// Another controller, which is still there.
+    /// Another controller holds the record and still has the membership key of that incarnation.
     Present,
-    /// Another controller, whose membership key has this version now: of a later incarnation, or
-    /// 0 without one.
+    /// Another controller holds the record, but its membership key was deleted or rewritten by a
+    /// later incarnation. `version` is the key's current version, 0 if the key does not exist.
     Gone { membership_key: String, version: Revision },
 }
 
-/// Claims the leader record if its holder is gone; `None` if it is not, or the claim failed.
+/// Claims the leader record if its holder is gone. Returns `None` if this controller may not claim
+/// it now, or if the claim failed.
 pub(super) async fn try_claim_leadership(context: &LeadershipContext) -> Option<WonElection> {
     let Candidacy { membership, previous, conditions } = prepare_candidacy(context)?;
     context.leadership.enter(LeadershipState::Electing);
@@ -71,7 +78,8 @@
     }
 }
 
-/// `None` without a valid lease, without a usable replica, or while the leader is there.
+/// Collects the preconditions of a claim. Returns `None` if this controller has no valid lease, if
+/// its replica is not usable, or if another controller holds the leader record and is present.
 fn prepare_candidacy(context: &LeadershipContext) -> Option<Candidacy> {
     let lease = &context.session_lease;
     let membership = lease.current().filter(|_| lease.is_valid())?;
@@ -100,6 +108,7 @@
     Some(Candidacy { membership, previous, conditions })
 }
 
+/// Determines from the replica whether another controller holds the leader record.
 fn holder_status(
     contents: &ReplicaContents,
     record: Option<&LeaderRecord>,
@@ -117,13 +126,14 @@
     HolderStatus::Gone { membership_key: controller_key(name.as_str()), version }
 }
 
-/// Lets a named successor take over first; and not all controllers claim at once.
+/// Delays the claim: until the named successor had time to claim first, or else for a short random
+/// time, so that not all controllers claim at once.
 async fn wait_before_claim(context: &LeadershipContext, previous: Option<&LeaderRecord>) {
     let successor = previous.and_then(|record| record.successor.as_ref());
     if successor.is_some_and(|name| *name != context.env.name) {
         tokio::time::sleep(SUCCESSOR_HEAD_START).await;
     } else {
-        context.env.pause(0..60).await;
+        context.env.pause(CLAIM_JITTER_MS).await;
     }
 }
 
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -2,7 +2,7 @@
 use corkfield_wire::records::{Membership, Versioned};
 use corkfield_wire::Incarnation;
 
-fn record(node: Option<&str>, incarnation: &str) -> LeaderRecord {
+fn leader_record(node: Option<&str>, incarnation: &str) -> LeaderRecord {
     let incarnation = Incarnation::from(incarnation);
     LeaderRecord {
         node: node.map(ControllerName::from),
@@ -12,8 +12,9 @@
     }
 }
 
-/// The condition that a claim gets from the holder; `None` if there can be no claim.
-fn condition(
+/// Returns the condition on the holder's membership key that a claim needs, if any; `None` if the
+/// holder is present, so that the record can't be claimed.
+fn claim_condition(
     contents: &ReplicaContents,
     record: &LeaderRecord,
 ) -> Option<Option<(String, Revision)>> {
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_claim_rests_on_the_holder_being_gone() {
+fn leader_record_is_claimed_only_if_its_holder_is_gone() {
     let mut contents = ReplicaContents::default();
     let member =
         |incarnation: &str| Membership { incarnation: Incarnation::from(incarnation), lease: 1 };
@@ -35,13 +36,33 @@
         contents.controllers.insert(ControllerName::from(name), membership);
     }
 
-    assert_eq!(condition(&contents, &record(Some("b"), "b-2")), None, "it is there");
+    assert_eq!(
+        claim_condition(&contents, &leader_record(Some("b"), "b-2")),
+        None,
+        "holder is present"
+    );
     let later = Some((controller_key("b"), Revision::new(31)));
-    assert_eq!(condition(&contents, &record(Some("b"), "b-1")), Some(later), "began anew");
+    assert_eq!(
+        claim_condition(&contents, &leader_record(Some("b"), "b-1")),
+        Some(later),
+        "restarted as a later incarnation"
+    );
     let without = Some((controller_key("c"), Revision::new(0)));
-    assert_eq!(condition(&contents, &record(Some("c"), "c-1")), Some(without), "has no key");
-    assert_eq!(condition(&contents, &record(Some("a"), "a-1")), Some(None), "this controller");
-    assert_eq!(condition(&contents, &record(None, "")), Some(None), "after a hand-over");
+    assert_eq!(
+        claim_condition(&contents, &leader_record(Some("c"), "c-1")),
+        Some(without),
+        "has no membership key"
+    );
+    assert_eq!(
+        claim_condition(&contents, &leader_record(Some("a"), "a-1")),
+        Some(None),
+        "this controller"
+    );
+    assert_eq!(
+        claim_condition(&contents, &leader_record(None, "")),
+        Some(None),
+        "after a handover"
+    );
     assert!(matches!(
         holder_status(&contents, None, &ControllerName::from("a")),
         HolderStatus::NoOtherHolder
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -1,4 +1,5 @@
-//! Fences of recorded machines, and terms that workers have seen above ours (S7).
+//! Fences recorded machines after a failover, and raises the term above any that a worker reports
+//! (S7).
 
 use super::active_leader::ActiveLeader;
 use super::direct_orders::send_direct_orders;
@@ -11,20 +12,23 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// A machine that did not answer is fenced again after this time.
+/// Minimum time between two fences of a machine that does not answer.
 const FENCE_RETRY: Duration = Duration::from_millis(1500);
-/// While no machine is to be fenced, and no higher term to be taken.
+/// Interval at which machines to fence and higher terms are checked for while there are none.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// So many machines are fenced, then there is a pause for what their answers bring.
+/// Maximum number of machines fenced in one round.
 const MAX_FENCES_PER_ROUND: usize = 64;
+/// Pause after each round, in which its answers are processed.
 const FENCE_ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// After a failed attempt to raise the term.
+/// Pause after a failed attempt to raise the term.
 const RAISE_TERM_RETRY: Duration = Duration::from_millis(200);
 
 impl ActiveLeader {
-    /// Sends every recorded machine an empty order under our term (S7), until it has answered,
-    /// its lease has expired or it is gone. Never all at once: each takes a socket, and all answers
-    /// together would hold up the heartbeats that come at the same time.
+    /// Fences every recorded machine by an empty list of orders under this leader's term (S7),
+    /// repeated until the machine has answered, its worker's lease has expired or it is gone.
+    /// Machines are fenced in rounds, as each request takes a socket, and the answers of all
+    /// machines together would delay the heartbeats that arrive at the same time. Machines that the
+    /// scheduler only wants to inspect are handled in the same way.
     pub(super) async fn fence_machines(&self) {
         let mut last_attempts: HashMap<MachineName, Instant> = HashMap::new();
         loop {
@@ -39,14 +43,14 @@
             }
             for target in targets {
                 last_attempts.insert(target.machine.clone(), round_started);
-                self.fence(target);
+                self.send_fence(target);
             }
             tokio::time::sleep(FENCE_ROUND_PAUSE).await;
         }
     }
 
-    /// Machines to be fenced in one round. Those that never answered come after those that were
-    /// never asked.
+    /// Returns the machines to fence in the next round. Machines not tried yet come first, then the
+    /// others in the order of their last attempt.
     fn next_fence_targets(
         &self,
         last_attempts: &HashMap<MachineName, Instant>,
@@ -55,8 +59,9 @@
         let targets = self.scheduler.borrow().fence_targets();
         let in_flight = self.context.leadership.direct_orders.machines();
         let was_tried_recently = |machine: &MachineName| {
-            let tried = last_attempts.get(machine);
-            tried.is_some_and(|at| round_started.saturating_duration_since(*at) < FENCE_RETRY)
+            let last_attempt = last_attempts.get(machine);
+            last_attempt
+                .is_some_and(|at| round_started.saturating_duration_since(*at) < FENCE_RETRY)
         };
         let mut targets: Vec<DirectOrderTarget> = targets
             .into_iter()
@@ -69,26 +74,28 @@
         targets
     }
 
-    fn fence(&self, target: DirectOrderTarget) {
+    /// Sends a fence to a machine in the background.
+    fn send_fence(&self, target: DirectOrderTarget) {
         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
         tokio::task::spawn_local(async move {
             send_direct_orders(&context, &scheduler, &target, Vec::new()).await;
         });
     }
 
-    /// Takes a term above one that a worker has seen.
+    /// Raises the term whenever a worker has reported a higher one, in an endless loop.
     pub(super) async fn raise_term_when_exceeded(&self) {
         loop {
-            let seen = self.context.leadership.highest_seen_term();
+            let highest_seen = self.context.leadership.highest_seen_term();
             let term = self.scheduler.borrow().term();
-            if seen <= term {
+            if highest_seen <= term {
                 self.context.env.timers.tick(IDLE_INTERVAL).await;
             } else {
-                self.raise_term_to(seen.next()).await;
+                self.raise_term_to(highest_seen.next()).await;
             }
         }
     }
 
+    /// Writes the leader record with a higher term, then raises the scheduler's term.
     async fn raise_term_to(&self, term: Term) {
         let record = LeaderRecord {
             node: Some(self.context.env.name.clone()),
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -1,4 +1,5 @@
-//! When a leader stops leading, and to whom it passes its place.
+//! The end of leadership: loss of the lease, replacement, and handover to a controller that workers
+//! can reach.
 
 use super::active_leader::ActiveLeader;
 use super::context::LeadershipContext;
@@ -10,18 +11,20 @@
 use corkfield_wire::{ControllerName, Incarnation, Revision};
 use std::time::Duration;
 
-/// How often the leader looks whether its place is another's, or should be.
+/// Interval at which the leader checks whether it has lost leadership or should hand it over.
 const LEADERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A leader hands over after so many heartbeat intervals, and this long, without a heartbeat.
+/// A leader hands over only after this many heartbeat intervals plus [`HANDOVER_GRACE`] without a
+/// heartbeat.
 const HANDOVER_HEARTBEAT_INTERVALS: f64 = 1.5;
+/// See [`HANDOVER_HEARTBEAT_INTERVALS`].
 const HANDOVER_GRACE: Duration = Duration::from_secs(1);
-/// A transfer request counts for this long.
+/// Time for which a transfer request is valid.
 const MAX_TRANSFER_REQUEST_AGE: Duration = Duration::from_secs(3);
-/// Between two transfer requests of a controller.
+/// Minimum time between two transfer requests of a controller.
 const TRANSFER_REQUEST_PAUSE: Duration = Duration::from_millis(700);
 
 impl ActiveLeader {
-    /// Waits until the lease is lost or another controller leads.
+    /// Waits until the lease is lost or another controller has claimed the leader record.
     pub(super) async fn wait_until_leadership_lost(&self) -> LeadershipEnd {
         let context = &self.context;
         loop {
@@ -41,16 +44,17 @@
         }
     }
 
-    /// Beside [`Self::wait_until_leadership_lost`], which must see at once that another leads, however
-    /// long a hand-over's transaction takes.
+    /// Waits until leadership is handed over. Runs concurrently with
+    /// [`Self::wait_until_leadership_lost`], which must detect a new leader at once, however long
+    /// the transaction of a handover takes.
     pub(super) async fn wait_until_handed_over(&self) {
         while !self.try_hand_over().await {
             self.context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL).await;
         }
     }
 
-    /// A leader that gets no heartbeats, while workers come to another controller, leaves
-    /// its place to that one.
+    /// Hands leadership over if this controller receives no heartbeats and another controller,
+    /// which does, has requested a transfer. Returns whether leadership was handed over.
     async fn try_hand_over(&self) -> bool {
         if !self.lacks_heartbeats() {
             return false;
@@ -69,15 +73,16 @@
         self.context.env.state.transaction(RequestClass::Lease, &transaction).await.is_ok()
     }
 
-    /// Whether no heartbeat came for so long that workers may not reach this controller.
+    /// Returns whether no heartbeat was accepted for so long that workers may be unable to reach
+    /// this controller.
     fn lacks_heartbeats(&self) -> bool {
         let workers = &self.context.env.settings.platform.params.workers;
         let limit =
             workers.heartbeat_interval().mul_f64(HANDOVER_HEARTBEAT_INTERVALS) + HANDOVER_GRACE;
-        self.context.leadership.time_since_heartbeat().is_some_and(|quiet| quiet >= limit)
+        self.context.leadership.time_since_heartbeat().is_some_and(|elapsed| elapsed >= limit)
     }
 
-    /// Another controller that asked for the place just now.
+    /// Returns another controller that has a valid transfer request.
     fn requested_successor(&self) -> Option<ControllerName> {
         let contents = self.context.replica.contents.borrow();
         let mut recent = contents.transfer_requested_within(MAX_TRANSFER_REQUEST_AGE);
@@ -85,7 +90,8 @@
     }
 }
 
-/// Shows the leader, through the store, that workers come here instead.
+/// Requests a transfer of leadership through the state service if workers have sent their
+/// heartbeats to this controller although another controller leads.
 pub(super) async fn request_transfer(context: &LeadershipContext) {
     let Some(request) = context.leadership.take_transfer_request() else { return };
     let leader_version = context
@@ -95,7 +101,7 @@
         .leader
         .as_ref()
         .map_or(Revision::NONE, |leader| leader.version);
-    // Carried out late, it must not drive out another leader than the one it is about.
+    // The condition keeps a delayed request from ending the leadership of a later leader.
     let transaction = Transaction::default()
         .when(LEADER_KEY, leader_version)
         .put(transfer_request_key(context.env.name.as_str()), store_value(&request));
--- a/crates/corkfield/src/leadership/held_answers.rs
+++ b/crates/corkfield/src/leadership/held_answers.rs
@@ -1,4 +1,5 @@
-//! Answers to workers' heartbeats that are held until there are orders for the worker.
+//! Answers to workers' heartbeats that are held until there are orders for the worker (long
+//! polling).
 
 use corkfield_wire::MachineName;
 use std::cell::RefCell;
@@ -6,40 +7,43 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Held answers by machine, each with what wakes its handler.
+/// Held answers by machine, each with the signal that releases it.
 #[derive(Default)]
 pub(super) struct HeldAnswers {
-    due: RefCell<HashMap<MachineName, Rc<Notify>>>,
+    release_signals: RefCell<HashMap<MachineName, Rc<Notify>>>,
 }
 
 impl HeldAnswers {
-    /// Holds an answer; it should go when this is notified. One held before for the same machine
-    /// is left to its handler's time limit.
+    /// Registers a held answer, and returns the signal that is notified when it should be sent.
+    /// An answer already held for the machine is no longer released from here; its handler sends it
+    /// after the handler's own time limit.
     pub(super) fn hold(&self, machine: &str) -> Rc<Notify> {
-        let answer_due = Rc::new(Notify::new());
-        self.due.borrow_mut().insert(MachineName::from(machine), answer_due.clone());
-        answer_due
+        let release_signal = Rc::new(Notify::new());
+        self.release_signals
+            .borrow_mut()
+            .insert(MachineName::from(machine), release_signal.clone());
+        release_signal
     }
 
-    /// Forgets an answer that went, unless a later one of the machine took its place.
-    pub(super) fn release(&self, machine: &str, answer_due: &Rc<Notify>) {
-        let mut due = self.due.borrow_mut();
-        if due.get(machine).is_some_and(|current| Rc::ptr_eq(current, answer_due)) {
-            due.remove(machine);
+    /// Removes an answer that was sent, unless a later answer to the machine has replaced it.
+    pub(super) fn remove(&self, machine: &str, release_signal: &Rc<Notify>) {
+        let mut signals = self.release_signals.borrow_mut();
+        if signals.get(machine).is_some_and(|current| Rc::ptr_eq(current, release_signal)) {
+            signals.remove(machine);
         }
     }
 
-    /// The machine's answer should go.
-    pub(super) fn answer(&self, machine: &str) {
-        if let Some(answer_due) = self.due.borrow_mut().remove(machine) {
-            answer_due.notify_one();
+    /// Releases the answer held for the machine.
+    pub(super) fn release(&self, machine: &str) {
+        if let Some(release_signal) = self.release_signals.borrow_mut().remove(machine) {
+            release_signal.notify_one();
         }
     }
 
-    /// All held answers should go.
-    pub(super) fn answer_all(&self) {
-        for (_, answer_due) in self.due.borrow_mut().drain() {
-            answer_due.notify_one();
+    /// Releases all held answers.
+    pub(super) fn release_all(&self) {
+        for (_, release_signal) in self.release_signals.borrow_mut().drain() {
+            release_signal.notify_one();
         }
     }
 }
--- a/crates/corkfield/src/leadership/in_flight.rs
+++ b/crates/corkfield/src/leadership/in_flight.rs
@@ -1,23 +1,23 @@
-//! Counting requests that are under way at once.
+//! Counts concurrent requests.
 
 use std::rc::Rc;
 
-/// Counts what is in flight: as many as there are guards.
+/// Counts requests in flight: one per live guard.
 #[derive(Default)]
 pub(super) struct InFlightCounter(Rc<()>);
 
-/// Counts as one in flight until it is dropped.
+/// Counts as one request in flight until it is dropped.
 pub(super) struct InFlightGuard {
     _counter: Rc<()>,
 }
 
 impl InFlightCounter {
-    /// Counts one more.
-    pub(super) fn begin(&self) -> InFlightGuard {
+    /// Adds one to the count until the returned guard is dropped.
+    pub(super) fn increment(&self) -> InFlightGuard {
         InFlightGuard { _counter: self.0.clone() }
     }
 
-    /// How many are in flight.
+    /// Returns the number of requests in flight.
     pub(super) fn count(&self) -> usize {
         Rc::strong_count(&self.0) - 1
     }
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -1,4 +1,5 @@
-//! Records of the machines that may hold tasks: every machine has one before its first task.
+//! Writes, loads and erases the records of machines that may hold tasks. A machine's record is
+//! stored before the first task is started on the machine.
 
 use super::active_leader::ActiveLeader;
 use super::in_flight::{InFlightCounter, InFlightGuard};
@@ -13,42 +14,44 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Writes of machine records under way together.
+/// Maximum number of concurrent writes of machine records.
 const MAX_WRITES_IN_FLIGHT: usize = 4;
-/// After a failed read of the records.
+/// Pause after a failed read of the machine records.
 const LOAD_RETRY: Duration = Duration::from_millis(200);
 
-/// A machine and the record that is to be written of it.
+/// A machine record to be written.
 pub(super) struct MachineRecordWrite {
     /// Name of the machine.
     pub(super) machine: MachineName,
-    /// What is to be stored of it; the time of the record is set when it is written.
+    /// The record. Its `recorded_ms` is set when it is written.
     pub(super) record: MachineRecord,
 }
 
-/// Machine records that wait to be written.
+/// Queue of machine records to be written.
 #[derive(Default)]
 pub(super) struct MachineRecordQueue {
-    waiting: RefCell<VecDeque<MachineRecordWrite>>,
-    /// There are such records, or a write of records has ended.
+    pending: RefCell<VecDeque<MachineRecordWrite>>,
+    /// Notified when a record was added or a write has ended.
     queue_changed: Notify,
     in_flight: InFlightCounter,
 }
 
 impl MachineRecordQueue {
-    /// The next records that share a write: none while enough writes are in flight.
+    /// Removes and returns the records of the next write, at most `max_records`. Empty while
+    /// [`MAX_WRITES_IN_FLIGHT`] writes are in flight.
     fn next_batch(&self, max_records: usize) -> Vec<MachineRecordWrite> {
         if self.in_flight.count() >= MAX_WRITES_IN_FLIGHT {
             return Vec::new();
         }
-        let mut waiting = self.waiting.borrow_mut();
-        let count = waiting.len().min(max_records);
-        waiting.drain(..count).collect()
+        let mut pending = self.pending.borrow_mut();
+        let count = pending.len().min(max_records);
+        pending.drain(..count).collect()
     }
 }
 
 impl ActiveLeader {
-    /// Makes the scheduler know every machine on which earlier leaders may have started tasks (S7).
+    /// Loads the records of all machines on which earlier leaders may have started tasks into the
+    /// scheduler (S7).
     pub(super) async fn load_machine_records(&self) {
         let store = &self.context.env.state;
         loop {
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Queues records to be written, and drops those of machines that are surely gone.
+    /// Queues records to be written, and erases the records of machines that no longer exist.
     pub(super) fn update_machine_records(
         &self,
         records: Vec<MachineRecordWrite>,
@@ -88,22 +91,23 @@
     ) {
         let queue = &self.machine_records;
         if !records.is_empty() {
-            queue.waiting.borrow_mut().extend(records);
+            queue.pending.borrow_mut().extend(records);
             queue.queue_changed.notify_one();
         }
         if !erased.is_empty() {
-            // A record written after its machine's was dropped would hold up the next failover.
-            queue.waiting.borrow_mut().retain(|write| !erased.contains(&write.machine));
+            // A record written after its machine was erased would delay the next failover.
+            queue.pending.borrow_mut().retain(|write| !erased.contains(&write.machine));
         }
-        // Hundreds of machines go together; what is written of them shares requests.
+        // Hundreds of machines may go at the same time, so their erasures share transactions.
         for machines in erased.chunks(self.context.max_transaction_changes()) {
             self.erase_machine_records(machines.to_vec());
         }
     }
 
-    /// Writes the records of machines that came up. Those that come while as many writes as may be
-    /// are under way share the next one: a fleet that boots has hundreds of them, and a write for
-    /// each would cost the budget and the processor far more than the records themselves.
+    /// Writes queued machine records in batches, in an endless loop. Records queued while the
+    /// maximum number of writes is in flight share the next write: a booting fleet queues hundreds
+    /// of records, and one write each would use far more of the request budget and the CPU than the
+    /// records themselves.
     pub(super) async fn write_machine_records(&self) {
         let queue = &self.machine_records;
         loop {
@@ -112,12 +116,12 @@
                 queue.queue_changed.notified().await;
                 continue;
             }
-            self.write_batch(batch, queue.in_flight.begin());
+            self.write_batch(batch, queue.in_flight.increment());
         }
     }
 
-    /// Writes machine records, conditional on the leader record: a leader that was replaced
-    /// can't add machines that its successor doesn't know.
+    /// Writes machine records in the background, conditional on the leader record, so that a
+    /// replaced leader can't add machines that its successor doesn't know of.
     fn write_batch(&self, batch: Vec<MachineRecordWrite>, in_flight: InFlightGuard) {
         let mut transaction = self.leader_transaction();
         let recorded_ms = unix_time_ms();
@@ -130,7 +134,8 @@
         let queue = self.machine_records.clone();
         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
         tokio::task::spawn_local(async move {
-            // After what users send: a fleet that comes up has hundreds of these.
+            // This class ranks below users' submissions, as a booting fleet queues hundreds of
+            // records.
             let class = RequestClass::Completion;
             let stored = context.env.state.transaction(class, &transaction).await.is_ok();
             for machine in &machines {
@@ -142,8 +147,8 @@
         });
     }
 
-    /// A record that is left over holds up the next failover, so this is tried until it
-    /// succeeds or another controller leads.
+    /// Erases machine records in the background. A leftover record would delay the next failover,
+    /// so the erasure is retried until it succeeds or another controller leads.
     fn erase_machine_records(&self, machines: Vec<MachineName>) {
         let (context, claim) = (self.context.clone(), self.claim.clone());
         tokio::task::spawn_local(async move {
@@ -159,7 +164,8 @@
                     return;
                 };
                 tracing::debug!(?machines, %error, "can't erase machine records");
-                // Our own term may have been raised meanwhile, and the record with it.
+                // If this leader raised its term in the meantime, the conflict is due to its own
+                // new version of the leader record, and the erasure is retried.
                 if matches!(error, StateError::Conflict(_)) && version == claim.record_version.get()
                 {
                     return;
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -1,20 +1,21 @@
-//! Election of the leader, and all that a leader does outside the scheduler.
+//! Leader election, and the loops that a leader runs around the scheduler.
 //!
-//! [`run`] stands by until this controller can claim the leader record ([`election`]), and then
-//! leads until its lease or its place is lost ([`handover`]). [`state`] is the state
-//! machine of that, [`shared_state`] what handlers of users, workers and peers see of it. The loops of a leader are methods of
-//! [`active_leader::ActiveLeader`], by concern:
+//! [`run`] keeps this controller on standby until it can claim the leader record ([`election`]).
+//! The controller then leads until it loses its lease, is replaced or hands over ([`handover`]).
+//! [`state`] defines the controller's states. [`shared_state`] exposes the current state to the
+//! handlers of requests from users, workers and peers. The loops of a leader are methods of
+//! [`active_leader::ActiveLeader`], grouped by module:
 //!
 //! | module | loops |
 //! | --- | --- |
-//! | [`claims`] | claims job records, closes jobs that are over |
-//! | [`completion_commits`] | stores finished tasks and first starts |
-//! | [`placement_passes`] | runs placement passes, as often as they may take time |
-//! | [`actions`] | carries out what the scheduler decided |
+//! | [`claims`] | claims job records and closes finished or cancelled jobs |
+//! | [`completion_commits`] | stores finished tasks and start watermarks |
+//! | [`placement_passes`] | runs placement passes at a limited rate |
+//! | [`actions`] | carries out the scheduler's decisions |
 //! | [`machine_records`] | writes and erases the records of machines that may hold tasks |
-//! | [`scaling`] | rents and returns machines, and lets the scheduler see time pass |
-//! | [`cloud_inventory`] | reads the cloud's list of machines, and the machine types |
-//! | [`fencing`] | fences recorded machines, raises the term where a worker has seen a higher one |
+//! | [`scaling`] | rents and returns machines, and ticks the scheduler's timers |
+//! | [`cloud_inventory`] | reads the cloud's list of machines and the machine types |
+//! | [`fencing`] | fences recorded machines, and raises the term above terms that workers report |
 
 mod actions;
 mod active_leader;
@@ -49,16 +50,20 @@
 pub use overview::overview;
 pub use shared_state::Leadership;
 
-/// The leader's part of the state service's limits; the others share the rest.
+/// The leader's share of the state service's request rate limit. The other controllers divide the
+/// rest equally.
 const LEADER_REQUEST_SHARE: f64 = 0.6;
+/// The leader's share of the state service's write rate limit. The other controllers divide the
+/// rest equally.
 const LEADER_WRITE_SHARE: f64 = 0.7;
-/// Seconds' worth of the leader's writes that may come at once.
+/// Burst of writes that the leader may send at once, in seconds of its write rate.
 const LEADER_BURST_S: f64 = 1.0;
-/// The others write nothing but what users send, little on average and much at once: so many
-/// seconds' worth may come together.
+/// Burst of writes that a standby may send at once, in seconds of its write rate. A standby writes
+/// only what users send, which is little on average but arrives in bursts.
 const STANDBY_BURST_S: f64 = 5.0;
 
-/// A standby controller looks this often whether it may lead, if it sees no change before.
+/// Interval at which a standby checks whether it can claim the leader record. A change in the
+/// replica triggers the check earlier.
 const STANDBY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 const LEADER_BUDGET: RateBudget = RateBudget {
@@ -67,21 +72,23 @@
     burst_s: LEADER_BURST_S,
 };
 
+/// Returns a standby's share of the state service's rate limits.
 fn standby_budget(env: &Environment) -> RateBudget {
-    let others = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
+    let standbys = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
     RateBudget {
-        requests: (1.0 - LEADER_REQUEST_SHARE) / others,
-        writes: (1.0 - LEADER_WRITE_SHARE) / others,
+        requests: (1.0 - LEADER_REQUEST_SHARE) / standbys,
+        writes: (1.0 - LEADER_WRITE_SHARE) / standbys,
         burst_s: STANDBY_BURST_S,
     }
 }
 
-/// Stands by, and leads whenever the leader record can be claimed.
+/// Runs election and leading in an endless loop: stays on standby until the leader record can be
+/// claimed, then leads.
 pub async fn run(context: Rc<LeadershipContext>) {
     enter_standby(&context);
     loop {
-        if let Some(elected) = election::try_claim_leadership(&context).await {
-            lead(&context, elected).await;
+        if let Some(won) = election::try_claim_leadership(&context).await {
+            lead(&context, won).await;
             enter_standby(&context);
         }
         let changed = context.replica.changed.notified();
@@ -90,17 +97,19 @@
     }
 }
 
+/// Enters the standby state and applies the standby's rate limits.
 fn enter_standby(context: &LeadershipContext) {
     context.leadership.enter(LeadershipState::Standby);
     context.env.state.set_budget(standby_budget(&context.env));
 }
 
-/// Leads until the lease or the place is lost.
-async fn lead(context: &Rc<LeadershipContext>, elected: WonElection) {
-    let term = elected.term;
+/// Leads until the lease is lost, another controller claims the leader record, or leadership is
+/// handed over.
+async fn lead(context: &Rc<LeadershipContext>, won: WonElection) {
+    let term = won.term;
     tracing::info!(term = term.get(), "leadership acquired");
     context.env.state.set_budget(LEADER_BUDGET);
-    let leader = ActiveLeader::new(context.clone(), elected);
+    let leader = ActiveLeader::new(context.clone(), won);
     let end = tokio::select! {
         end = leader.wait_until_leadership_lost() => end,
         () = leader.wait_until_handed_over() => LeadershipEnd::HandedOver,
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -1,4 +1,4 @@
-//! The operators' view: the queue, the claims, dead-lettered jobs.
+//! The overview for operators: queue, claims, machines and dead-lettered jobs.
 
 use super::Leadership;
 use crate::clock::now;
@@ -10,7 +10,8 @@
 use corkfield_wire::{ControllerName, Term};
 use serde::Serialize;
 
-/// What every controller shows. Keys of earlier releases go on beside those that replace them.
+/// Overview of any controller. Keys of earlier releases are kept beside the keys that replaced
+/// them.
 #[derive(Serialize)]
 struct ControllerOverview<'a> {
     node: &'a str,
@@ -21,7 +22,7 @@
     dead_lettered: &'a [String],
     /// Replaced by `dead_lettered`.
     set_aside: &'a [String],
-    /// Age of the newest state that is known, in seconds.
+    /// Age of the newest proof that the replica is fresh, in seconds.
     state_age_s: f64,
     #[serde(skip_serializing_if = "Option::is_none")]
     leading: Option<&'a LeaderOverview>,
@@ -30,7 +31,7 @@
     planning: Option<&'a LeaderOverview>,
 }
 
-/// What the leader shows besides.
+/// Additional figures of the leader.
 #[derive(Serialize)]
 struct LeaderOverview {
     term: Term,
@@ -51,22 +52,22 @@
 
 impl LeaderOverview {
     fn new(scheduler: &Scheduler) -> Self {
-        let view = scheduler.overview(now());
-        let oldest = view.oldest_waiting.as_ref();
+        let overview = scheduler.overview(now());
+        let oldest = overview.oldest_waiting.as_ref();
         Self {
             term: scheduler.term(),
-            jobs: view.jobs,
-            passes: view.passes,
-            steps: view.steps,
-            waiting_tasks: view.waiting_tasks,
-            running_tasks: view.running_tasks,
+            jobs: overview.jobs,
+            passes: overview.passes,
+            steps: overview.steps,
+            waiting_tasks: overview.waiting_tasks,
+            running_tasks: overview.running_tasks,
             oldest_waiting: oldest.map(|(id, _)| id.to_string()),
             oldest_waiting_s: oldest.map(|(_, age)| age.as_secs_f64()),
-            most_claims: view.most_claims,
-            machines_up: view.machines_up,
-            machines_booting: view.machines_booting,
-            machines_unreconciled: view.unreconciled,
-            machines_unfenced: view.unreconciled,
+            most_claims: overview.most_claims,
+            machines_up: overview.machines_up,
+            machines_booting: overview.machines_booting,
+            machines_unreconciled: overview.unreconciled,
+            machines_unfenced: overview.unreconciled,
         }
     }
 }
--- a/crates/corkfield/src/leadership/overview/tests.rs
+++ b/crates/corkfield/src/leadership/overview/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn earlier_keys_go_on_beside_those_that_replace_them() {
+fn deprecated_keys_are_kept_beside_their_replacements() {
     let leading = LeaderOverview {
         term: Term::new(4),
         jobs: 1,
@@ -42,6 +42,6 @@
     assert_eq!(serde_json::to_value(&body).expect("an overview"), expected);
 
     let standby = ControllerOverview { leading: None, planning: None, ..body };
-    let shown = serde_json::to_value(&standby).expect("an overview");
-    assert!(shown.get("planning").is_none() && shown.get("leading").is_none());
+    let json = serde_json::to_value(&standby).expect("an overview");
+    assert!(json.get("planning").is_none() && json.get("leading").is_none());
 }
--- a/crates/corkfield/src/leadership/placement_passes.rs
+++ b/crates/corkfield/src/leadership/placement_passes.rs
@@ -1,23 +1,25 @@
-//! Placement passes, one for all that asked for one meanwhile.
+//! Runs placement passes at a limited rate. Requests made between two passes share the next one.
 
 use super::active_leader::ActiveLeader;
 use crate::clock::now;
 use std::time::Duration;
 
-/// A pass looks at every machine: there is this much time between two for each of them.
+/// Minimum pause between two passes per known machine, as a pass visits every machine.
 const PAUSE_PER_MACHINE: Duration = Duration::from_micros(250);
+/// Upper bound on the pause that follows from the number of machines.
 const MAX_PAUSE_FOR_MACHINES: Duration = Duration::from_millis(120);
-/// And this many times as long as the last one took: leases, heartbeats and users come between.
+/// Minimum pause between two passes as a multiple of the last pass's duration, so that leases,
+/// heartbeats and users' requests are served in between.
 const PAUSE_TO_DURATION_RATIO: u32 = 3;
 
 impl ActiveLeader {
-    /// Runs a pass whenever one is asked for, and the last one was long enough ago.
+    /// Runs a pass whenever one is requested and the pause after the last one is over.
     pub(super) async fn run_placement_passes(&self) {
         let leadership = &self.context.leadership;
-        let mut earliest = tokio::time::Instant::now();
+        let mut next_start = tokio::time::Instant::now();
         loop {
             leadership.pass_requested.notified().await;
-            tokio::time::sleep_until(earliest).await;
+            tokio::time::sleep_until(next_start).await;
             let started = now();
             let machines = {
                 let mut scheduler = self.scheduler.borrow_mut();
@@ -28,12 +30,12 @@
             leadership.pass_done.notify_waiters();
             leadership.actions_pending.notify_one();
             leadership.commits_due.notify_one();
-            earliest = tokio::time::Instant::now() + pause_after(duration, machines);
+            next_start = tokio::time::Instant::now() + pause_after(duration, machines);
         }
     }
 }
 
-/// Time without a pass after one that took so long, over so many machines.
+/// Returns the pause after a pass of this duration over `machines` machines.
 fn pause_after(duration: Duration, machines: usize) -> Duration {
     let for_machines = PAUSE_PER_MACHINE * u32::try_from(machines).unwrap_or(u32::MAX);
     for_machines.min(MAX_PAUSE_FOR_MACHINES).max(duration * PAUSE_TO_DURATION_RATIO)
--- a/crates/corkfield/src/leadership/shared_state.rs
+++ b/crates/corkfield/src/leadership/shared_state.rs
@@ -1,4 +1,4 @@
-//! What a controller's other parts see of election and leading, and their messages to its loops.
+//! The state of election and leading that request handlers share with the leader's loops.
 
 use super::cancelled_jobs::CancelledJobs;
 use super::direct_orders::DirectOrdersInFlight;
@@ -15,75 +15,81 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A leader known for this long has heard from all workers that reach it.
+/// A leader known for longer than this has received heartbeats from all workers that can reach it.
 const LEADER_SETTLED_AFTER: Duration = Duration::from_secs(10);
-/// No heartbeat waits longer than this for a placement pass.
+/// Maximum time that a heartbeat waits for a placement pass.
 const MAX_PASS_WAIT: Duration = Duration::from_secs(1);
 
-/// Election and leading as the handlers of users, workers and peers see them.
+/// State of election and leading, shared with the handlers of requests from users, workers and
+/// peers.
 #[derive(Default)]
 pub struct Leadership {
     state: RefCell<LeadershipState>,
     cancelled: RefCell<CancelledJobs>,
-    /// Answers to workers that wait for orders.
+    /// Answers to heartbeats that are held until there are orders.
     pub(super) held_answers: HeldAnswers,
-    /// Direct orders that machines have not answered yet.
+    /// Direct orders in flight.
     pub(super) direct_orders: DirectOrdersInFlight,
-    /// Preparation of the leader has ended, in leading or not.
-    ready: Notify,
-    /// The scheduler may have decided something to be carried out.
+    /// Notified when preparation has ended, whether this controller then leads or not.
+    preparation_ended: Notify,
+    /// Notified when the scheduler may have produced actions.
     pub(super) actions_pending: Notify,
-    /// Finished tasks may be due to be stored.
+    /// Notified when completion commits may be due.
     pub(super) commits_due: Notify,
-    /// Something changed that a placement pass should see.
+    /// Notified when a placement pass is requested.
     pub(super) pass_requested: Notify,
-    /// A placement pass has ended.
+    /// Notified when a placement pass has ended.
     pub(super) pass_done: Notify,
+    /// The highest term that a worker has reported as above this controller's.
     highest_seen_term: Cell<Term>,
-    /// Workers that came here although their leader was known, since the process began.
+    /// Number of heartbeats since the process started that workers sent to this controller although
+    /// another one had led for longer than [`LEADER_SETTLED_AFTER`].
     misdirected_heartbeats: Cell<u64>,
+    /// Whether there were such heartbeats since the last transfer request.
     has_new_misdirected_heartbeats: Cell<bool>,
 }
 
 impl Leadership {
-    /// Changes the state. Whoever waits for a leader that stops leading goes on at once.
+    /// Changes the state. When this controller stops leading, all held answers are released and all
+    /// tasks that wait for preparation or for a placement pass are woken.
     pub(super) fn enter(&self, next: LeadershipState) {
-        let becomes_ready = next.scheduler().is_some();
-        let stops = next.claim().is_none();
+        let starts_serving = next.scheduler().is_some();
+        let is_without_claim = next.claim().is_none();
         let previous = self.state.replace(next);
-        if becomes_ready {
-            self.ready.notify_waiters();
+        if starts_serving {
+            self.preparation_ended.notify_waiters();
         }
-        if stops && previous.claim().is_some() {
-            self.ready.notify_waiters();
+        if is_without_claim && previous.claim().is_some() {
+            self.preparation_ended.notify_waiters();
             self.pass_done.notify_waiters();
-            self.held_answers.answer_all();
+            self.held_answers.release_all();
         }
     }
 
-    /// Whether this controller holds the leader record, prepared or not.
+    /// Returns whether this controller holds the leader record, whether or not it has prepared.
     pub fn is_leading(&self) -> bool {
         self.state.borrow().claim().is_some()
     }
 
-    /// Whether this controller leads and answers workers.
+    /// Returns whether this controller leads and answers heartbeats.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().scheduler().is_some()
     }
 
-    /// Waits until preparation of the leader ends, in leading or not.
+    /// Waits until the preparation of this leader ends, whether it then leads or not.
     pub async fn wait_for_preparation(&self) {
-        self.ready.notified().await;
+        self.preparation_ended.notified().await;
     }
 
-    /// The scheduler, while this controller leads and answers workers.
+    /// Returns the scheduler; `None` unless this controller leads and answers heartbeats.
     pub fn scheduler(&self) -> Option<SharedScheduler> {
         self.state.borrow().scheduler().cloned()
     }
 
-    /// Whether the replica shows that another controller claimed the leader record since. Asked
-    /// before each answer to a heartbeat, as the loop that ends the leader may lag: fresh
-    /// state that shows a successor is no proof to answer from (S6).
+    /// Returns whether the replica shows a claim of the leader record by another incarnation that
+    /// is newer than this controller's claim; also true if this controller holds no claim. Checked
+    /// before each answer to a heartbeat, as the loop that ends leadership may lag: fresh state
+    /// that shows a successor does not entitle this controller to answer (S6).
     pub fn is_replaced(&self, contents: &ReplicaContents) -> bool {
         let state = self.state.borrow();
         state.claim().is_none_or(|claim| {
@@ -94,13 +100,15 @@
         })
     }
 
-    /// The term under which this controller leads.
+    /// Returns the term under which this controller leads; `None` unless it answers heartbeats.
     pub fn term(&self) -> Option<Term> {
         Some(self.scheduler()?.borrow().term())
     }
 
-    /// Whether starts may leave (S4), and machines be returned: the lease that the claim rests on
-    /// surely goes on. One that was lost and taken anew doesn't count for what was claimed before.
+    /// Returns whether this controller holds the leader record and `lease`, by the local clock, is
+    /// still valid and is the one under which the record was claimed. Start orders may be sent
+    /// (S4), and machines may be returned, only then. A new lease acquired after a loss does not
+    /// cover earlier claims.
     pub fn has_valid_lease(&self, lease: &SessionLease) -> bool {
         let state = self.state.borrow();
         let Some(claim) = state.claim() else { return false };
@@ -110,8 +118,8 @@
                 .is_some_and(|current| current.incarnation == claim.membership.incarnation)
     }
 
-    /// These jobs are no longer unfinished. Stopping what was cancelled waits for nothing: not
-    /// for a claim under way, nor for a read that is repeated.
+    /// Closes jobs that are no longer unfinished. Runs synchronously, so that stopping the tasks of
+    /// a cancelled job waits neither for a claim in progress nor for the retry of a read.
     pub fn close_jobs(&self, jobs: &[JobId]) {
         let Some(scheduler) = self.scheduler().filter(|_| !jobs.is_empty()) else { return };
         for id in jobs {
@@ -120,29 +128,31 @@
         self.actions_pending.notify_one();
     }
 
-    /// The same for all that are not among the unfinished.
+    /// Closes all jobs that are not in `unfinished`; see [`Self::close_jobs`].
     pub fn close_all_but(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
         let Some(scheduler) = self.scheduler() else { return };
         scheduler.borrow_mut().close_all_but(|id| unfinished.contains_key(id));
         self.actions_pending.notify_one();
     }
 
-    /// The state service holds the job as cancelled: this controller committed that, or another
-    /// one that did, or read it, said so. The replica may lag, or the service may refuse this
+    /// Records that the state service holds the job as cancelled, and closes the job. This
+    /// controller committed the cancellation, or was notified by another one that committed or read
+    /// it. The replica may not show it yet, as it may lag or the state service may refuse this
     /// controller.
     pub fn record_cancelled(&self, id: &JobId) {
         self.cancelled.borrow_mut().insert(id, now());
         self.close_jobs(std::slice::from_ref(id));
     }
 
-    /// Whether the job is known to be cancelled, whatever the replica still shows.
+    /// Returns whether the job is known to be cancelled, even if the replica still shows it.
     pub(super) fn is_cancelled(&self, id: &JobId) -> bool {
         self.cancelled.borrow().contains(id)
     }
 
-    /// Drops what a read begun later shows: as a rule the job is no longer unfinished. If it still
-    /// is, there is a fault in another controller; its tasks were stopped for nothing, and it is
-    /// claimed anew.
+    /// Removes cancelled jobs that became known before the newest read of the state service was
+    /// started, as the replica no longer shows them as unfinished. If it still shows one, another
+    /// controller reported the cancellation wrongly: the job's tasks were stopped for no reason,
+    /// and the job is claimed again.
     pub(super) fn prune_cancelled(&self, replica: &StoreReplica) {
         let Some(proven) = replica.proven_at() else { return };
         let mut cancelled = self.cancelled.borrow_mut();
@@ -154,7 +164,8 @@
         }
     }
 
-    /// A worker's heartbeat was accepted; the scheduler may have decided something upon it.
+    /// Records that a worker's heartbeat was accepted, which may have made the scheduler produce
+    /// actions.
     pub fn record_heartbeat(&self) {
         if let LeadershipState::Leading { last_heartbeat, .. } = &mut *self.state.borrow_mut() {
             *last_heartbeat = now();
@@ -162,7 +173,8 @@
         self.actions_pending.notify_one();
     }
 
-    /// How long no worker's heartbeat was accepted; `None` unless this controller answers workers.
+    /// Returns the time since a worker's heartbeat was last accepted; `None` unless this controller
+    /// answers heartbeats.
     pub(super) fn time_since_heartbeat(&self) -> Option<Duration> {
         match &*self.state.borrow() {
             LeadershipState::Leading { last_heartbeat, .. } => {
@@ -172,41 +184,46 @@
         }
     }
 
-    /// Asks for a placement pass.
+    /// Requests a placement pass.
     pub fn request_pass(&self) {
         self.pass_requested.notify_one();
     }
 
-    /// Asks for a placement pass, and waits for its end. One pass serves all that wait: a pass
-    /// for each heartbeat costs a leader with hundreds of machines more than its processor share.
+    /// Requests a placement pass and waits until one ends, for [`MAX_PASS_WAIT`] at most. One pass
+    /// serves all waiting heartbeats: a pass per heartbeat would cost a leader with hundreds of
+    /// machines more than its CPU share.
     pub async fn wait_for_pass(&self) {
         let pass_done = self.pass_done.notified();
         self.request_pass();
         let _ = tokio::time::timeout(MAX_PASS_WAIT, pass_done).await;
     }
 
-    /// A worker has seen a term above ours: the next one has to lie above it.
+    /// Records a term reported by a worker that is higher than this leader's. The next term must be
+    /// higher still.
     pub fn record_higher_term(&self, term: Term) {
         self.highest_seen_term.set(self.highest_seen_term.get().max(term));
     }
 
-    /// The highest term that a worker has shown, since the process began.
+    /// Returns the highest recorded term since the process started; the default term if there is
+    /// none.
     pub(super) fn highest_seen_term(&self) -> Term {
         self.highest_seen_term.get()
     }
 
-    /// Notified when the machine's held answer should go.
+    /// Holds the answer to the machine's heartbeat; the returned signal is notified when the answer
+    /// should be sent.
     pub fn hold_answer(&self, machine: &str) -> Rc<Notify> {
         self.held_answers.hold(machine)
     }
 
-    /// Forgets a held answer that went, unless a later one of the machine took its place.
-    pub fn remove_held_answer(&self, machine: &str, answer_due: &Rc<Notify>) {
-        self.held_answers.release(machine, answer_due);
+    /// Removes a held answer that was sent, unless a later answer to the machine has replaced it.
+    pub fn remove_held_answer(&self, machine: &str, release_signal: &Rc<Notify>) {
+        self.held_answers.remove(machine, release_signal);
     }
 
-    /// A worker came here although the leader has been known for a while: it may be that the
-    /// leader can't be reached. Workers that only look for a new leader are no such sign.
+    /// Records that a worker sent its heartbeat to this controller although another one leads. If
+    /// the leader has been known for longer than [`LEADER_SETTLED_AFTER`], workers may be unable to
+    /// reach it. Earlier heartbeats are ignored, as workers are still looking for the new leader.
     pub fn record_misdirected_heartbeat(&self, leader_known_for: Duration) {
         if leader_known_for > LEADER_SETTLED_AFTER {
             self.misdirected_heartbeats.set(self.misdirected_heartbeats.get() + 1);
@@ -214,10 +231,11 @@
         }
     }
 
-    /// What is to be stored for the leader to see, once for all stray workers since the last call.
+    /// Returns the transfer request to store for the leader, one for all misdirected heartbeats
+    /// since the last call; `None` if there were none.
     pub(super) fn take_transfer_request(&self) -> Option<TransferRequest> {
-        let wanted = self.has_new_misdirected_heartbeats.take();
-        wanted.then(|| TransferRequest { count: self.misdirected_heartbeats.get() })
+        let is_needed = self.has_new_misdirected_heartbeats.take();
+        is_needed.then(|| TransferRequest { count: self.misdirected_heartbeats.get() })
     }
 }
 
--- a/crates/corkfield/src/leadership/shared_state/tests.rs
+++ b/crates/corkfield/src/leadership/shared_state/tests.rs
@@ -16,7 +16,7 @@
     Rc::new(LeadershipClaim { membership, record_version: Cell::new(Revision::new(50)) })
 }
 
-fn leading(term: u64) -> LeadershipState {
+fn leading_state(term: u64) -> LeadershipState {
     let config = Config {
         teams: Vec::new(),
         objectives: Vec::new(),
@@ -31,72 +31,72 @@
     LeadershipState::leading(claim("a-1"), scheduler)
 }
 
-/// Whether a wake-up for that waiter is there already.
-async fn is_woken(waiter: &Notify) -> bool {
+/// Returns whether `waiter` has already been notified.
+async fn is_notified(waiter: &Notify) -> bool {
     tokio::time::timeout(Duration::ZERO, waiter.notified()).await.is_ok()
 }
 
 #[test]
-fn a_leader_is_asked_for_orders_only_once_it_is_prepared() {
+fn leader_has_a_scheduler_only_after_preparation() {
     let leadership = Leadership::default();
-    let seen = || (leadership.is_leading(), leadership.is_ready(), leadership.term());
-    assert_eq!(seen(), (false, false, None));
+    let observed = || (leadership.is_leading(), leadership.is_ready(), leadership.term());
+    assert_eq!(observed(), (false, false, None));
     leadership.enter(LeadershipState::Electing);
-    assert_eq!(seen(), (false, false, None));
+    assert_eq!(observed(), (false, false, None));
     leadership.enter(LeadershipState::Preparing(claim("a-1")));
-    assert_eq!(seen(), (true, false, None));
+    assert_eq!(observed(), (true, false, None));
     assert_eq!(leadership.time_since_heartbeat(), None);
-    leadership.enter(leading(3));
-    assert_eq!(seen(), (true, true, Some(Term::new(3))));
+    leadership.enter(leading_state(3));
+    assert_eq!(observed(), (true, true, Some(Term::new(3))));
     assert!(leadership.time_since_heartbeat().is_some());
     leadership.enter(LeadershipState::Standby);
-    assert_eq!(seen(), (false, false, None));
+    assert_eq!(observed(), (false, false, None));
 }
 
 #[test]
-fn a_leader_is_replaced_by_a_later_claim_of_another_incarnation() {
+fn leader_is_replaced_by_a_later_claim_of_another_incarnation() {
     let leadership = Leadership::default();
     let mut contents = ReplicaContents::default();
-    assert!(leadership.is_replaced(&contents), "who claimed nothing leads nothing");
+    assert!(leadership.is_replaced(&contents), "no claim of the leader record");
     leadership.enter(LeadershipState::Preparing(claim("a-1")));
     assert!(!leadership.is_replaced(&contents));
-    for (incarnation, version, replaced) in
+    for (incarnation, version, is_replaced) in
         [("b-1", 49, false), ("b-1", 51, true), ("a-1", 51, false)]
     {
         let incarnation = Incarnation::from(incarnation);
         let record = LeaderRecord { node: None, incarnation, term: Term::new(4), successor: None };
         contents.leader = Some(Versioned { record, version: Revision::new(version) });
-        assert_eq!(leadership.is_replaced(&contents), replaced, "{:?}", contents.leader);
+        assert_eq!(leadership.is_replaced(&contents), is_replaced, "{:?}", contents.leader);
     }
 }
 
 #[tokio::test]
-async fn held_answers_go_when_a_leader_ends_but_not_when_an_election_fails() {
+async fn held_answers_are_released_when_leadership_ends_but_not_when_an_election_fails() {
     let leadership = Leadership::default();
-    leadership.enter(leading(3));
+    leadership.enter(leading_state(3));
     let held = leadership.hold_answer("m-1");
-    assert!(!is_woken(&held).await);
+    assert!(!is_notified(&held).await);
     leadership.enter(LeadershipState::Standby);
-    assert!(is_woken(&held).await);
+    assert!(is_notified(&held).await);
 
     let held = leadership.hold_answer("m-1");
     leadership.enter(LeadershipState::Electing);
     leadership.enter(LeadershipState::Standby);
-    assert!(!is_woken(&held).await);
+    assert!(!is_notified(&held).await);
 }
 
 #[tokio::test]
-async fn a_held_answer_is_forgotten_only_by_its_own_handler() {
+async fn held_answer_is_not_removed_by_the_handler_of_an_earlier_one() {
     let leadership = Leadership::default();
     let earlier = leadership.hold_answer("m-1");
     let later = leadership.hold_answer("m-1");
     leadership.remove_held_answer("m-1", &earlier);
-    leadership.held_answers.answer("m-1");
-    assert!(is_woken(&later).await && !is_woken(&earlier).await);
+    leadership.held_answers.release("m-1");
+    assert!(is_notified(&later).await && !is_notified(&earlier).await);
 }
 
 #[test]
-fn stray_workers_share_a_transfer_request_once_the_leader_is_known_for_long() {
+fn misdirected_heartbeats_share_a_transfer_request_once_the_leader_has_settled() {
     let leadership = Leadership::default();
     leadership.record_misdirected_heartbeat(LEADER_SETTLED_AFTER);
     assert_eq!(leadership.take_transfer_request(), None);
--- a/crates/corkfield/src/leadership/state.rs
+++ b/crates/corkfield/src/leadership/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of election and leading.
+//! States of a controller in election and leading.
 
 use crate::clock::now;
 use crate::session_lease::Current;
@@ -8,53 +8,54 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The scheduler of the leader, shared by all loops and handlers that serve it.
+/// The leader's scheduler, shared by the leader's loops and the request handlers.
 pub type SharedScheduler = Rc<RefCell<Scheduler>>;
 
-/// The claim of the leader record that this controller leads under.
+/// The claim of the leader record under which this controller leads.
 pub(super) struct LeadershipClaim {
-    /// The membership key that the claim is conditional on.
+    /// This controller's lease and membership key, which the claim was conditional on.
     pub(super) membership: Current,
-    /// Version of the leader record that the claim rests on; a raised term is a new version.
+    /// Version of the leader record as this controller last wrote it. Raising the term writes a
+    /// new version.
     pub(super) record_version: Cell<Revision>,
 }
 
-/// A controller's part in election and leading.
+/// State of a controller in election and leading.
 ///
 /// | from | to | when |
 /// | --- | --- | --- |
-/// | `Standby` | `Electing` | the leader record is nobody's, or its holder is gone |
-/// | `Electing` | `Standby` | the claim of the leader record was refused, or had no answer |
-/// | `Electing` | `Preparing` | the leader record was claimed, under a new term |
-/// | `Preparing` | `Leading` | recorded machines are loaded and a first batch of jobs is claimed |
-/// | `Preparing`, `Leading` | `Standby` | a [`LeadershipEnd`], or the loops of the leader broke off |
+/// | `Standby` | `Electing` | the leader record has no holder, or its holder is gone |
+/// | `Electing` | `Standby` | the claim of the leader record was refused or not answered |
+/// | `Electing` | `Preparing` | the leader record was claimed under a new term |
+/// | `Preparing` | `Leading` | machine records are loaded and a first batch of jobs is claimed |
+/// | `Preparing`, `Leading` | `Standby` | [`LeadershipEnd`], or a loop of the leader panics |
 #[derive(Default)]
 pub(super) enum LeadershipState {
-    /// Another controller leads, or none can.
+    /// Another controller leads, or no controller can.
     #[default]
     Standby,
-    /// Claiming the leader record.
+    /// This controller is claiming the leader record.
     Electing,
-    /// The leader record is claimed; no heartbeat is answered yet.
+    /// This controller holds the leader record but does not answer heartbeats yet.
     Preparing(Rc<LeadershipClaim>),
-    /// Serving workers.
+    /// This controller holds the leader record and answers heartbeats.
     Leading {
-        /// What it leads under.
+        /// The claim of the leader record.
         claim: Rc<LeadershipClaim>,
-        /// What decides for it.
+        /// The leader's scheduler.
         scheduler: SharedScheduler,
-        /// When a worker's heartbeat was accepted last; at first, when leading began.
+        /// When a worker's heartbeat was last accepted; initially, when this state was entered.
         last_heartbeat: Instant,
     },
 }
 
 impl LeadershipState {
-    /// The state of a leader that begins to answer workers now.
+    /// Returns the state of a leader that starts to answer heartbeats now.
     pub(super) fn leading(claim: Rc<LeadershipClaim>, scheduler: SharedScheduler) -> Self {
         Self::Leading { claim, scheduler, last_heartbeat: now() }
     }
 
-    /// The claim of the leader record, while this controller holds it.
+    /// Returns the claim of the leader record; `None` while this controller does not hold it.
     pub(super) fn claim(&self) -> Option<&Rc<LeadershipClaim>> {
         match self {
             Self::Standby | Self::Electing => None,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The scheduler, while this controller answers workers.
+    /// Returns the scheduler; `None` while this controller does not answer heartbeats.
     pub(super) fn scheduler(&self) -> Option<&SharedScheduler> {
         match self {
             Self::Leading { scheduler, .. } => Some(scheduler),
@@ -74,10 +75,10 @@
 /// Why a leader stops leading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LeadershipEnd {
-    /// The lease that the claim rests on has ended.
+    /// The lease under which the leader record was claimed has been lost.
     LeaseLost,
     /// Another controller claimed the leader record.
     Replaced,
-    /// It left its place to a controller that its workers reach.
+    /// The leader released the record to a controller that workers can reach.
     HandedOver,
 }
