--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -16,7 +16,8 @@
 /// Interval at which the replica is checked for job records to claim. A change in the replica
 /// triggers the check earlier.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
-/// If more records than this are due, a claim covers as many as a transaction may change.
+/// If more records than this have to be claimed, a batch contains as many as a transaction may
+/// change.
 const LARGE_BATCH_THRESHOLD: usize = 32;
 /// Pause after a failed read of a job's finished tasks.
 const FINISHED_TASKS_RETRY: Duration = Duration::from_millis(200);
@@ -24,9 +25,9 @@
 /// Outcome of claiming one batch of job records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimBatchOutcome {
-    /// A batch was claimed, and more records are due.
+    /// A batch was claimed, and more records have to be claimed.
     MoreDue,
-    /// No more records are due.
+    /// No more records have to be claimed.
     AllClaimed,
     /// The claim was refused, or its outcome is unknown.
     Failed,
@@ -72,13 +73,14 @@
         }
     }
 
-    /// Closes jobs that are no longer unfinished, and claims a batch of the records that are due.
+    /// Closes finished and cancelled jobs, and claims a batch of the records that have to be
+    /// claimed.
     pub(super) async fn claim_next_batch(&self) -> ClaimBatchOutcome {
         self.context.leadership.prune_cancelled(&self.context.replica);
         let mut due = self.sync_jobs_and_find_due();
         let due_count = due.len();
         self.truncate_to_batch(&mut due);
-        let more_due = due.len() < due_count;
+        let has_more_due = due.len() < due_count;
         if due.is_empty() {
             return ClaimBatchOutcome::AllClaimed;
         }
@@ -86,15 +88,15 @@
             return ClaimBatchOutcome::Failed;
         };
         self.register_claimed_jobs(claim);
-        if more_due {
+        if has_more_due {
             ClaimBatchOutcome::MoreDue
         } else {
             ClaimBatchOutcome::AllClaimed
         }
     }
 
-    /// Closes jobs that are no longer unfinished, passes the set of unclaimed jobs to the scheduler
-    /// and returns the records that have to be claimed.
+    /// Closes finished and cancelled jobs, passes the set of unclaimed jobs to the scheduler, and
+    /// returns the records that have to be claimed.
     fn sync_jobs_and_find_due(&self) -> Vec<Versioned<JobRecord>> {
         let contents = self.context.replica.contents.borrow();
         let mut scheduler = self.scheduler.borrow_mut();
@@ -116,13 +118,13 @@
         due
     }
 
-    /// Truncates `due` to the most urgent records, as many as one claim covers.
+    /// Truncates `due` to the most urgent records, as many as one batch may contain.
     fn truncate_to_batch(&self, due: &mut Vec<Versioned<JobRecord>>) {
         due.sort_by_key(|job| (job.record.spec.priority, job.record.accepted_ms));
         let max_changes = self.context.max_transaction_changes();
         let claim_batch = self.context.env.settings.operator.claim_batch as usize;
-        // After a failover hundreds of records are due. The limit on changes per second determines
-        // how long their claims take; large batches only save most of the transactions.
+        // After a failover hundreds of records have to be claimed. The limit on changes per second
+        // determines how long this takes; larger batches only save most of the transactions.
         let batch = if due.len() > LARGE_BATCH_THRESHOLD {
             max_changes
         } else {
@@ -241,8 +243,8 @@
     let id = record.spec.id.clone();
     scheduler.borrow_mut().on_job_claimed(record, finished, version, age, now());
     // The job may have been cancelled before the claim was answered.
-    let unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
-    if !unfinished || context.leadership.is_cancelled(&id) {
+    let is_unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
+    if !is_unfinished || context.leadership.is_cancelled(&id) {
         scheduler.borrow_mut().close_job(&id);
     }
     context.leadership.request_pass();
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -94,9 +94,9 @@
     for job_commit in due.into_iter().map(JobCommit::new) {
         let more_changes = job_commit.transaction.changes.len();
         let more_bytes = serialized_bytes(&job_commit.transaction);
-        let full =
+        let is_full =
             changes + more_changes > max_changes || bytes + more_bytes > MAX_TRANSACTION_BYTES;
-        if full && !batch.is_empty() {
+        if is_full && !batch.is_empty() {
             batches.push(std::mem::take(&mut batch));
             (changes, bytes) = (0, 0);
         }
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -131,8 +131,8 @@
         context.leadership.record_higher_term(term);
         return DirectOrderOutcome::NoUsableAnswer;
     }
-    let refused = reply.status == STATUS_OTHER_AGENT_EPOCH;
-    if refused && heartbeat.agent_epoch != request.agent_epoch {
+    let is_refused = reply.status == STATUS_OTHER_AGENT_EPOCH;
+    if is_refused && heartbeat.agent_epoch != request.agent_epoch {
         return DirectOrderOutcome::OtherAgentEpoch(heartbeat.agent_epoch);
     }
     DirectOrderOutcome::Answered
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -56,7 +56,7 @@
     /// Hands leadership over if this controller receives no heartbeats and another controller,
     /// which does, has requested a transfer. Returns whether leadership was handed over.
     async fn try_hand_over(&self) -> bool {
-        if !self.lacks_heartbeats() {
+        if !self.is_without_heartbeats() {
             return false;
         }
         let Some(successor) = self.requested_successor() else {
@@ -75,7 +75,7 @@
 
     /// Returns whether no heartbeat was accepted for so long that workers may be unable to reach
     /// this controller.
-    fn lacks_heartbeats(&self) -> bool {
+    fn is_without_heartbeats(&self) -> bool {
         let workers = &self.context.env.settings.platform.params.workers;
         let limit =
             workers.heartbeat_interval().mul_f64(HANDOVER_HEARTBEAT_INTERVALS) + HANDOVER_GRACE;
--- a/crates/corkfield/src/leadership/shared_state.rs
+++ b/crates/corkfield/src/leadership/shared_state.rs
@@ -118,8 +118,8 @@
                 .is_some_and(|current| current.incarnation == claim.membership.incarnation)
     }
 
-    /// Closes jobs that are no longer unfinished. Runs synchronously, so that stopping the tasks of
-    /// a cancelled job waits neither for a claim in progress nor for the retry of a read.
+    /// Closes jobs that have finished or were cancelled. Runs synchronously, so that stopping the
+    /// tasks of a cancelled job waits neither for a claim in progress nor for the retry of a read.
     pub fn close_jobs(&self, jobs: &[JobId]) {
         let Some(scheduler) = self.scheduler().filter(|_| !jobs.is_empty()) else { return };
         for id in jobs {
@@ -150,9 +150,9 @@
     }
 
     /// Removes cancelled jobs that became known before the newest read of the state service was
-    /// started, as the replica no longer shows them as unfinished. If it still shows one, another
-    /// controller reported the cancellation wrongly: the job's tasks were stopped for no reason,
-    /// and the job is claimed again.
+    /// started, as that read contains their cancellation. If the replica still shows such a job as
+    /// unfinished, a faulty controller reported it as cancelled: its tasks were stopped for no
+    /// reason, and it is claimed again.
     pub(super) fn prune_cancelled(&self, replica: &StoreReplica) {
         let Some(proven) = replica.proven_at() else { return };
         let mut cancelled = self.cancelled.borrow_mut();
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Records that a worker's heartbeat was accepted, which may have made the scheduler produce
-    /// actions.
+    /// Records that a worker's heartbeat was accepted, and wakes the loop that carries out the
+    /// scheduler's actions, as the heartbeat may have led to some.
     pub fn record_heartbeat(&self) {
         if let LeadershipState::Leading { last_heartbeat, .. } = &mut *self.state.borrow_mut() {
             *last_heartbeat = now();
