--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -47,7 +47,7 @@
                 platform.endpoints.state,
                 params.state.rps,
                 params.state.write_rps,
-                settings.state_answer_limit(),
+                settings.max_state_answer_bytes(),
             ),
             cloud: CloudClient::new(network.clone(), platform.endpoints.cloud, params.cloud.rps),
             timers: AlignedTimers::default(),
@@ -58,16 +58,18 @@
     }
 
     /// Waits for a random time, so that controllers don't all retry at once.
-    pub async fn pause(&self, ms: Range<u64>) {
+    pub async fn sleep_random(&self, ms: Range<u64>) {
         let ms = self.rng.borrow_mut().random_range(ms);
         tokio::time::sleep(Duration::from_millis(ms)).await;
     }
 
     /// How long ago another controller noted this time of day, at the least.
-    pub fn min_age(&self, noted_ms: u64) -> Duration {
-        let off_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
-        let age = Duration::from_millis(unix_time_ms().saturating_sub(noted_ms));
-        age.saturating_sub(Duration::try_from_secs_f64(off_ms / 1000.0).unwrap_or_default())
+    pub fn min_age(&self, recorded_ms: u64) -> Duration {
+        let max_clock_difference_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
+        let age = Duration::from_millis(unix_time_ms().saturating_sub(recorded_ms));
+        age.saturating_sub(
+            Duration::try_from_secs_f64(max_clock_difference_ms / 1000.0).unwrap_or_default(),
+        )
     }
 
     /// A random number.
--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -44,7 +44,7 @@
             record_version: Cell::new(elected.record_version),
         });
         context.leadership.enter(LeadershipState::Preparing(claim.clone()));
-        if let Some(types) = context.replica.contents.borrow().types.clone() {
+        if let Some(types) = context.replica.contents.borrow().machine_types.clone() {
             scheduler.set_types(types);
         }
         Self {
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -66,7 +66,7 @@
         loop {
             let changed = self.context.replica.changed.notified();
             if self.claim_round().await != ClaimRound::MoreDue {
-                self.context.env.timers.within(CLAIM_INTERVAL, changed).await;
+                self.context.env.timers.wait_for_event(CLAIM_INTERVAL, changed).await;
             }
         }
     }
@@ -130,7 +130,8 @@
     /// to be carried out.
     async fn claim(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
         let own_key = controller_key(self.context.env.name.as_str());
-        let mut transaction = self.when_leading().when(own_key, self.claim.membership.version);
+        let mut transaction =
+            self.when_leading().when(own_key, self.claim.membership.membership_version);
         let mut records = Vec::new();
         for job in batch {
             let record = self.claimed_record(job.record);
@@ -186,7 +187,7 @@
             Err(StateError::NoAnswer(_)) => self.find_claim(claimed.first()?).await,
             Err(error) => {
                 tracing::debug!(jobs = claimed.len(), %error, "claim failed");
-                env.pause(50..150).await;
+                env.sleep_random(50..150).await;
                 None
             }
         }
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -57,7 +57,7 @@
     }
 
     async fn take_machine_types(&self, types: Vec<MachineType>) {
-        let known = self.context.replica.contents.borrow().types.clone();
+        let known = self.context.replica.contents.borrow().machine_types.clone();
         self.scheduler.borrow_mut().set_types(types.clone());
         if known.is_some_and(|known| same_types(&known, &types)) {
             return;
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -49,7 +49,7 @@
             let due = self.scheduler.borrow_mut().due_completion_commits(max_commits, now());
             if due.is_empty() {
                 let woken = context.leadership.commit_wanted.notified();
-                context.env.timers.within(IDLE_INTERVAL, woken).await;
+                context.env.timers.wait_for_event(IDLE_INTERVAL, woken).await;
                 continue;
             }
             for batch in batches(due, max_changes) {
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -91,7 +91,7 @@
 ) {
     let Ok(addr) = target.addr.parse() else { return };
     let machine = target.machine.as_str();
-    let max = context.env.settings.sockets().direct_orders_in_flight;
+    let max = context.env.settings.connection_limits().direct_orders_in_flight;
     let Some(_in_flight) = context.leadership.direct_orders.begin(machine, max) else {
         tracing::debug!(machine, "too many direct orders in flight");
         return;
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -3,7 +3,7 @@
 use super::context::LeadershipContext;
 use super::state::LeadershipState;
 use crate::replica::ReplicaContents;
-use crate::session_lease::Current;
+use crate::session_lease::CurrentLease;
 use crate::store_value::store_value;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
@@ -19,7 +19,7 @@
 /// A claimed leader record.
 pub(super) struct Elected {
     /// The membership key that the claim is conditional on.
-    pub(super) membership: Current,
+    pub(super) membership: CurrentLease,
     /// Version of the leader record as it was claimed.
     pub(super) record_version: Revision,
     /// A term that nobody else ever holds.
@@ -28,7 +28,7 @@
 
 /// What a claim of the leader record rests on.
 struct Candidacy {
-    membership: Current,
+    membership: CurrentLease,
     /// The leader record as the replica shows it.
     previous: Option<LeaderRecord>,
     /// Holds the conditions of the claim, and no change yet.
@@ -78,7 +78,7 @@
     let replica = &context.replica;
     let contents = replica.contents.borrow();
     if !replica.is_synced()
-        || contents.types.is_none() && replica.proof_age() > MAX_PROOF_AGE_WITHOUT_TYPES
+        || contents.machine_types.is_none() && replica.proof_age() > MAX_PROOF_AGE_WITHOUT_TYPES
     {
         return None;
     }
@@ -89,7 +89,7 @@
     let own_name = &context.env.name;
     let mut conditions = Transaction::default()
         .when(LEADER_KEY, version)
-        .when(controller_key(own_name.as_str()), membership.version);
+        .when(controller_key(own_name.as_str()), membership.membership_version);
     match holder(&contents, previous.as_ref(), own_name) {
         Holder::Present => return None,
         Holder::Gone { membership_key, version } => {
@@ -109,7 +109,7 @@
     let Some(name) = record.node.as_ref().filter(|name| *name != own_name) else {
         return Holder::NobodyElse;
     };
-    if contents.is_present(record) {
+    if contents.is_holder_present(record) {
         return Holder::Present;
     }
     let version =
@@ -123,7 +123,7 @@
     if successor.is_some_and(|name| *name != context.env.name) {
         tokio::time::sleep(SUCCESSOR_HEAD_START).await;
     } else {
-        context.env.pause(0..60).await;
+        context.env.sleep_random(0..60).await;
     }
 }
 
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -79,7 +79,7 @@
     /// Another controller that asked for the place just now.
     fn requested_successor(&self) -> Option<ControllerName> {
         let contents = self.context.replica.contents.borrow();
-        let mut recent = contents.transfer_requested_within(TRANSFER_REQUEST_AGE);
+        let mut recent = contents.recent_transfer_requesters(TRANSFER_REQUEST_AGE);
         recent.find(|name| **name != self.context.env.name).cloned()
     }
 }
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -164,7 +164,7 @@
                 {
                     return;
                 }
-                context.env.pause(500..1500).await;
+                context.env.sleep_random(500..1500).await;
             }
         });
     }
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -82,7 +82,7 @@
             stand_by(&context);
         }
         let changed = context.replica.changed.notified();
-        context.env.timers.within(STANDBY_INTERVAL, changed).await;
+        context.env.timers.wait_for_event(STANDBY_INTERVAL, changed).await;
         request_transfer(&context).await;
     }
 }
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -34,7 +34,7 @@
             // thousands would otherwise be asked for at that many a second.
             let scaling_wanted = self.scaling_wanted.notified();
             let interval = self.tick_interval();
-            let woken = self.context.env.timers.within(interval, scaling_wanted).await;
+            let woken = self.context.env.timers.wait_for_event(interval, scaling_wanted).await;
             if woken {
                 let pause = MIN_SCALE_INTERVAL.saturating_sub(time_since(last_scaling));
                 tokio::time::sleep(pause).await;
@@ -55,7 +55,7 @@
     /// Another controller may lead by now, with machines that from here seem idle, silent or never
     /// to have come up. While the service is out for all nobody can have taken over since.
     fn may_scale(&self) -> bool {
-        self.context.may_start() || self.context.peers.nobody_has_store()
+        self.context.may_start() || self.context.peers.is_store_unreachable_for_all_peers()
     }
 
     fn tick_interval(&self) -> Duration {
--- a/crates/corkfield/src/leadership/shared/tests.rs
+++ b/crates/corkfield/src/leadership/shared/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::leadership::state::LeadershipClaim;
-use crate::session_lease::Current;
+use crate::session_lease::CurrentLease;
 use corkfield_core::{Config, Scheduler};
 use corkfield_wire::records::{LeaderRecord, Versioned};
 use corkfield_wire::Incarnation;
@@ -8,10 +8,10 @@
 use std::cell::Cell;
 
 fn claim(incarnation: &str) -> Rc<LeadershipClaim> {
-    let membership = Current {
+    let membership = CurrentLease {
         incarnation: Incarnation::from(incarnation),
-        lease: 7,
-        version: Revision::new(40),
+        lease_id: 7,
+        membership_version: Revision::new(40),
     };
     Rc::new(LeadershipClaim { membership, record_version: Cell::new(Revision::new(50)) })
 }
--- a/crates/corkfield/src/leadership/state.rs
+++ b/crates/corkfield/src/leadership/state.rs
@@ -1,7 +1,7 @@
 //! The state machine of election and leading.
 
 use crate::clock::now;
-use crate::session_lease::Current;
+use crate::session_lease::CurrentLease;
 use corkfield_core::Scheduler;
 use corkfield_wire::Revision;
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 /// The claim of the leader record that this controller leads under.
 pub(super) struct LeadershipClaim {
     /// The membership key that the claim is conditional on.
-    pub(super) membership: Current,
+    pub(super) membership: CurrentLease,
     /// Version of the leader record that the claim rests on; a raised term is a new version.
     pub(super) record_version: Cell<Revision>,
 }
--- a/crates/corkfield/src/main.rs
+++ b/crates/corkfield/src/main.rs
@@ -46,18 +46,18 @@
         return ExitCode::SUCCESS;
     }
     let Some(config) = cli.config else {
-        return fail(ExitCode::from(USAGE_ERROR), "--config FILE is needed");
+        return exit_with_error(ExitCode::from(USAGE_ERROR), "--config FILE is needed");
     };
     let settings = match Settings::load(&config, cli.operator.as_deref()) {
         Ok(settings) => settings,
-        Err(error) => return fail(ExitCode::from(USAGE_ERROR), error),
+        Err(error) => return exit_with_error(ExitCode::from(USAGE_ERROR), error),
     };
     if matches!(command, Command::Check) {
         println!("{}", settings.summary());
         return ExitCode::SUCCESS;
     }
     if let Err(error) = settings::start_logging() {
-        return fail(ExitCode::from(USAGE_ERROR), error);
+        return exit_with_error(ExitCode::from(USAGE_ERROR), error);
     }
     run_controller(settings)
 }
@@ -67,16 +67,18 @@
     // One thread: the machines give a process only a small share of one core.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return fail(ExitCode::FAILURE, format_args!("can't start: {error}")),
+        Err(error) => {
+            return exit_with_error(ExitCode::FAILURE, format_args!("can't start: {error}"))
+        }
     };
     let local = tokio::task::LocalSet::new();
     match local.block_on(&runtime, node::run(settings, Rc::new(Tcp), rand::random())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(ExitCode::FAILURE, error),
+        Err(error) => exit_with_error(ExitCode::FAILURE, error),
     }
 }
 
-fn fail(code: ExitCode, reason: impl Display) -> ExitCode {
+fn exit_with_error(code: ExitCode, reason: impl Display) -> ExitCode {
     eprintln!("corkfield: {reason}");
     code
 }
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -11,7 +11,7 @@
 use crate::replica::{ReplicaFollower, ReplicaObserver, StoreReplica};
 use crate::routes::Routes;
 use crate::session_lease::{LeaseKeeper, SessionLease};
-use crate::settings::{Settings, Sockets};
+use crate::settings::{ConnectionLimits, Settings};
 use crate::users::UserRequests;
 use crate::workers::{RedirectedWorkers, WorkerHeartbeats};
 use corkfield_http::net::LocalFuture;
@@ -44,9 +44,9 @@
     /// The view of the other controllers.
     peers: Rc<Peers>,
     /// Cancellations that other controllers have still to acknowledge.
-    notifications: Rc<CancellationOutbox>,
+    outbox: Rc<CancellationOutbox>,
     /// Workers that were redirected to the leader.
-    redirected: Rc<RedirectedWorkers>,
+    redirected_workers: Rc<RedirectedWorkers>,
     /// The connections of users and workers.
     connections: Rc<Connections>,
 }
@@ -71,14 +71,15 @@
     let components = Components::new(settings, network, seed);
     let (name, listen) = (&components.env.name, components.env.settings.platform.listen);
     tracing::info!(controller = %name, %listen, "controller started");
-    let links =
-        Rc::new(PeerLinks::new(max_queued_frames(components.env.settings.sockets().accepted)));
-    let workers = Rc::new(worker_heartbeats(&components, &links));
-    serve_requests(&components, users_listener, routes(&components, &links, &workers));
+    let links = Rc::new(PeerLinks::new(max_queued_frames(
+        components.env.settings.connection_limits().accepted,
+    )));
+    let workers = Rc::new(build_worker_heartbeats(&components, &links));
+    serve_requests(&components, users_listener, build_routes(&components, &links, &workers));
     serve_peers(&components, peers_listener, &links, workers);
     follow_store(&components);
     maintain_lease(&components);
-    lead(&components).await;
+    run_leadership(&components).await;
     Ok(())
 }
 
@@ -102,15 +103,15 @@
 
 impl Components {
     fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
-        let connections = Rc::new(Connections::new(connection_limits(settings.sockets())));
+        let connections = Rc::new(Connections::new(http_limits(settings.connection_limits())));
         Self {
             env: Rc::new(Environment::new(settings, network, seed)),
             replica: Rc::default(),
             session_lease: Rc::default(),
             leadership: Rc::default(),
             peers: Rc::default(),
-            notifications: Rc::default(),
-            redirected: Rc::default(),
+            outbox: Rc::default(),
+            redirected_workers: Rc::default(),
             connections,
         }
     }
@@ -118,18 +119,18 @@
 
 /// Users must not take the connections that workers need: a worker without one loses its lease and
 /// all that it runs.
-fn connection_limits(sockets: Sockets) -> Limits {
+fn http_limits(limits: ConnectionLimits) -> Limits {
     Limits {
-        connections: sockets.accepted,
-        kept: sockets.kept,
-        others: sockets.users,
+        connections: limits.accepted,
+        kept: limits.keep_alive,
+        others: limits.users,
         kept_for: PATH_HEARTBEAT,
         ..Limits::default()
     }
 }
 
 /// What answers workers.
-fn worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
+fn build_worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
     WorkerHeartbeats {
         env: components.env.clone(),
         replica: components.replica.clone(),
@@ -137,13 +138,13 @@
         session_lease: components.session_lease.clone(),
         peers: components.peers.clone(),
         links: links.clone(),
-        redirected: components.redirected.clone(),
+        redirected_workers: components.redirected_workers.clone(),
         connections: components.connections.clone(),
     }
 }
 
 /// What answers users.
-fn user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
+fn build_user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
     UserRequests {
         env: components.env.clone(),
         replica: components.replica.clone(),
@@ -153,19 +154,19 @@
             leadership: components.leadership.clone(),
             peers: components.peers.clone(),
             links: links.clone(),
-            outbox: components.notifications.clone(),
+            outbox: components.outbox.clone(),
         },
     }
 }
 
 /// What answers all requests.
-fn routes(
+fn build_routes(
     components: &Components,
     links: &Rc<PeerLinks>,
     workers: &Rc<WorkerHeartbeats>,
 ) -> Routes {
     Routes {
-        users: user_requests(components, links),
+        users: build_user_requests(components, links),
         workers: workers.clone(),
         replica: components.replica.clone(),
         peers: components.peers.clone(),
@@ -191,21 +192,21 @@
     let incoming = Rc::new(IncomingLinks {
         env: components.env.clone(),
         peers: components.peers.clone(),
-        outbox: components.notifications.clone(),
+        outbox: components.outbox.clone(),
         handler: Rc::new(PeerRequests { workers, leadership: components.leadership.clone() }),
     });
-    tokio::task::spawn_local(incoming.accept(listener));
+    tokio::task::spawn_local(incoming.accept_links(listener));
     let outgoing = Rc::new(OutgoingLinks {
         env: components.env.clone(),
         replica: components.replica.clone(),
         session_lease: components.session_lease.clone(),
         leadership: components.leadership.clone(),
         peers: components.peers.clone(),
-        outbox: components.notifications.clone(),
+        outbox: components.outbox.clone(),
         links: links.clone(),
     });
     for peer in &components.env.settings.platform.peers {
-        tokio::task::spawn_local(outgoing.clone().maintain(peer.node.clone(), peer.addr));
+        tokio::task::spawn_local(outgoing.clone().maintain_link(peer.node.clone(), peer.addr));
     }
 }
 
@@ -231,7 +232,7 @@
 }
 
 /// Runs the loop of election and leading.
-async fn lead(components: &Components) {
+async fn run_leadership(components: &Components) {
     let context = Rc::new(LeadershipContext {
         env: components.env.clone(),
         replica: components.replica.clone(),
@@ -257,15 +258,15 @@
 
 /// A leader stops what a read shows as over before the read counts as proof of fresh state (S6).
 impl ReplicaObserver for Leadership {
-    fn jobs_ended(&self, jobs: &[JobId]) {
+    fn on_jobs_ended(&self, jobs: &[JobId]) {
         self.close_jobs(jobs);
     }
 
-    fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
+    fn on_jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
         self.close_all_but(unfinished);
     }
 
-    fn watches_closely(&self) -> bool {
+    fn needs_prompt_updates(&self) -> bool {
         self.is_leading()
     }
 }
@@ -277,11 +278,11 @@
 }
 
 impl PeerRequestHandler for PeerRequests {
-    fn relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
+    fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
         Box::pin(self.workers.answer_relayed(body))
     }
 
-    fn job_cancelled(&self, id: &JobId) {
+    fn on_job_cancelled(&self, id: &JobId) {
         self.leadership.note_cancelled(id);
     }
 }
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -42,7 +42,7 @@
         let peers = self.env.settings.platform.peers.iter();
         self.outbox.add_for_all(peers.map(|peer| peer.node.as_str()), id);
         let leaders = self.linked_leaders();
-        let acknowledged = self.outbox.until_acknowledged(&leaders, id);
+        let acknowledged = self.outbox.wait_until_acknowledged(&leaders, id);
         let _ = tokio::time::timeout(ACKNOWLEDGEMENT_WAIT, acknowledged).await;
     }
 
--- a/crates/corkfield/src/outbox.rs
+++ b/crates/corkfield/src/outbox.rs
@@ -19,17 +19,17 @@
 
 /// A notification that was not acknowledged yet.
 struct Unacknowledged {
-    since: Instant,
-    sent: Option<Instant>,
+    added_at: Instant,
+    last_sent_at: Option<Instant>,
 }
 
 /// What each of the other controllers has still to acknowledge.
 #[derive(Default)]
 pub struct CancellationOutbox {
     /// By controller.
-    open: RefCell<BTreeMap<ControllerName, BTreeMap<JobId, Unacknowledged>>>,
+    unacknowledged: RefCell<BTreeMap<ControllerName, BTreeMap<JobId, Unacknowledged>>>,
     /// Controllers for which a notification was dropped unacknowledged, and when the last one was.
-    dropped: RefCell<BTreeMap<ControllerName, Instant>>,
+    last_dropped_at: RefCell<BTreeMap<ControllerName, Instant>>,
     added: Notify,
     acknowledged: Notify,
 }
@@ -37,39 +37,43 @@
 impl CancellationOutbox {
     /// Adds a notification to one controller. If too many are open for it, this one is dropped.
     fn add(&self, peer: &str, id: &JobId) {
-        let mut open = self.open.borrow_mut();
-        let to_peer = open.entry(ControllerName::from(peer)).or_default();
+        let mut unacknowledged = self.unacknowledged.borrow_mut();
+        let to_peer = unacknowledged.entry(ControllerName::from(peer)).or_default();
         if to_peer.len() < MAX_UNACKNOWLEDGED {
-            to_peer.entry(id.clone()).or_insert(Unacknowledged { since: now(), sent: None });
+            to_peer
+                .entry(id.clone())
+                .or_insert(Unacknowledged { added_at: now(), last_sent_at: None });
         } else {
-            self.dropped.borrow_mut().insert(ControllerName::from(peer), now());
+            self.last_dropped_at.borrow_mut().insert(ControllerName::from(peer), now());
         }
     }
 
     /// Whether that controller has acknowledged every cancellation that users of this one, since
     /// its process began, were told of.
-    pub fn all_acknowledged(&self, peer: &str) -> bool {
-        !self.has_open(peer) && !self.dropped.borrow().contains_key(peer)
+    pub fn has_acknowledged_all(&self, peer: &str) -> bool {
+        !self.has_unacknowledged(peer) && !self.last_dropped_at.borrow().contains_key(peer)
     }
 
     /// That controller read the state service after `since`: it knows of what was dropped before.
-    pub fn has_read(&self, peer: &str, since: Instant) {
-        self.dropped.borrow_mut().retain(|other, at| other.as_str() != peer || *at >= since);
+    pub fn record_store_read(&self, peer: &str, since: Instant) {
+        self.last_dropped_at
+            .borrow_mut()
+            .retain(|other, at| other.as_str() != peer || *at >= since);
     }
 
     /// Whether that controller has anything to acknowledge.
-    fn has_open(&self, peer: &str) -> bool {
-        self.open.borrow().get(peer).is_some_and(|to_peer| !to_peer.is_empty())
+    fn has_unacknowledged(&self, peer: &str) -> bool {
+        self.unacknowledged.borrow().get(peer).is_some_and(|to_peer| !to_peer.is_empty())
     }
 
     /// Whether that controller has still to acknowledge the cancellation.
-    fn is_open(&self, peer: &str, id: &JobId) -> bool {
-        self.open.borrow().get(peer).is_some_and(|to_peer| to_peer.contains_key(id))
+    fn is_unacknowledged(&self, peer: &str, id: &JobId) -> bool {
+        self.unacknowledged.borrow().get(peer).is_some_and(|to_peer| to_peer.contains_key(id))
     }
 
     /// That controller has heard of these cancellations.
-    pub fn acknowledged(&self, peer: &str, jobs: &[String]) {
-        if let Some(to_peer) = self.open.borrow_mut().get_mut(peer) {
+    pub fn record_acknowledgement(&self, peer: &str, jobs: &[String]) {
+        if let Some(to_peer) = self.unacknowledged.borrow_mut().get_mut(peer) {
             jobs.iter().filter_map(|id| JobId::parse(id)).for_each(|id| {
                 to_peer.remove(&id);
             });
@@ -77,34 +81,36 @@
         self.acknowledged.notify_waiters();
     }
 
-    /// What is to be sent to that controller now. Older notifications than `keep` are dropped: by
+    /// What is to be sent to that controller now. Older notifications than `retention` are dropped: by
     /// then the answer limit has settled the matter.
-    fn due(&self, peer: &str, keep: Duration) -> Vec<String> {
+    fn take_due_jobs(&self, peer: &str, retention: Duration) -> Vec<String> {
         let at = now();
-        let mut open = self.open.borrow_mut();
-        let Some(to_peer) = open.get_mut(peer) else { return Vec::new() };
+        let mut unacknowledged = self.unacknowledged.borrow_mut();
+        let Some(to_peer) = unacknowledged.get_mut(peer) else { return Vec::new() };
         let before = to_peer.len();
-        to_peer.retain(|_, notification| at.saturating_duration_since(notification.since) < keep);
+        to_peer.retain(|_, notification| {
+            at.saturating_duration_since(notification.added_at) < retention
+        });
         if to_peer.len() < before {
-            self.dropped.borrow_mut().insert(ControllerName::from(peer), at);
+            self.last_dropped_at.borrow_mut().insert(ControllerName::from(peer), at);
         }
         let due = to_peer.iter_mut().filter(|(_, notification)| {
             notification
-                .sent
+                .last_sent_at
                 .is_none_or(|sent| at.saturating_duration_since(sent) >= RESEND_INTERVAL)
         });
         let mut jobs = Vec::new();
         for (id, notification) in due.take(MAX_JOBS_IN_FRAME) {
-            notification.sent = Some(at);
+            notification.last_sent_at = Some(at);
             jobs.push(id.to_string());
         }
         jobs
     }
 
     /// A new link: whatever went over the one before may be lost.
-    fn link_opened(&self, peer: &str) {
-        if let Some(to_peer) = self.open.borrow_mut().get_mut(peer) {
-            to_peer.values_mut().for_each(|notification| notification.sent = None);
+    fn reset_last_sent(&self, peer: &str) {
+        if let Some(to_peer) = self.unacknowledged.borrow_mut().get_mut(peer) {
+            to_peer.values_mut().for_each(|notification| notification.last_sent_at = None);
         }
     }
 
@@ -115,10 +121,10 @@
     }
 
     /// Waits until all of these controllers have acknowledged the cancellation.
-    pub async fn until_acknowledged(&self, peers: &[ControllerName], id: &JobId) {
+    pub async fn wait_until_acknowledged(&self, peers: &[ControllerName], id: &JobId) {
         loop {
             let acknowledged = self.acknowledged.notified();
-            if !peers.iter().any(|peer| self.is_open(peer.as_str(), id)) {
+            if !peers.iter().any(|peer| self.is_unacknowledged(peer.as_str(), id)) {
                 return;
             }
             acknowledged.await;
@@ -126,22 +132,22 @@
     }
 
     /// Sends what is due over a link that was just opened, for as long as `queue_frame` says that
-    /// the link takes frames. Older notifications than `keep` are dropped.
-    pub async fn send(
+    /// the link takes frames. Older notifications than `retention` are dropped.
+    pub async fn send_notifications(
         &self,
         timers: &AlignedTimers,
         peer: &str,
-        keep: Duration,
+        retention: Duration,
         queue_frame: impl Fn(Frame) -> bool,
     ) {
-        self.link_opened(peer);
+        self.reset_last_sent(peer);
         loop {
             let added = self.added.notified();
-            let jobs = self.due(peer, keep);
-            if jobs.is_empty() && !self.has_open(peer) {
+            let jobs = self.take_due_jobs(peer, retention);
+            if jobs.is_empty() && !self.has_unacknowledged(peer) {
                 added.await;
             } else if jobs.is_empty() {
-                timers.within(RESEND_INTERVAL, added).await;
+                timers.wait_for_event(RESEND_INTERVAL, added).await;
             } else if !queue_frame(Frame::Cancelled { jobs }) {
                 return;
             }
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -21,7 +21,7 @@
 /// Pause between two heartbeats, and before a link is opened again.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// A worker gives a heartbeat up after 4 s.
-const RELAY_LIMIT: Duration = Duration::from_millis(3500);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Frames that may wait for one link, at the least. A heartbeat that is relayed holds a worker's
 /// connection, so no more of them are under way than connections are accepted; all workers of a
 /// large zone may have to send theirs this way.
@@ -35,10 +35,10 @@
 /// The links that this controller opened, and the relayed heartbeats that wait for their answers.
 pub struct PeerLinks {
     /// Where frames to each controller that there is a link to are queued.
-    open: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
+    queues: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
     /// Relayed heartbeats without an answer yet, by number.
-    relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
-    last_relay: Cell<u64>,
+    pending_relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
+    last_relay_number: Cell<u64>,
     max_queued: usize,
 }
 
@@ -47,9 +47,9 @@
     /// answers.
     pub fn new(max_queued: usize) -> Self {
         Self {
-            open: RefCell::default(),
-            relays: RefCell::default(),
-            last_relay: Cell::new(0),
+            queues: RefCell::default(),
+            pending_relays: RefCell::default(),
+            last_relay_number: Cell::new(0),
             max_queued,
         }
     }
@@ -57,21 +57,21 @@
     /// Relays a worker's heartbeat to the leader, and brings its answer. It is the leader's own
     /// answer, under its term; a worker counts its lease from when it sent the heartbeat, so the
     /// way round makes no lease longer, and it drops an answer that comes too late.
-    pub async fn relay(&self, leader: &str, body: &[u8]) -> Option<Response> {
-        let link = self.open.borrow().get(leader).cloned()?;
-        if self.relays.borrow().len() >= self.max_queued {
+    pub async fn relay_heartbeat(&self, leader: &str, body: &[u8]) -> Option<Response> {
+        let link = self.queues.borrow().get(leader).cloned()?;
+        if self.pending_relays.borrow().len() >= self.max_queued {
             return None;
         }
-        let number = self.last_relay.get() + 1;
-        self.last_relay.set(number);
+        let number = self.last_relay_number.get() + 1;
+        self.last_relay_number.set(number);
         let (sender, receiver) = oneshot::channel();
-        self.relays.borrow_mut().insert(number, sender);
+        self.pending_relays.borrow_mut().insert(number, sender);
         let sent = link.try_send(Frame::WorkerHeartbeat { number, body: body.to_vec() });
         let answer = match sent {
-            Ok(()) => timeout(RELAY_LIMIT, receiver).await.ok().and_then(Result::ok),
+            Ok(()) => timeout(RELAY_TIMEOUT, receiver).await.ok().and_then(Result::ok),
             Err(_) => None,
         };
-        self.relays.borrow_mut().remove(&number);
+        self.pending_relays.borrow_mut().remove(&number);
         answer
     }
 
@@ -83,25 +83,25 @@
         peers: &Peers,
     ) -> Vec<ControllerName> {
         let leads =
-            |name: &ControllerName| recorded == Some(name) || peers.says_it_leads(name.as_str());
-        self.open.borrow().keys().filter(|name| leads(name)).cloned().collect()
+            |name: &ControllerName| recorded == Some(name) || peers.is_peer_leading(name.as_str());
+        self.queues.borrow().keys().filter(|name| leads(name)).cloned().collect()
     }
 
     /// A link was opened; returns the queue of its frames.
-    fn opened(&self, peer: &str) -> (mpsc::Sender<Frame>, mpsc::Receiver<Frame>) {
+    fn register_link(&self, peer: &str) -> (mpsc::Sender<Frame>, mpsc::Receiver<Frame>) {
         let (sender, receiver) = mpsc::channel(self.max_queued);
-        self.open.borrow_mut().insert(ControllerName::from(peer), sender.clone());
+        self.queues.borrow_mut().insert(ControllerName::from(peer), sender.clone());
         (sender, receiver)
     }
 
     /// The link to that controller was lost.
-    fn closed(&self, peer: &str) {
-        self.open.borrow_mut().remove(peer);
+    fn remove_link(&self, peer: &str) {
+        self.queues.borrow_mut().remove(peer);
     }
 
     /// The answer to a relayed heartbeat has come.
-    fn answered(&self, number: u64, response: Response) {
-        if let Some(waiting) = self.relays.borrow_mut().remove(&number) {
+    fn complete_relay(&self, number: u64, response: Response) {
+        if let Some(waiting) = self.pending_relays.borrow_mut().remove(&number) {
             let _ = waiting.send(response);
         }
     }
--- a/crates/corkfield/src/peer_links/frames.rs
+++ b/crates/corkfield/src/peer_links/frames.rs
@@ -23,7 +23,7 @@
 
 impl FrameReader {
     /// The next frame; `None` if what comes is none that can be read.
-    pub(super) async fn next(&mut self) -> std::io::Result<Option<Frame>> {
+    pub(super) async fn read_frame(&mut self) -> std::io::Result<Option<Frame>> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME {
             tracing::debug!(length, "oversized frame from a peer");
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -16,15 +16,15 @@
 use tokio::time::timeout;
 
 /// Pause after a link could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// What other controllers ask of this one.
 pub trait PeerRequestHandler {
     /// The answer to a worker's heartbeat that another controller relayed.
-    fn relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response>;
+    fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response>;
 
     /// The state service holds the job as cancelled, as another controller says (S11).
-    fn job_cancelled(&self, id: &JobId);
+    fn on_job_cancelled(&self, id: &JobId);
 }
 
 /// Serves the links that other controllers open.
@@ -41,7 +41,7 @@
 
 impl IncomingLinks {
     /// Accepts links for ever, a bounded number at once.
-    pub async fn accept(self: Rc<Self>, listener: Box<dyn Listener>) {
+    pub async fn accept_links(self: Rc<Self>, listener: Box<dyn Listener>) {
         let open_links = Rc::new(());
         loop {
             match listener.accept().await {
@@ -49,29 +49,29 @@
                     let (links, open_link) = (self.clone(), open_links.clone());
                     tokio::task::spawn_local(async move {
                         let _open_link = open_link;
-                        links.serve(stream).await;
+                        links.serve_link(stream).await;
                     });
                 }
                 Ok(stream) => drop(stream),
-                Err(_) => tokio::time::sleep(ACCEPT_RETRY).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_PAUSE).await,
             }
         }
     }
 
     /// Takes what another controller says on the link that it opened.
-    async fn serve(&self, stream: Stream) {
+    async fn serve_link(&self, stream: Stream) {
         let (reader, writer) = split(stream);
-        let accepted = self.env.settings.sockets().accepted;
+        let accepted = self.env.settings.connection_limits().accepted;
         let (answers, queued) = mpsc::channel(max_queued_frames(accepted));
         tokio::select! {
-            () = self.read(reader, &answers) => {}
+            () = self.read_frames(reader, &answers) => {}
             () = write_frames(writer, queued) => {}
         }
     }
 
     /// Returns when the link is silent for too long, or brings what doesn't belong here.
-    async fn read(&self, mut reader: FrameReader, answers: &mpsc::Sender<Frame>) {
-        while let Ok(Ok(Some(frame))) = timeout(HEARTBEAT_TIMEOUT * 2, reader.next()).await {
+    async fn read_frames(&self, mut reader: FrameReader, answers: &mpsc::Sender<Frame>) {
+        while let Ok(Ok(Some(frame))) = timeout(HEARTBEAT_TIMEOUT * 2, reader.read_frame()).await {
             match frame {
                 Frame::PeerHeartbeat(heartbeat) => self.on_heartbeat(heartbeat),
                 Frame::WorkerHeartbeat { number, body } => {
@@ -87,28 +87,28 @@
     }
 
     fn on_heartbeat(&self, heartbeat: PeerHeartbeat) {
-        let echoed_sent = self.peers.echoed_sent(&heartbeat, self.env.process);
+        let echoed_sent_at = self.peers.echoed_sent_at(&heartbeat, self.env.process);
         // Its newest read was begun no longer ago than that.
-        let read = echoed_sent
+        let read = echoed_sent_at
             .filter(|_| heartbeat.store_answers)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
         if let Some(read) = read {
-            self.outbox.has_read(heartbeat.node.as_str(), read);
+            self.outbox.record_store_read(heartbeat.node.as_str(), read);
         }
-        self.peers.record(heartbeat, echoed_sent);
+        self.peers.record_heartbeat(heartbeat, echoed_sent_at);
     }
 
     /// Answers on a task of its own: other frames must not wait for it.
     fn answer_relayed(&self, number: u64, body: Vec<u8>, answers: mpsc::Sender<Frame>) {
         let handler = self.handler.clone();
         tokio::task::spawn_local(async move {
-            let Response { status, body, .. } = handler.relayed_heartbeat(&body).await;
+            let Response { status, body, .. } = handler.answer_relayed_heartbeat(&body).await;
             let _ = answers.try_send(Frame::Answer { number, status, body });
         });
     }
 
     fn on_cancelled(&self, jobs: &[String]) {
         let known: Vec<JobId> = jobs.iter().filter_map(|id| JobId::parse(id)).collect();
-        known.iter().for_each(|id| self.handler.job_cancelled(id));
+        known.iter().for_each(|id| self.handler.on_job_cancelled(id));
     }
 }
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -19,23 +19,23 @@
 /// What another controller said last.
 struct LastHeartbeat {
     heartbeat: PeerHeartbeat,
-    received: Instant,
+    received_at: Instant,
     /// Since when it is the same process.
-    process_since: Instant,
+    process_first_seen: Instant,
     /// It attested for this controller, as the leader, at this moment or later.
-    attested: Option<Instant>,
+    attested_at: Option<Instant>,
 }
 
 impl LastHeartbeat {
     fn is_recent(&self) -> bool {
-        now().saturating_duration_since(self.received) < HEARTBEAT_TIMEOUT
+        now().saturating_duration_since(self.received_at) < HEARTBEAT_TIMEOUT
     }
 }
 
 /// A heartbeat that this controller sent.
 struct SentHeartbeat {
     number: u64,
-    sent: Instant,
+    sent_at: Instant,
 }
 
 /// The peer's heartbeat that the next one to it echoes; zeros if there was none.
@@ -56,37 +56,41 @@
 }
 
 impl Peers {
-    /// Records a heartbeat; `echoed_sent` is when the one that it echoes was sent.
-    pub fn record(&self, heartbeat: PeerHeartbeat, echoed_sent: Option<Instant>) {
-        let (peer, received) = (heartbeat.node.clone(), now());
+    /// Records a heartbeat; `echoed_sent_at` is when the one that it echoes was sent.
+    pub fn record_heartbeat(&self, heartbeat: PeerHeartbeat, echoed_sent_at: Option<Instant>) {
+        let (peer, received_at) = (heartbeat.node.clone(), now());
         let mut last = self.last.borrow_mut();
         if last.len() >= MAX_PEERS && !last.contains_key(&peer) {
             return;
         }
-        let before =
-            last.remove(&peer).filter(|before| before.heartbeat.process == heartbeat.process);
-        let process_since = before.as_ref().map_or(received, |before| before.process_since);
-        let attested = before.and_then(|before| before.attested);
+        let previous =
+            last.remove(&peer).filter(|previous| previous.heartbeat.process == heartbeat.process);
+        let process_first_seen =
+            previous.as_ref().map_or(received_at, |previous| previous.process_first_seen);
+        let attested_at = previous.and_then(|previous| previous.attested_at);
         // It was sent after what it echoes had come, and so after that was sent.
-        let attested = attested.max(echoed_sent.filter(|_| heartbeat.attests_outage));
-        last.insert(peer, LastHeartbeat { heartbeat, received, process_since, attested });
+        let attested_at = attested_at.max(echoed_sent_at.filter(|_| heartbeat.attests_outage));
+        last.insert(
+            peer,
+            LastHeartbeat { heartbeat, received_at, process_first_seen, attested_at },
+        );
     }
 
     /// When the heartbeat that this one echoes was sent by `process`, which is this one. One to a
     /// process before this one, with the same number, says nothing.
-    pub fn echoed_sent(&self, heartbeat: &PeerHeartbeat, process: u64) -> Option<Instant> {
+    pub fn echoed_sent_at(&self, heartbeat: &PeerHeartbeat, process: u64) -> Option<Instant> {
         let sent = self.sent.borrow();
         let mut to_peer = sent.get(&heartbeat.node)?.iter();
         let echoed = to_peer.find(|sent| sent.number == heartbeat.last_received_number)?;
-        (heartbeat.last_received_process == process).then_some(echoed.sent)
+        (heartbeat.last_received_process == process).then_some(echoed.sent_at)
     }
 
     /// Records that a heartbeat is sent now; returns its number.
-    pub fn record_sent(&self, peer: &str) -> u64 {
+    pub fn record_sent_heartbeat(&self, peer: &str) -> u64 {
         let mut sent = self.sent.borrow_mut();
         let to_peer = sent.entry(ControllerName::from(peer)).or_default();
         let number = to_peer.back().map_or(0, |newest| newest.number) + 1;
-        to_peer.push_back(SentHeartbeat { number, sent: now() });
+        to_peer.push_back(SentHeartbeat { number, sent_at: now() });
         if to_peer.len() > MAX_SENT_HEARTBEATS {
             to_peer.pop_front();
         }
@@ -94,7 +98,7 @@
     }
 
     /// What the next heartbeat to that controller echoes.
-    pub fn echo_to(&self, peer: &str) -> Echo {
+    pub fn echo_for(&self, peer: &str) -> Echo {
         let last = self.last.borrow();
         last.get(peer).map_or_else(Echo::default, |last| Echo {
             number: last.heartbeat.number,
@@ -118,28 +122,28 @@
         let last = self.last.borrow();
         let attested = platform.peers.iter().map(|peer| {
             let last = last.get(&peer.node)?;
-            let counts = last.heartbeat.term == term && last.process_since < proven_at;
-            last.attested.filter(|_| counts)
+            let counts = last.heartbeat.term == term && last.process_first_seen < proven_at;
+            last.attested_at.filter(|_| counts)
         });
         let oldest = attested.collect::<Option<Vec<Instant>>>()?.into_iter().min()?;
         Some(now().saturating_duration_since(oldest))
     }
 
     /// Whether another controller has answers from the state service.
-    pub fn somebody_has_store(&self) -> bool {
+    pub fn has_peer_with_store_access(&self) -> bool {
         self.last.borrow().values().any(|last| last.heartbeat.store_answers && last.is_recent())
     }
 
     /// Whether others were heard of, and none of them has answers from the state service: it is
     /// out for all, and not for this controller alone.
-    pub fn nobody_has_store(&self) -> bool {
+    pub fn is_store_unreachable_for_all_peers(&self) -> bool {
         let last = self.last.borrow();
         let mut others = last.values().filter(|last| last.is_recent()).peekable();
         others.peek().is_some() && others.all(|last| !last.heartbeat.store_answers)
     }
 
     /// Whether that controller says that it leads.
-    pub fn says_it_leads(&self, peer: &str) -> bool {
+    pub fn is_peer_leading(&self, peer: &str) -> bool {
         let last = self.last.borrow();
         last.get(peer).is_some_and(|last| last.heartbeat.leading && last.is_recent())
     }
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -26,11 +26,11 @@
 async fn an_attestation_counts_from_what_it_echoes_and_for_its_processes_alone() {
     let peers = Peers::default();
     let sent = now();
-    assert_eq!(peers.record_sent("q"), 1);
+    assert_eq!(peers.record_sent_heartbeat("q"), 1);
     tokio::time::advance(Duration::from_secs(9)).await;
-    let attested = |peers: &Peers| peers.last.borrow()["q"].attested;
+    let attested = |peers: &Peers| peers.last.borrow()["q"].attested_at;
     let record = |heartbeat: PeerHeartbeat| {
-        peers.record(heartbeat.clone(), peers.echoed_sent(&heartbeat, 7))
+        peers.record_heartbeat(heartbeat.clone(), peers.echoed_sent_at(&heartbeat, 7))
     };
     // Held back since before this process, or an answer to nothing that it sent.
     for heartbeat in [heartbeat(3, 1, 6, true), heartbeat(3, 2, 7, true), heartbeat(3, 1, 7, false)]
--- a/crates/corkfield/src/replica.rs
+++ b/crates/corkfield/src/replica.rs
@@ -26,7 +26,7 @@
     /// Whether the contents follow the service from a complete read on.
     synced: Cell<bool>,
     proof: FreshnessProof,
-    refreshes: RefreshQueue,
+    refresh_queue: RefreshQueue,
 }
 
 impl StoreReplica {
@@ -47,13 +47,13 @@
 
     /// For how long the present leader record has been known; zero if there is none.
     pub fn leader_known_for(&self) -> Duration {
-        let since = self.contents.borrow().leader_since();
+        let since = self.contents.borrow().leader_first_seen();
         since.map_or(Duration::ZERO, |at| now().saturating_duration_since(at))
     }
 
     /// Waits until the copy contains everything that was stored before the call (S1), for `limit`
     /// at most; true if it does. One read serves all that wait for it.
     pub async fn refresh(&self, limit: Duration) -> bool {
-        self.refreshes.wait(limit).await
+        self.refresh_queue.wait_for_read(limit).await
     }
 }
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Final states that are kept.
-const MAX_FINALS: usize = 20_000;
+const MAX_FINAL_RECORDS: usize = 20_000;
 
 /// A request for the leader's place, as it was seen here.
 #[derive(Debug, Clone, Copy)]
@@ -38,12 +38,12 @@
     /// The leader record.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// When the present leader record was first seen.
-    leader_since: Option<Instant>,
+    leader_first_seen: Option<Instant>,
     /// The machine types on offer, once they are known.
-    pub types: Option<Vec<MachineType>>,
-    finals: HashMap<JobId, FinalRecord>,
-    /// The jobs of `finals`, the oldest note first.
-    finals_order: VecDeque<JobId>,
+    pub machine_types: Option<Vec<MachineType>>,
+    final_records: HashMap<JobId, FinalRecord>,
+    /// The jobs of `final_records`, the oldest note first.
+    final_records_order: VecDeque<JobId>,
 }
 
 impl ReplicaContents {
@@ -51,27 +51,27 @@
     pub(super) fn from_items(items: Vec<Item>, revision: Revision) -> Self {
         let mut contents = Self { revision, ..Self::default() };
         for item in items {
-            contents.insert(&item.key, item.value, item.version);
+            contents.insert_item(&item.key, item.value, item.version);
         }
         contents
     }
 
     /// Final states never change, so they may be kept as long as there is room.
-    pub fn insert_final(&mut self, id: &JobId, record: FinalRecord) {
-        if self.finals.insert(id.clone(), record).is_some() {
+    pub fn insert_final_record(&mut self, id: &JobId, record: FinalRecord) {
+        if self.final_records.insert(id.clone(), record).is_some() {
             return;
         }
-        self.finals_order.push_back(id.clone());
-        if self.finals_order.len() > MAX_FINALS {
-            if let Some(oldest) = self.finals_order.pop_front() {
-                self.finals.remove(&oldest);
+        self.final_records_order.push_back(id.clone());
+        if self.final_records_order.len() > MAX_FINAL_RECORDS {
+            if let Some(oldest) = self.final_records_order.pop_front() {
+                self.final_records.remove(&oldest);
             }
         }
     }
 
     /// The final state of a job that is over, if it is among those kept.
-    pub fn known_final(&self, id: &JobId) -> Option<FinalRecord> {
-        self.finals.get(id).cloned()
+    pub fn final_record(&self, id: &JobId) -> Option<FinalRecord> {
+        self.final_records.get(id).cloned()
     }
 
     /// Everything up to this revision of the store is contained.
@@ -80,7 +80,7 @@
     }
 
     /// Controllers that asked for the leader's place within that time.
-    pub fn transfer_requested_within(
+    pub fn recent_transfer_requesters(
         &self,
         time: Duration,
     ) -> impl Iterator<Item = &ControllerName> {
@@ -92,24 +92,24 @@
     }
 
     /// When the present leader record was first seen.
-    pub(super) fn leader_since(&self) -> Option<Instant> {
-        self.leader_since
+    pub(super) fn leader_first_seen(&self) -> Option<Instant> {
+        self.leader_first_seen
     }
 
     /// Whether the machine types are known, and there is a leader whose process is present.
-    pub(super) fn is_served(&self) -> bool {
-        self.types.is_some()
-            && self.leader.as_ref().is_some_and(|leader| self.is_present(&leader.record))
+    pub(super) fn can_serve_requests(&self) -> bool {
+        self.machine_types.is_some()
+            && self.leader.as_ref().is_some_and(|leader| self.is_holder_present(&leader.record))
     }
 
     /// Whether the process that claimed the leader record is still there.
-    pub fn is_present(&self, record: &LeaderRecord) -> bool {
+    pub fn is_holder_present(&self, record: &LeaderRecord) -> bool {
         let membership = record.node.as_ref().and_then(|node| self.controllers.get(node));
         membership.is_some_and(|membership| membership.record.incarnation == record.incarnation)
     }
 
     /// Takes the record stored under a key.
-    fn insert(&mut self, key: &str, value: Value, version: Revision) {
+    fn insert_item(&mut self, key: &str, value: Value, version: Revision) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             if let Some(record) = decode(key, value) {
                 self.jobs.insert(id, Versioned { record, version });
@@ -128,14 +128,15 @@
             }
         } else if key == LEADER_KEY {
             self.leader = decode(key, value).map(|record| Versioned { record, version });
-            self.leader_since = Some(now());
+            self.leader_first_seen = Some(now());
         } else if key == MACHINE_TYPES_KEY {
-            self.types = decode::<MachineTypesRecord>(key, value).map(|record| record.types);
+            self.machine_types =
+                decode::<MachineTypesRecord>(key, value).map(|record| record.types);
         }
     }
 
     /// Drops the record of a key that was deleted.
-    fn remove(&mut self, key: &str) {
+    fn remove_key(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             self.jobs.remove(&id);
         } else if let Some(node) = key.strip_prefix(CONTROLLERS_PREFIX) {
@@ -152,13 +153,13 @@
         for event in events.events {
             match event {
                 Event::Put { key, value, version } if version > self.revision => {
-                    self.insert(&key, value, version);
-                    changes.changed = true;
+                    self.insert_item(&key, value, version);
+                    changes.has_changes = true;
                 }
                 Event::Delete { key, version } if version > self.revision => {
-                    self.remove(&key);
-                    changes.ended.extend(key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse));
-                    changes.changed = true;
+                    self.remove_key(&key);
+                    changes.ended_jobs.extend(key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse));
+                    changes.has_changes = true;
                 }
                 _ => {}
             }
@@ -168,22 +169,22 @@
     }
 
     /// Takes over what a read of everything doesn't tell.
-    pub(super) fn inherit(&mut self, before: &mut Self) {
-        self.finals = std::mem::take(&mut before.finals);
-        self.finals_order = std::mem::take(&mut before.finals_order);
+    pub(super) fn carry_over_from(&mut self, previous: &mut Self) {
+        self.final_records = std::mem::take(&mut previous.final_records);
+        self.final_records_order = std::mem::take(&mut previous.final_records_order);
         // Old transfer requests don't count again: a leader that was merely quiet would leave its
         // place for them.
-        let known = &before.transfer_requests;
+        let known = &previous.transfer_requests;
         self.transfer_requests.retain(|name, request| match known.get(name) {
-            Some(before) if before.version == request.version => {
-                request.first_seen = before.first_seen;
+            Some(previous) if previous.version == request.version => {
+                request.first_seen = previous.first_seen;
                 true
             }
-            before => before.is_some(),
+            previous => previous.is_some(),
         });
         let version_of = |contents: &Self| contents.leader.as_ref().map(|leader| leader.version);
-        if version_of(self) == version_of(before) {
-            self.leader_since = before.leader_since.or(self.leader_since);
+        if version_of(self) == version_of(previous) {
+            self.leader_first_seen = previous.leader_first_seen.or(self.leader_first_seen);
         }
     }
 }
@@ -192,9 +193,9 @@
 #[derive(Default)]
 pub(super) struct ReadChanges {
     /// Whether any record was written or deleted.
-    pub(super) changed: bool,
+    pub(super) has_changes: bool,
     /// Jobs that are no longer unfinished.
-    pub(super) ended: Vec<JobId>,
+    pub(super) ended_jobs: Vec<JobId>,
 }
 
 /// The record stored under a key; an unreadable one is reported and left out.
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -29,14 +29,14 @@
 /// that the read shows as over, whatever else it is waiting for.
 pub trait ReplicaObserver {
     /// These jobs are no longer unfinished.
-    fn jobs_ended(&self, jobs: &[JobId]);
+    fn on_jobs_ended(&self, jobs: &[JobId]);
 
     /// The copy was replaced as a whole; `unfinished` are all jobs that are not over, with the
     /// versions of their records.
-    fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>);
+    fn on_jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>);
 
     /// Whether changes have to be seen soon, as by a leader.
-    fn watches_closely(&self) -> bool;
+    fn needs_prompt_updates(&self) -> bool;
 }
 
 /// Keeps a [`StoreReplica`] up to date.
@@ -68,9 +68,9 @@
     /// Serves [`StoreReplica::refresh`].
     pub async fn serve_refreshes(self: Rc<Self>) {
         loop {
-            let ticket = self.replica.refreshes.next().await;
+            let ticket = self.replica.refresh_queue.next_ticket().await;
             let fresh = self.replica.is_synced() && self.read_changes().await;
-            self.replica.refreshes.serve(ticket, fresh);
+            self.replica.refresh_queue.complete_ticket(ticket, fresh);
             if !fresh {
                 tokio::time::sleep(REFRESH_RETRY).await;
             }
@@ -79,7 +79,7 @@
 
     /// Waits for changes once; returns how long to pause before the next watch, if at all.
     async fn watch_once(&self) -> Option<Duration> {
-        let wait = self.env.settings.watch_wait();
+        let wait = self.env.settings.watch_timeout();
         let after = self.replica.contents.borrow().revision();
         let started = now();
         let read =
@@ -88,7 +88,7 @@
             Ok(events) => {
                 let waited = now().saturating_duration_since(started);
                 let quiet = events.events.is_empty() && waited >= wait / 2;
-                self.take_events(events, started);
+                self.apply_read(events, started);
                 // Its proof of fresh state is as old as the watch was long: a pause on top would
                 // make a standby doubt the service, and tell the load balancer that it isn't ready.
                 (!quiet).then(|| self.watch_pause())
@@ -106,7 +106,9 @@
 
     fn watch_pause(&self) -> Duration {
         // Without the machine types, or a leader, users and workers wait for what comes next.
-        if self.observer.watches_closely() || !self.replica.contents.borrow().is_served() {
+        if self.observer.needs_prompt_updates()
+            || !self.replica.contents.borrow().can_serve_requests()
+        {
             WATCH_PAUSE
         } else {
             STANDBY_WATCH_PAUSE
@@ -124,7 +126,7 @@
             .await;
         match read {
             Ok(events) => {
-                self.take_events(events, started);
+                self.apply_read(events, started);
                 true
             }
             Err(error) => {
@@ -136,11 +138,11 @@
 
     /// Takes what a read begun at `started` brought. It is a proof of fresh state (S6) only once
     /// the observer has it.
-    fn take_events(&self, events: Events, started: Instant) {
+    fn apply_read(&self, events: Events, started: Instant) {
         let changes = self.replica.contents.borrow_mut().apply_events(events);
-        self.observer.jobs_ended(&changes.ended);
-        self.replica.proof.prove(started);
-        if changes.changed {
+        self.observer.on_jobs_ended(&changes.ended_jobs);
+        self.replica.proof.record_read(started);
+        if changes.has_changes {
             self.replica.changed.notify_waiters();
         }
     }
@@ -155,11 +157,11 @@
             if current.revision() > revision {
                 return Ok(());
             }
-            contents.inherit(&mut current);
+            contents.carry_over_from(&mut current);
             *current = contents;
-            self.observer.jobs_reloaded(&current.jobs);
+            self.observer.on_jobs_reloaded(&current.jobs);
         }
-        self.replica.proof.prove(started);
+        self.replica.proof.record_read(started);
         self.replica.synced.set(true);
         self.replica.changed.notify_waiters();
         Ok(())
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -20,22 +20,22 @@
 
 struct Recorder {
     replica: Rc<StoreReplica>,
-    ended: RefCell<Vec<Ended>>,
+    ended_jobs: RefCell<Vec<Ended>>,
 }
 
 impl ReplicaObserver for Recorder {
-    fn jobs_ended(&self, jobs: &[JobId]) {
+    fn on_jobs_ended(&self, jobs: &[JobId]) {
         let contents = self.replica.contents.borrow();
-        self.ended.borrow_mut().push(Ended {
+        self.ended_jobs.borrow_mut().push(Ended {
             jobs: jobs.to_vec(),
             still_in_replica: jobs.iter().any(|id| contents.jobs.contains_key(id)),
             proven_at: self.replica.proven_at(),
         });
     }
 
-    fn jobs_reloaded(&self, _: &BTreeMap<JobId, Versioned<JobRecord>>) {}
+    fn on_jobs_reloaded(&self, _: &BTreeMap<JobId, Versioned<JobRecord>>) {}
 
-    fn watches_closely(&self) -> bool {
+    fn needs_prompt_updates(&self) -> bool {
         false
     }
 }
@@ -43,7 +43,7 @@
 fn follower() -> (ReplicaFollower, Rc<Recorder>) {
     let env = Rc::new(Environment::new(settings_of(14.0, 34.0, ""), Rc::new(Tcp), 1));
     let replica: Rc<StoreReplica> = Rc::default();
-    let observer = Rc::new(Recorder { replica: replica.clone(), ended: RefCell::default() });
+    let observer = Rc::new(Recorder { replica: replica.clone(), ended_jobs: RefCell::default() });
     (ReplicaFollower { env, replica, observer: observer.clone() }, observer)
 }
 
@@ -60,15 +60,15 @@
     let value = serde_json::to_value(&record).expect("serializable");
     let put = Event::Put { key: job_key(&id), value, version: Revision::new(1) };
     let first = now();
-    follower.take_events(Events { revision: Revision::new(1), events: vec![put] }, first);
+    follower.apply_read(Events { revision: Revision::new(1), events: vec![put] }, first);
     assert!(follower.replica.contents.borrow().jobs.contains_key(&id));
     assert_eq!(follower.replica.proven_at(), Some(first));
     tokio::time::advance(Duration::from_secs(1)).await;
     let second = now();
     let delete = Event::Delete { key: job_key(&id), version: Revision::new(2) };
-    follower.take_events(Events { revision: Revision::new(2), events: vec![delete] }, second);
+    follower.apply_read(Events { revision: Revision::new(2), events: vec![delete] }, second);
     assert_eq!(follower.replica.proven_at(), Some(second));
-    let ended = observer.ended.borrow();
+    let ended = observer.ended_jobs.borrow();
     let seen = ended.last().expect("the observer was told");
     assert_eq!(seen.jobs, [id]);
     assert!(!seen.still_in_replica, "the replica shows it already");
--- a/crates/corkfield/src/replica/freshness.rs
+++ b/crates/corkfield/src/replica/freshness.rs
@@ -6,7 +6,7 @@
 use tokio::sync::{watch, Notify};
 
 /// Age of a proof that was never given.
-const NEVER_PROVEN_AGE: Duration = Duration::from_secs(3600);
+const UNPROVEN_AGE: Duration = Duration::from_secs(3600);
 
 /// When the newest successful read was begun: what it brought was current then, or later.
 #[derive(Default)]
@@ -16,7 +16,7 @@
 
 impl FreshnessProof {
     /// A successful read was begun at `started`. Never goes back.
-    pub(super) fn prove(&self, started: Instant) {
+    pub(super) fn record_read(&self, started: Instant) {
         self.newest_read.set(self.newest_read.get().max(Some(started)));
     }
 
@@ -29,7 +29,7 @@
     pub(super) fn age(&self) -> Duration {
         self.newest_read
             .get()
-            .map_or(NEVER_PROVEN_AGE, |started| now().saturating_duration_since(started))
+            .map_or(UNPROVEN_AGE, |started| now().saturating_duration_since(started))
     }
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ServedTicket {
     ticket: u64,
-    fresh: bool,
+    succeeded: bool,
 }
 
 /// Requests for a read that is begun after the request. Each takes a ticket; a read serves all
@@ -55,25 +55,25 @@
         Self {
             newest_ticket: Cell::new(0),
             requested: Notify::new(),
-            served: watch::channel(ServedTicket { ticket: 0, fresh: true }).0,
+            served: watch::channel(ServedTicket { ticket: 0, succeeded: true }).0,
         }
     }
 }
 
 impl RefreshQueue {
     /// Waits for a read begun after the call; true if it succeeded within `limit`.
-    pub(super) async fn wait(&self, limit: Duration) -> bool {
+    pub(super) async fn wait_for_read(&self, limit: Duration) -> bool {
         let ticket = self.newest_ticket.get() + 1;
         self.newest_ticket.set(ticket);
         self.requested.notify_one();
         let mut served = self.served.subscribe();
         let wait = served.wait_for(|served| served.ticket >= ticket);
         let waited = tokio::time::timeout(limit, wait).await;
-        matches!(waited, Ok(Ok(served)) if served.fresh)
+        matches!(waited, Ok(Ok(served)) if served.succeeded)
     }
 
     /// Waits until somebody waits for a read; the newest ticket that it will serve.
-    pub(super) async fn next(&self) -> u64 {
+    pub(super) async fn next_ticket(&self) -> u64 {
         while self.newest_ticket.get() <= self.served.borrow().ticket {
             self.requested.notified().await;
         }
@@ -81,7 +81,7 @@
     }
 
     /// The read for all tickets up to this one has ended.
-    pub(super) fn serve(&self, ticket: u64, fresh: bool) {
-        self.served.send_replace(ServedTicket { ticket, fresh });
+    pub(super) fn complete_ticket(&self, ticket: u64, succeeded: bool) {
+        self.served.send_replace(ServedTicket { ticket, succeeded });
     }
 }
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -16,7 +16,7 @@
 const PATH_OVERVIEW: &str = "/operator/overview";
 const PATH_RELEASE: &str = "/operator/release/";
 /// A controller whose proof of fresh state is older has no answers from the state service.
-const READY_PROOF_AGE: Duration = Duration::from_secs(4);
+const MAX_READY_PROOF_AGE: Duration = Duration::from_secs(4);
 
 /// What a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -112,7 +112,7 @@
     pub async fn answer(self: Rc<Self>, request: Request) -> Response {
         let body = &request.body;
         match Route::parse(&request.method, request.path()) {
-            Ok(Route::Heartbeat) => self.workers.answer(body, request.connection).await,
+            Ok(Route::Heartbeat) => self.workers.answer_heartbeat(body, request.connection).await,
             Ok(Route::Ready) => self.ready(),
             Ok(Route::Overview) => leadership::overview(&self.env, &self.replica, &self.leadership),
             Ok(Route::Release(id)) => self.users.release(&id).await,
@@ -127,8 +127,8 @@
     /// none of them does, all stay, a restarted one too: there is nowhere better to go, and the
     /// load balancer would only let them wait longer once the service is back.
     fn ready(&self) -> Response {
-        let stale = !self.replica.is_synced() || self.replica.proof_age() > READY_PROOF_AGE;
-        if stale && self.peers.somebody_has_store() {
+        let stale = !self.replica.is_synced() || self.replica.proof_age() > MAX_READY_PROOF_AGE;
+        if stale && self.peers.has_peer_with_store_access() {
             return error(503, "not ready");
         }
         json(200, &serde_json::json!({"ready": true}))
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -13,15 +13,15 @@
 use tokio::sync::Notify;
 
 /// A lease is renewed after this part of its time to live; a renewal may take as long.
-const RENEWAL_PART: f64 = 0.2;
+const RENEWAL_FRACTION: f64 = 0.2;
 /// A renewal that failed is repeated after this part of the time to live.
-const RENEWAL_RETRY_PART: f64 = 0.03;
+const RENEWAL_RETRY_FRACTION: f64 = 0.03;
 /// The part of the time to live that counts: clocks may drift by the rest.
-const TRUSTED_PART: f64 = 0.998;
+const TRUSTED_FRACTION: f64 = 0.998;
 /// Allowance for delays of this process.
 const TRUSTED_MARGIN: Duration = Duration::from_millis(300);
 /// Pause after a lease could not be taken, in milliseconds; drawn at random.
-const TAKE_RETRY_MS: std::ops::Range<u64> = 100..400;
+const ACQUIRE_RETRY_MS: std::ops::Range<u64> = 100..400;
 
 /// This controller's lease, as the other components see it.
 ///
@@ -49,25 +49,25 @@
 
 /// A lease that is held, and for how long.
 struct HeldLease {
-    lease: Current,
+    lease: CurrentLease,
     /// By our own clock the lease surely goes on until then.
     valid_until: Instant,
 }
 
 /// A lease that is held.
 #[derive(Debug, Clone)]
-pub struct Current {
+pub struct CurrentLease {
     /// Names the period for which this lease is held; a new lease has another one.
     pub incarnation: Incarnation,
     /// The state service's number of the lease.
-    pub lease: u64,
+    pub lease_id: u64,
     /// Version of the membership key.
-    pub version: Revision,
+    pub membership_version: Revision,
 }
 
 impl SessionLease {
     /// The lease that is held.
-    pub fn current(&self) -> Option<Current> {
+    pub fn current(&self) -> Option<CurrentLease> {
         match &*self.state.borrow() {
             LeaseState::Absent => None,
             LeaseState::Held(held) => Some(held.lease.clone()),
@@ -89,7 +89,7 @@
     }
 
     /// The lease was renewed; nobody has to be notified of that.
-    fn extend(&self, until: Instant) {
+    fn extend_validity(&self, until: Instant) {
         if let LeaseState::Held(held) = &mut *self.state.borrow_mut() {
             held.valid_until = until;
         }
@@ -109,39 +109,39 @@
     pub async fn maintain(self: Rc<Self>) {
         let ttl = Duration::from_secs_f64(self.env.settings.operator.lease_s);
         loop {
-            match self.take(ttl).await {
-                Ok(held) => self.hold(held, ttl).await,
+            match self.acquire_lease(ttl).await {
+                Ok(held) => self.publish_and_renew(held, ttl).await,
                 Err(error) => {
                     tracing::debug!(%error, "can't take a lease");
-                    self.env.pause(TAKE_RETRY_MS).await;
+                    self.env.sleep_random(ACQUIRE_RETRY_MS).await;
                 }
             }
         }
     }
 
     /// Shows the lease and renews it; returns when it is lost.
-    async fn hold(&self, held: HeldLease, ttl: Duration) {
-        let lease = held.lease.lease;
+    async fn publish_and_renew(&self, held: HeldLease, ttl: Duration) {
+        let lease = held.lease.lease_id;
         tracing::info!(incarnation = %held.lease.incarnation, lease, "lease taken");
         self.session_lease.enter(LeaseState::Held(held));
-        self.renew(lease, ttl).await;
+        self.renew_until_lost(lease, ttl).await;
         self.session_lease.enter(LeaseState::Absent);
         tracing::warn!(lease, "lease lost");
     }
 
     /// Takes a lease and writes the membership key under it.
-    async fn take(&self, ttl: Duration) -> Result<HeldLease, StateError> {
+    async fn acquire_lease(&self, ttl: Duration) -> Result<HeldLease, StateError> {
         let key = controller_key(self.env.name.as_str());
         // What a former process of this controller left is written over: whoever it was is gone.
         let found = self.env.state.get(RequestClass::Lease, &key).await?;
         let started = now();
-        let lease = self.env.state.grant(ttl).await?;
+        let lease_id = self.env.state.grant(ttl).await?;
         let incarnation = format!("{}-{:08x}", self.env.name, self.env.random() as u32);
         let incarnation = Incarnation::from(incarnation);
-        let membership = Membership { incarnation: incarnation.clone(), lease };
-        let version = self.write_membership(&key, found, membership).await?;
-        let lease = Current { incarnation, lease, version };
-        Ok(HeldLease { lease, valid_until: started + trusted(ttl) })
+        let membership = Membership { incarnation: incarnation.clone(), lease: lease_id };
+        let membership_version = self.write_membership(&key, found, membership).await?;
+        let lease = CurrentLease { incarnation, lease_id, membership_version };
+        Ok(HeldLease { lease, valid_until: started + trusted_duration(ttl) })
     }
 
     /// Writes the membership key over what was found there; returns its version.
@@ -167,19 +167,19 @@
     }
 
     /// Returns when the lease is lost.
-    async fn renew(&self, lease: u64, ttl: Duration) {
-        let interval = ttl.mul_f64(RENEWAL_PART);
+    async fn renew_until_lost(&self, lease: u64, ttl: Duration) {
+        let interval = ttl.mul_f64(RENEWAL_FRACTION);
         loop {
             let started = now();
             let pause = match self.env.state.renew(lease, interval).await {
                 Ok(()) => {
-                    self.session_lease.extend(started + trusted(ttl));
+                    self.session_lease.extend_validity(started + trusted_duration(ttl));
                     interval
                 }
                 Err(StateError::NoSuchLease) => return,
                 Err(error) => {
                     tracing::debug!(lease, %error, "renewal failed");
-                    ttl.mul_f64(RENEWAL_RETRY_PART)
+                    ttl.mul_f64(RENEWAL_RETRY_FRACTION)
                 }
             };
             tokio::time::sleep(pause).await;
@@ -188,8 +188,8 @@
 }
 
 /// The part of a lease's time that counts, allowing for drift and for delays of our own.
-fn trusted(ttl: Duration) -> Duration {
-    ttl.mul_f64(TRUSTED_PART).saturating_sub(TRUSTED_MARGIN)
+fn trusted_duration(ttl: Duration) -> Duration {
+    ttl.mul_f64(TRUSTED_FRACTION).saturating_sub(TRUSTED_MARGIN)
 }
 
 #[cfg(test)]
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -18,12 +18,12 @@
 /// Where the platform doesn't say how much memory it grants.
 const DEFAULT_MAX_JOBS: usize = 20_000;
 
-/// One answer of the state service may take this part of the memory: one in so many bytes.
+/// One answer of the state service may take this share of the memory: one in so many bytes.
 const ANSWER_MEMORY_DIVISOR: usize = 32;
 /// In bytes. A page of a list has 512 KiB at most.
-const MIN_ANSWER_LIMIT: usize = 1024 * 1024;
+const MIN_STATE_ANSWER_BYTES: usize = 1024 * 1024;
 /// In bytes.
-const MAX_ANSWER_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_STATE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// A worker's lease may last longer than its time to live by this factor: clocks drift.
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
@@ -32,18 +32,18 @@
 /// The shortest answer limit, in seconds.
 const MIN_ANSWER_LIMIT_S: f64 = 1.0;
 
-/// A watch stays open for this part of the answer limit, within these bounds.
-const WATCH_WAIT_DIVISOR: u32 = 4;
-const MIN_WATCH_WAIT: Duration = Duration::from_millis(100);
-const MAX_WATCH_WAIT: Duration = Duration::from_millis(1500);
+/// A watch stays open for this share of the answer limit, within these bounds.
+const WATCH_TIMEOUT_DIVISOR: u32 = 4;
+const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Connections that a process may have open where the platform sets no limit.
 const DEFAULT_MAX_CONNECTIONS: usize = 900;
 /// Connections of each kind, at the least.
-const MIN_SOCKETS: usize = 8;
-/// Percentages of all connections; see [`Sockets`].
+const MIN_CONNECTIONS_PER_KIND: usize = 8;
+/// Percentages of all connections; see [`ConnectionLimits`].
 const ACCEPTED_PERCENT: usize = 65;
-const KEPT_PERCENT: usize = 62;
+const KEEP_ALIVE_PERCENT: usize = 62;
 const USERS_PERCENT: usize = 25;
 const DIRECT_ORDERS_PERCENT: usize = 22;
 
@@ -78,11 +78,11 @@
 
 /// How many connections of each kind may be open at once.
 #[derive(Debug, Clone, Copy)]
-pub struct Sockets {
+pub struct ConnectionLimits {
     /// Accepted from users and workers.
     pub accepted: usize,
     /// While more of these are open, each is closed after its answer.
-    pub kept: usize,
+    pub keep_alive: usize,
     /// Of these, from others than workers.
     pub users: usize,
     /// To machines.
@@ -101,10 +101,10 @@
 impl Settings {
     /// Reads and checks the platform's file and, if there is one, the operators'.
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Self, LoadError> {
-        let platform = Platform::parse(&read(config)?)
+        let platform = Platform::parse(&read_file(config)?)
             .map_err(|error| LoadError::Platform { path: config.to_owned(), error })?;
         let operator = match operator {
-            Some(path) => Operator::parse(&read(path)?)
+            Some(path) => Operator::parse(&read_file(path)?)
                 .map_err(|error| LoadError::Operator { path: path.to_owned(), error })?,
             None => Operator::default(),
         };
@@ -114,10 +114,10 @@
     /// Unfinished jobs that this controller keeps. A job takes some KiB, in the copy of the state
     /// service and in the leader.
     pub fn max_jobs(&self) -> usize {
-        self.operator.max_jobs.map_or_else(|| self.jobs_in_memory(), |most| most as usize)
+        self.operator.max_jobs.map_or_else(|| self.max_jobs_for_memory(), |max| max as usize)
     }
 
-    fn jobs_in_memory(&self) -> usize {
+    fn max_jobs_for_memory(&self) -> usize {
         self.memory_mb().map_or(DEFAULT_MAX_JOBS, |memory_mb| {
             (memory_mb * JOBS_PER_MB).clamp(MIN_MAX_JOBS, MAX_MAX_JOBS) as usize
         })
@@ -132,10 +132,10 @@
     /// Bytes that an answer of the state service may have. Read into records it takes several
     /// times as much for a moment, so a small process takes small ones: what is larger is read
     /// anew, page by page.
-    pub fn state_answer_limit(&self) -> usize {
-        self.memory_mb().map_or(MAX_ANSWER_LIMIT, |memory_mb| {
+    pub fn max_state_answer_bytes(&self) -> usize {
+        self.memory_mb().map_or(MAX_STATE_ANSWER_BYTES, |memory_mb| {
             let memory = (memory_mb * 1024.0 * 1024.0) as usize;
-            (memory / ANSWER_MEMORY_DIVISOR).clamp(MIN_ANSWER_LIMIT, MAX_ANSWER_LIMIT)
+            (memory / ANSWER_MEMORY_DIVISOR).clamp(MIN_STATE_ANSWER_BYTES, MAX_STATE_ANSWER_BYTES)
         })
     }
 
@@ -143,8 +143,8 @@
     /// worker's whole lease still has to pass before a cancellation's time is over.
     pub fn answer_limit(&self) -> Duration {
         let workers = &self.platform.params.workers;
-        let left = workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - ANSWER_MARGIN_S;
-        Duration::from_secs_f64(left.max(MIN_ANSWER_LIMIT_S))
+        let remaining_s = workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - ANSWER_MARGIN_S;
+        Duration::from_secs_f64(remaining_s.max(MIN_ANSWER_LIMIT_S))
     }
 
     /// How young a proof of fresh state has to be for a start to leave (S4).
@@ -157,23 +157,23 @@
     /// a quiet leader would otherwise refuse its workers between two watches. One and its
     /// predecessor, with a pause between them, also stay below the time after which a controller
     /// takes the service to be away.
-    pub fn watch_wait(&self) -> Duration {
-        (self.answer_limit() / WATCH_WAIT_DIVISOR).clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT)
+    pub fn watch_timeout(&self) -> Duration {
+        (self.answer_limit() / WATCH_TIMEOUT_DIVISOR).clamp(MIN_WATCH_TIMEOUT, MAX_WATCH_TIMEOUT)
     }
 
     /// The parts of the sockets that this process may have open. What is left is for the state
     /// service, the cloud and the other controllers.
-    pub fn sockets(&self) -> Sockets {
-        let all = match self.platform.params.limits.max_connections {
+    pub fn connection_limits(&self) -> ConnectionLimits {
+        let total = match self.platform.params.limits.max_connections {
             0 => DEFAULT_MAX_CONNECTIONS,
-            given => given as usize,
+            limit => limit as usize,
         };
-        let part = |percent: usize| (all * percent / 100).max(MIN_SOCKETS);
-        Sockets {
-            accepted: part(ACCEPTED_PERCENT),
-            kept: part(KEPT_PERCENT),
-            users: part(USERS_PERCENT),
-            direct_orders_in_flight: part(DIRECT_ORDERS_PERCENT),
+        let share = |percent: usize| (total * percent / 100).max(MIN_CONNECTIONS_PER_KIND);
+        ConnectionLimits {
+            accepted: share(ACCEPTED_PERCENT),
+            keep_alive: share(KEEP_ALIVE_PERCENT),
+            users: share(USERS_PERCENT),
+            direct_orders_in_flight: share(DIRECT_ORDERS_PERCENT),
         }
     }
 
@@ -204,7 +204,7 @@
                 platform.params.size,
                 platform.params.teams.len(),
             ),
-            self.sockets().summary(),
+            self.connection_limits().summary(),
             format!("users and workers: {}", platform.listen),
             format!("unfinished jobs: {} at most", self.max_jobs()),
             format!("controllers: {}", platform.peer_listen),
@@ -217,17 +217,17 @@
     }
 }
 
-impl Sockets {
+impl ConnectionLimits {
     fn summary(&self) -> String {
         format!(
             "connections: {} accepted, {} of them kept between requests, {} of users, {} to machines",
-            self.accepted, self.kept, self.users, self.direct_orders_in_flight,
+            self.accepted, self.keep_alive, self.users, self.direct_orders_in_flight,
         )
     }
 }
 
 /// The contents of a file of settings.
-fn read(path: &Path) -> Result<String, LoadError> {
+fn read_file(path: &Path) -> Result<String, LoadError> {
     std::fs::read_to_string(path).map_err(|error| LoadError::Read { path: path.to_owned(), error })
 }
 
--- a/crates/corkfield/src/settings/operator.rs
+++ b/crates/corkfield/src/settings/operator.rs
@@ -93,11 +93,11 @@
             return Err(OperatorError::NotAnObject);
         }
         let operator: Self = serde_json::from_value(value)?;
-        operator.check()?;
+        operator.validate()?;
         Ok(operator)
     }
 
-    fn check(&self) -> Result<(), OperatorError> {
+    fn validate(&self) -> Result<(), OperatorError> {
         let ranges = [
             Range::new("lease_s", self.lease_s, 1.0, 120.0),
             Range::new("claim_batch", self.claim_batch, 1.0, 100.0),
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -31,10 +31,10 @@
     assert_eq!(jobs("mem_mb = 0.0"), DEFAULT_MAX_JOBS);
     assert_eq!(jobs("mem_mb = 0.001"), MIN_MAX_JOBS as usize);
     assert_eq!(jobs("mem_mb = 1e300"), MAX_MAX_JOBS as usize);
-    let answer = |limits: &str| settings_of(14.0, 34.0, limits).state_answer_limit();
+    let answer = |limits: &str| settings_of(14.0, 34.0, limits).max_state_answer_bytes();
     assert!(answer("mem_mb = 37.0") < 2 * 1024 * 1024);
     assert!(answer("mem_mb = 0.001") > 512 * 1024, "a page of a list always fits");
-    assert_eq!(answer("mem_mb = 1e300"), MAX_ANSWER_LIMIT);
+    assert_eq!(answer("mem_mb = 1e300"), MAX_STATE_ANSWER_BYTES);
     let operator = Operator::parse("{\"max_jobs\": 7}").unwrap();
     let settings = Settings { operator, ..settings_of(14.0, 34.0, "mem_mb = 37.0") };
     assert_eq!(settings.max_jobs(), 7);
@@ -45,7 +45,7 @@
 fn a_quiet_watch_leaves_the_leader_fresh_enough_to_answer() {
     for (lease, cancel) in [(14.0, 34.0), (10.0, 10.0), (26.0, 27.0)] {
         let settings = settings_of(lease, cancel, "");
-        assert!(settings.watch_wait() * 3 <= settings.answer_limit(), "{lease} {cancel}");
+        assert!(settings.watch_timeout() * 3 <= settings.answer_limit(), "{lease} {cancel}");
     }
 }
 
--- a/crates/corkfield/src/timers.rs
+++ b/crates/corkfield/src/timers.rs
@@ -38,7 +38,7 @@
     }
 
     /// Waits for an event, for about one period at most; true if it came.
-    pub async fn within(&self, period: Duration, event: impl Future<Output = ()>) -> bool {
+    pub async fn wait_for_event(&self, period: Duration, event: impl Future<Output = ()>) -> bool {
         timeout_at(self.next(period), event).await.is_ok()
     }
 }
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -13,14 +13,14 @@
 use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
 use corkfield_wire::store::Transaction;
 use corkfield_wire::{JobId, JobStatus, Revision};
-use lookup::{view, LookupError, StoredJob, QUERY_LIMIT};
+use lookup::{job_view, LookupError, StoredJob, QUERY_TIMEOUT};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Users wait 5 s for a submission or a cancellation.
-const CHANGE_LIMIT: Duration = Duration::from_millis(4500);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Reason given to users who are asked to come back.
-const NO_STORE: &str = "the state service doesn't answer";
+const STORE_UNAVAILABLE: &str = "the state service doesn't answer";
 /// Pause after a cancellation met a newer record or no answer, in milliseconds; drawn at random.
 const CANCEL_RETRY_MS: std::ops::Range<u64> = 5..50;
 
@@ -37,43 +37,45 @@
 impl UserRequests {
     /// The answer to a query for a job.
     pub async fn query(&self, id: &JobId) -> Response {
-        match tokio::time::timeout(QUERY_LIMIT, self.find(id)).await {
+        match tokio::time::timeout(QUERY_TIMEOUT, self.find_job(id)).await {
             Ok(Ok(found)) => found.response(id).unwrap_or_else(|| error(404, "no such job")),
-            Ok(Err(reason)) => self.unavailable(id, &reason),
-            Err(_) => retry_later(NO_STORE),
+            Ok(Err(reason)) => self.lookup_failed_response(id, &reason),
+            Err(_) => retry_later(STORE_UNAVAILABLE),
         }
     }
 
     /// The answer to a cancellation (S11).
     pub async fn cancel(&self, id: &JobId) -> Response {
-        let run = self.cancel_stored(id);
-        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| retry_later(NO_STORE))
+        let run = self.cancel_job(id);
+        tokio::time::timeout(CHANGE_TIMEOUT, run)
+            .await
+            .unwrap_or_else(|_| retry_later(STORE_UNAVAILABLE))
     }
 
-    async fn cancel_stored(&self, id: &JobId) -> Response {
+    async fn cancel_job(&self, id: &JobId) -> Response {
         loop {
-            let (record, version) = match self.find(id).await {
+            let (record, version) = match self.find_job(id).await {
                 Ok(StoredJob::Unfinished { record, version }) => (record, version),
                 Ok(found) => {
                     return found.response(id).unwrap_or_else(|| error(404, "no such job"));
                 }
-                Err(reason) => return self.unavailable(id, &reason),
+                Err(reason) => return self.lookup_failed_response(id, &reason),
             };
             let cancelled = FinalRecord { status: JobStatus::Cancelled, done: record.done };
             match self.store_cancelled(id, version, &cancelled).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "cancelled");
-                    self.record_final(id, &cancelled).await;
-                    return json(200, &view(id, cancelled.status, cancelled.done, 0));
+                    self.record_final_state(id, &cancelled).await;
+                    return json(200, &job_view(id, cancelled.status, cancelled.done, 0));
                 }
                 Err(
                     StateError::Conflict(_) | StateError::NoAnswer(_) | StateError::Refused(429),
                 ) => {
-                    self.env.pause(CANCEL_RETRY_MS).await;
+                    self.env.sleep_random(CANCEL_RETRY_MS).await;
                 }
                 Err(error) => {
                     tracing::debug!(job = %id, %error, "can't store a cancellation");
-                    return retry_later(NO_STORE);
+                    return retry_later(STORE_UNAVAILABLE);
                 }
             }
         }
@@ -97,7 +99,7 @@
 
     /// An operator lets a dead-lettered job run again (S12).
     pub async fn release(&self, id: &JobId) -> Response {
-        let Ok(StoredJob::Unfinished { record, version }) = self.find(id).await else {
+        let Ok(StoredJob::Unfinished { record, version }) = self.find_job(id).await else {
             return error(404, "no such unfinished job");
         };
         if !record.dead_lettered {
@@ -107,17 +109,17 @@
         let value = store_value(&record);
         let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
         match self.env.state.transaction(RequestClass::Submission, &transaction).await {
-            Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
+            Ok(_) => json(200, &job_view(id, JobStatus::Queued, record.done, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "can't release");
-                retry_later(NO_STORE)
+                retry_later(STORE_UNAVAILABLE)
             }
         }
     }
 
     /// The answer while it is not known what the store holds of the job.
-    fn unavailable(&self, id: &JobId, reason: &LookupError) -> Response {
+    fn lookup_failed_response(&self, id: &JobId, reason: &LookupError) -> Response {
         tracing::debug!(job = %id, error = %reason, "job can't be looked up");
-        retry_later(NO_STORE)
+        retry_later(STORE_UNAVAILABLE)
     }
 }
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Users wait 2 s for a query.
-pub(super) const QUERY_LIMIT: Duration = Duration::from_millis(1700);
+pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
 
 /// What the store holds of a job, read after the request came in (S1).
 pub(super) enum StoredJob {
@@ -31,7 +31,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LookupError {
     #[error("the local copy could not be brought up to date")]
-    NotFresh,
+    RefreshFailed,
     #[error("can't read the final record: {0}")]
     Read(#[from] StateError),
     #[error("unreadable final record: {0}")]
@@ -43,27 +43,27 @@
     pub(super) fn response(&self, id: &JobId) -> Option<Response> {
         match self {
             Self::Unfinished { record, .. } => {
-                Some(json(200, &view(id, record.status(), record.done, record.running)))
+                Some(json(200, &job_view(id, record.status(), record.done, record.running)))
             }
-            Self::Final(record) => Some(json(200, &view(id, record.status, record.done, 0))),
+            Self::Final(record) => Some(json(200, &job_view(id, record.status, record.done, 0))),
             Self::Unknown => None,
         }
     }
 }
 
 /// A job as users see it, with the numbers of its tasks that are done and running.
-pub(super) fn view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
+pub(super) fn job_view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
     JobView { id: id.clone(), status, done: Some(done), running: Some(running) }
 }
 
 impl UserRequests {
     /// Finds out what the store holds of a job, not counting what it was before the call.
-    pub(super) async fn find(&self, id: &JobId) -> Result<StoredJob, LookupError> {
-        if let Some(record) = self.replica.contents.borrow().known_final(id) {
+    pub(super) async fn find_job(&self, id: &JobId) -> Result<StoredJob, LookupError> {
+        if let Some(record) = self.replica.contents.borrow().final_record(id) {
             return Ok(StoredJob::Final(record));
         }
-        if !self.replica.refresh(QUERY_LIMIT).await {
-            return Err(LookupError::NotFresh);
+        if !self.replica.refresh(QUERY_TIMEOUT).await {
+            return Err(LookupError::RefreshFailed);
         }
         if let Some(found) = self.find_in_replica(id) {
             return Ok(found);
@@ -75,14 +75,14 @@
             return Ok(StoredJob::Unknown);
         };
         let record: FinalRecord = serde_json::from_value(item.value)?;
-        self.record_final(id, &record).await;
+        self.record_final_state(id, &record).await;
         Ok(StoredJob::Final(record))
     }
 
     fn find_in_replica(&self, id: &JobId) -> Option<StoredJob> {
         let contents = self.replica.contents.borrow();
         // Another request may have been answered with it while this one's read was under way.
-        if let Some(record) = contents.known_final(id) {
+        if let Some(record) = contents.final_record(id) {
             return Some(StoredJob::Final(record));
         }
         let Versioned { record, version } = contents.jobs.get(id).cloned()?;
@@ -91,10 +91,10 @@
 
     /// The store surely holds this final state: it was read there, or committed. Before a user
     /// hears of a cancellation, whoever leads hears of it too, even if the store refuses it.
-    pub(super) async fn record_final(&self, id: &JobId, record: &FinalRecord) {
+    pub(super) async fn record_final_state(&self, id: &JobId, record: &FinalRecord) {
         if record.status == JobStatus::Cancelled {
             self.notifier.notify_all(id).await;
         }
-        self.replica.contents.borrow_mut().insert_final(id, record.clone());
+        self.replica.contents.borrow_mut().insert_final_record(id, record.clone());
     }
 }
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -1,7 +1,7 @@
 //! Submissions of jobs.
 
-use super::lookup::view;
-use super::{UserRequests, CHANGE_LIMIT, NO_STORE};
+use super::lookup::job_view;
+use super::{UserRequests, CHANGE_TIMEOUT, STORE_UNAVAILABLE};
 use crate::clock::unix_time_ms;
 use crate::responses::{error, json, retry_later};
 use corkfield_core::check_schedulable;
@@ -19,9 +19,9 @@
 enum Admission {
     Admitted,
     /// Too many jobs are unfinished, or the machine types are not known yet.
-    NotNow,
+    RetryLater,
     /// The job fits no machine type, for this reason.
-    NeverFits(String),
+    Unschedulable(String),
 }
 
 impl UserRequests {
@@ -30,37 +30,43 @@
         let parsed = JobSpec::parse(body);
         let run = async {
             match parsed {
-                Ok(spec) => self.accept(spec).await,
-                Err(BadSubmission { id, reason }) => self.refuse(id.as_ref(), 400, &reason).await,
+                Ok(spec) => self.accept_submission(spec).await,
+                Err(BadSubmission { id, reason }) => {
+                    self.refuse_submission(id.as_ref(), 400, &reason).await
+                }
             }
         };
-        tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| retry_later(NO_STORE))
+        tokio::time::timeout(CHANGE_TIMEOUT, run)
+            .await
+            .unwrap_or_else(|_| retry_later(STORE_UNAVAILABLE))
     }
 
     /// Refuses a submission for good, unless its id was accepted before (S2).
-    async fn refuse(&self, id: Option<&JobId>, status: u16, reason: &str) -> Response {
+    async fn refuse_submission(&self, id: Option<&JobId>, status: u16, reason: &str) -> Response {
         let refusal = error(status, reason);
         match id {
-            Some(id) => self.known_or(id, refusal).await,
+            Some(id) => self.stored_job_or(id, refusal).await,
             None => refusal,
         }
     }
 
     /// The answer to a repeated submission if the job is known, or else this one.
-    async fn known_or(&self, id: &JobId, otherwise: Response) -> Response {
-        match self.find(id).await {
+    async fn stored_job_or(&self, id: &JobId, otherwise: Response) -> Response {
+        match self.find_job(id).await {
             Ok(found) => found.response(id).unwrap_or(otherwise),
-            Err(reason) => self.unavailable(id, &reason),
+            Err(reason) => self.lookup_failed_response(id, &reason),
         }
     }
 
-    async fn accept(&self, spec: JobSpec) -> Response {
+    async fn accept_submission(&self, spec: JobSpec) -> Response {
         let id = spec.id.clone();
-        match self.admit(&spec) {
+        match self.check_admission(&spec) {
             Admission::Admitted => {}
-            Admission::NeverFits(reason) => return self.refuse(Some(&id), 422, &reason).await,
+            Admission::Unschedulable(reason) => {
+                return self.refuse_submission(Some(&id), 422, &reason).await
+            }
             // A known job is still recognised.
-            Admission::NotNow => return self.known_or(&id, retry_later("not now")).await,
+            Admission::RetryLater => return self.stored_job_or(&id, retry_later("not now")).await,
         }
         let record = JobRecord::new(spec, unix_time_ms());
         let Ok(value) = serde_json::to_value(&record) else {
@@ -70,37 +76,37 @@
             .when(job_key(&id), Revision::NONE)
             .when(final_key(&id), Revision::NONE)
             .put(job_key(&id), value);
-        self.store_new(&id, &transaction).await
+        self.store_new_job(&id, &transaction).await
     }
 
-    fn admit(&self, spec: &JobSpec) -> Admission {
+    fn check_admission(&self, spec: &JobSpec) -> Admission {
         let teams = &self.env.settings.platform.params.teams;
         let contents = self.replica.contents.borrow();
-        let crowded = contents.jobs.len() >= self.env.settings.max_jobs();
-        match contents.types.as_ref().map(|types| check_schedulable(spec, teams, types)) {
-            Some(Ok(())) if !crowded => Admission::Admitted,
-            Some(Err(misfit)) => Admission::NeverFits(misfit.to_string()),
-            _ => Admission::NotNow,
+        let at_job_limit = contents.jobs.len() >= self.env.settings.max_jobs();
+        match contents.machine_types.as_ref().map(|types| check_schedulable(spec, teams, types)) {
+            Some(Ok(())) if !at_job_limit => Admission::Admitted,
+            Some(Err(misfit)) => Admission::Unschedulable(misfit.to_string()),
+            _ => Admission::RetryLater,
         }
     }
 
-    async fn store_new(&self, id: &JobId, transaction: &Transaction) -> Response {
+    async fn store_new_job(&self, id: &JobId, transaction: &Transaction) -> Response {
         loop {
             match self.env.state.transaction(RequestClass::Submission, transaction).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "accepted");
-                    return json(201, &view(id, JobStatus::Queued, 0, 0));
+                    return json(201, &job_view(id, JobStatus::Queued, 0, 0));
                 }
                 // Known already, perhaps by an earlier try of ours whose answer was lost.
                 Err(StateError::Conflict(_)) => {
-                    return self.known_or(id, retry_later("not now")).await
+                    return self.stored_job_or(id, retry_later("not now")).await
                 }
                 Err(StateError::NoAnswer(_) | StateError::Refused(429)) => {
-                    self.env.pause(STORE_RETRY_MS).await;
+                    self.env.sleep_random(STORE_RETRY_MS).await;
                 }
                 Err(error) => {
                     tracing::debug!(job = %id, %error, "can't store a submission");
-                    return retry_later(NO_STORE);
+                    return retry_later(STORE_UNAVAILABLE);
                 }
             }
         }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -19,7 +19,7 @@
     ConnectionId, HeartbeatReply, Order, Redirect, RelayedHeartbeat, TaskId, WorkerHeartbeat,
 };
 use corkfield_wire::{Attempt, ControllerName, Generation};
-use redirects::Route;
+use redirects::HeartbeatRoute;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 /// A heartbeat for whose machine starts wait is kept this long for a proof of fresh state.
 const START_PROOF_WAIT: Duration = Duration::from_millis(600);
 /// Without any proof for this long the service is surely away: then no heartbeat waits for it.
-const STORE_AWAY: Duration = Duration::from_secs(4);
+const STORE_UNREACHABLE_AGE: Duration = Duration::from_secs(4);
 
 /// Answers workers' heartbeats: as the leader, or by sending them to whoever leads.
 pub struct WorkerHeartbeats {
@@ -46,7 +46,7 @@
     /// The way to a leader that a worker doesn't reach itself.
     pub links: Rc<PeerLinks>,
     /// Workers that were redirected.
-    pub redirected: Rc<RedirectedWorkers>,
+    pub redirected_workers: Rc<RedirectedWorkers>,
     /// The connections of users and workers.
     pub connections: Rc<Connections>,
 }
@@ -54,7 +54,7 @@
 impl WorkerHeartbeats {
     /// The answer to a heartbeat that a worker sent to this controller, over the connection with
     /// that number.
-    pub async fn answer(&self, body: &[u8], connection: u64) -> Response {
+    pub async fn answer_heartbeat(&self, body: &[u8], connection: u64) -> Response {
         let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
             Err(reason) => return error(400, &reason.to_string()),
@@ -84,10 +84,12 @@
         let heartbeat = &received.heartbeat;
         let leader = self.other_leader();
         if let Some(leader) = &leader {
-            if self.redirected.record_visit(heartbeat.machine.as_str()) == Route::Relay {
+            if self.redirected_workers.route_heartbeat(heartbeat.machine.as_str())
+                == HeartbeatRoute::Relay
+            {
                 let body = serde_json::to_vec(received).expect("plain structs with string keys");
-                if let Some(response) = self.links.relay(leader.as_str(), &body).await {
-                    return self.check_relayed(response);
+                if let Some(response) = self.links.relay_heartbeat(leader.as_str(), &body).await {
+                    return self.filter_relayed_answer(response);
                 }
             }
             self.leadership.note_stray_worker(self.replica.leader_known_for());
@@ -99,7 +101,7 @@
 
     /// The leader's answer goes to the worker as it is, but for starts that don't match the job's
     /// record as it is known here.
-    fn check_relayed(&self, response: Response) -> Response {
+    fn filter_relayed_answer(&self, response: Response) -> Response {
         if response.status != 200 {
             return retry_later("the planner has no answer");
         }
@@ -122,18 +124,19 @@
         let Some(scheduler) = self.leadership.scheduler() else {
             return json(421, &Redirect { report_to: None });
         };
-        if let Some(refusal) = self.refuse(&scheduler, received) {
+        if let Some(refusal) = self.process_heartbeat(&scheduler, received) {
             return refusal;
         }
         self.leadership.note_heartbeat();
         if scheduler.borrow().may_start_on(heartbeat.machine.as_str(), now()) {
             self.leadership.wait_for_pass().await;
         }
-        self.hold(&scheduler, heartbeat.machine.as_str()).await;
+        self.hold_answer(&scheduler, heartbeat.machine.as_str()).await;
         self.renew_start_proof(&scheduler, heartbeat.machine.as_str()).await;
         // The leader may have changed while the answer was held back.
-        let same = self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
-        if !same || !self.may_answer() {
+        let is_same_scheduler =
+            self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
+        if !is_same_scheduler || !self.may_answer() {
             return json(421, &Redirect { report_to: self.other_leader() });
         }
         let may_start = self.leadership.may_start(&self.session_lease) && self.has_start_proof();
@@ -145,7 +148,7 @@
     }
 
     /// Gives the heartbeat to the scheduler; the answer if it can't be taken.
-    fn refuse(
+    fn process_heartbeat(
         &self,
         scheduler: &RefCell<Scheduler>,
         received: &RelayedHeartbeat,
@@ -177,14 +180,14 @@
 
     /// Holds the answer to an idle machine back until there are orders for it, for a moment at
     /// most.
-    async fn hold(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
-        let hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
+    async fn hold_answer(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
+        let max_hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
         // Short of sockets, an answer that waits for work would keep other workers out.
-        let may_delay_answer = !hold.is_zero() && !self.connections.is_short_of_connections();
+        let may_delay_answer = !max_hold.is_zero() && !self.connections.is_short_of_connections();
         if may_delay_answer && scheduler.borrow().may_delay_answer(machine) {
-            let released = self.leadership.hold_answer(machine);
-            let _ = tokio::time::timeout(hold, released.notified()).await;
-            self.leadership.release_held_answer(machine, &released);
+            let answer_due = self.leadership.hold_answer(machine);
+            let _ = tokio::time::timeout(max_hold, answer_due.notified()).await;
+            self.leadership.release_held_answer(machine, &answer_due);
         }
     }
 
@@ -192,7 +195,8 @@
     /// it can then meet no more than the starts of about that time.
     async fn renew_start_proof(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let has_starts = scheduler.borrow().has_starts_for(machine);
-        if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_AWAY {
+        if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_UNREACHABLE_AGE
+        {
             self.replica.refresh(START_PROOF_WAIT).await;
         }
     }
@@ -224,7 +228,7 @@
         let contents = self.replica.contents.borrow();
         let record = &contents.leader.as_ref()?.record;
         let name = record.node.clone().filter(|name| *name != self.env.name)?;
-        contents.is_present(record).then_some(name)
+        contents.is_holder_present(record).then_some(name)
     }
 }
 
