--- a/crates/corkfield/src/clock.rs
+++ b/crates/corkfield/src/clock.rs
@@ -1,14 +1,14 @@
-//! The two clocks of a controller: the steady clock and the time of day.
+//! The two clocks of a controller: the monotonic clock and the wall clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The steady clock, as the scheduler sees it.
+/// Returns the current time of the monotonic clock, which is also the scheduler's clock.
 pub fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Returns the wall-clock time, in milliseconds since the Unix epoch.
 pub fn unix_time_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -1,5 +1,5 @@
-//! What every part of a controller uses and none of them owns: settings, identity, clients of
-//! outside services, timers and random numbers.
+//! Resources that all components of a controller share: settings, identity, clients of external
+//! services, timers and random numbers.
 
 use crate::clock::unix_time_ms;
 use crate::settings::Settings;
@@ -15,13 +15,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The surroundings of one controller process.
+/// Shared resources of a controller process.
 pub struct Environment {
-    /// The settings in force.
+    /// Settings of the platform and of the operators.
     pub settings: Settings,
     /// Name of this controller.
     pub name: ControllerName,
-    /// Tells this process from others of the same controller.
+    /// Random number that identifies this process among all processes of this controller.
     pub process: u64,
     /// Opens and accepts connections.
     pub network: Rc<dyn Network>,
@@ -35,7 +35,7 @@
 }
 
 impl Environment {
-    /// `seed` determines all random numbers of the process.
+    /// Creates the clients and timers; `seed` determines all random numbers of the process.
     pub fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
         let platform = &settings.platform;
         let params = &platform.params;
@@ -57,13 +57,15 @@
         }
     }
 
-    /// Waits for a random time, so that controllers don't all retry at once.
+    /// Sleeps for a random time within `ms`, in milliseconds, so that controllers don't all retry
+    /// at the same moment.
     pub async fn sleep_random(&self, ms: Range<u64>) {
         let ms = self.rng.borrow_mut().random_range(ms);
         tokio::time::sleep(Duration::from_millis(ms)).await;
     }
 
-    /// How long ago another controller noted this time of day, at the least.
+    /// Returns the minimum time since another controller recorded the wall-clock time
+    /// `recorded_ms`, allowing for the largest difference between the two controllers' clocks.
     pub fn min_age(&self, recorded_ms: u64) -> Duration {
         let max_clock_difference_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
         let age = Duration::from_millis(unix_time_ms().saturating_sub(recorded_ms));
@@ -72,7 +74,7 @@
         )
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub fn random(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -1,15 +1,16 @@
-//! A controller: settings, wiring, and everything that needs I/O.
+//! A controller process: its settings, its components and all of its I/O.
 //!
-//! Modules depend on each other one way, each line on those above it:
+//! Modules depend on each other in one direction only; each line may use only the lines above it:
 //!
-//! - `clock`, `responses`, `store_value`, `timers`, `settings`: of use to all;
-//! - `environment`: settings, clients of outside services, random numbers;
-//! - `replica`, `session_lease`, `peers`, `outbox`: what this controller
-//!   knows of the store, of its lease and of the other controllers;
-//! - `leadership`: election, and what a leader does outside the scheduler;
-//! - `peer_links`: the links between controllers;
-//! - `notifications`, `workers`, `users`: requests;
-//! - `routes`: which component answers which request;
+//! - `clock`, `responses`, `store_value`, `timers`, `settings`: utilities and
+//!   settings that all modules use;
+//! - `environment`: settings, clients of external services, random numbers;
+//! - `replica`, `session_lease`, `peers`, `outbox`: the local view of the state service, of this
+//!   controller's lease and of the other controllers;
+//! - `leadership`: leader election, and the leader's loops around the scheduler;
+//! - `peer_links`: the connections between controllers;
+//! - `notifications`, `workers`, `users`: handlers of requests;
+//! - `routes`: dispatches HTTP requests to the handlers;
 //! - `node`: builds the components and starts their loops.
 #![forbid(unsafe_code)]
 
--- a/crates/corkfield/src/main.rs
+++ b/crates/corkfield/src/main.rs
@@ -1,4 +1,4 @@
-//! corkfield: a cluster scheduler.
+//! The `corkfield` program: command line, and start of a controller.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -18,7 +18,7 @@
     /// The platform's settings file (TOML)
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// The operators' own settings (JSON; see `corkfield schema`)
+    /// The operator settings file (JSON; see `corkfield schema`)
     #[arg(long, value_name = "FILE", env = "CORKFIELD_OPERATOR", global = true)]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -29,9 +29,9 @@
 enum Command {
     /// Run a controller (the default)
     Run,
-    /// Check the settings and say what they come to; needs no running service
+    /// Check the settings and print a summary of them; needs no running service
     Check,
-    /// Print the JSON schema of the operators' own settings
+    /// Print the JSON schema of the operator settings
     Schema,
 }
 
@@ -46,7 +46,7 @@
         return ExitCode::SUCCESS;
     }
     let Some(config) = cli.config else {
-        return exit_with_error(ExitCode::from(USAGE_ERROR), "--config FILE is needed");
+        return exit_with_error(ExitCode::from(USAGE_ERROR), "--config FILE is required");
     };
     let settings = match Settings::load(&config, cli.operator.as_deref()) {
         Ok(settings) => settings,
@@ -62,9 +62,9 @@
     run_controller(settings)
 }
 
-/// Runs a controller; returns only if it can't start.
+/// Runs a controller; returns only if the controller can't start.
 fn run_controller(settings: Settings) -> ExitCode {
-    // One thread: the machines give a process only a small share of one core.
+    // A single-threaded runtime: the platform grants a process only a small share of one core.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -78,6 +78,7 @@
     }
 }
 
+/// Prints the reason to standard error and returns the exit status `code`.
 fn exit_with_error(code: ExitCode, reason: impl Display) -> ExitCode {
     eprintln!("corkfield: {reason}");
     code
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller: its components are built and wired together here, and their loops started.
+//! Builds the components of a controller, connects them and starts their loops.
 
 use crate::environment::Environment;
 use crate::leadership::{self, Leadership, LeadershipContext};
@@ -25,46 +25,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Tries to listen at an address, after the first one.
+/// How often binding a listener is retried after the first attempt failed.
 const LISTEN_RETRIES: u32 = 20;
 const LISTEN_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before a loop that ended is started again.
+/// Pause before a loop that ended unexpectedly is restarted.
 const RESTART_PAUSE: Duration = Duration::from_millis(500);
 
-/// The components of one controller, as built here.
+/// The components of a controller that are shared between its loops and request handlers.
 struct Components {
-    /// Settings, identity, and clients of outside services.
+    /// Settings, identity, and clients of external services.
     env: Rc<Environment>,
-    /// The copy of the store.
+    /// The local copy of the state service.
     replica: Rc<StoreReplica>,
     /// This controller's lease.
     session_lease: Rc<SessionLease>,
-    /// This controller's part in election and leading.
+    /// The state of leader election and leadership.
     leadership: Rc<Leadership>,
     /// The view of the other controllers.
     peers: Rc<Peers>,
-    /// Cancellations that other controllers have still to acknowledge.
+    /// Cancellations that other controllers have not acknowledged yet.
     outbox: Rc<CancellationOutbox>,
-    /// Workers that were redirected to the leader.
+    /// Workers that were recently redirected to the leader.
     redirected_workers: Rc<RedirectedWorkers>,
-    /// The connections of users and workers.
+    /// Counts the open connections of users and workers.
     connections: Rc<Connections>,
 }
 
-/// Why a controller can't start.
+/// An error that prevents a controller from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// An address from the settings can't be listened at.
+    /// The controller can't listen on an address from its settings.
     #[error("can't listen on {addr}: {error}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         error: std::io::Error,
     },
 }
 
-/// Runs a controller; returns only if it can't start. All its random numbers follow from `seed`.
+/// Runs a controller; returns only if the controller can't start. `seed` determines all random
+/// numbers of the process.
 pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
     let users_listener = listen(&*network, settings.platform.listen).await?;
     let peers_listener = listen(&*network, settings.platform.peer_listen).await?;
@@ -83,9 +84,9 @@
     Ok(())
 }
 
-/// Begins to accept connections at an address.
+/// Starts to listen on an address; retries while the address is in use.
 async fn listen(network: &dyn Network, addr: SocketAddr) -> Result<Box<dyn Listener>, RunError> {
-    // A restarted process may find its address still taken for a moment.
+    // After a restart the address may still be in use by the previous process for a moment.
     let mut retries = 0;
     loop {
         match network.listen(addr).await {
@@ -117,8 +118,8 @@
     }
 }
 
-/// Users must not take the connections that workers need: a worker without one loses its lease and
-/// all that it runs.
+/// Returns the connection limits of the HTTP server. Connections of users are limited separately:
+/// a worker that gets no connection loses its lease and all tasks that it runs.
 fn http_limits(limits: ConnectionLimits) -> Limits {
     Limits {
         connections: limits.accepted,
@@ -129,7 +130,7 @@
     }
 }
 
-/// What answers workers.
+/// Builds the handler of workers' heartbeats.
 fn build_worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
     WorkerHeartbeats {
         env: components.env.clone(),
@@ -143,7 +144,7 @@
     }
 }
 
-/// What answers users.
+/// Builds the handler of users' requests.
 fn build_user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
     UserRequests {
         env: components.env.clone(),
@@ -159,7 +160,7 @@
     }
 }
 
-/// What answers all requests.
+/// Builds the dispatcher of HTTP requests.
 fn build_routes(
     components: &Components,
     links: &Rc<PeerLinks>,
@@ -175,14 +176,14 @@
     }
 }
 
-/// Serves users, workers, operators and the load balancer.
+/// Starts to serve HTTP requests of users, workers, operators and the load balancer.
 fn serve_requests(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
     let handler = Rc::new(move |request| routes.clone().answer(request));
     tokio::task::spawn_local(serve_counted(listener, components.connections.clone(), handler));
 }
 
-/// Serves the links that other controllers open, and keeps one to each of them.
+/// Starts to serve the links that other controllers open, and to maintain a link to each of them.
 fn serve_peers(
     components: &Components,
     listener: Box<dyn Listener>,
@@ -210,7 +211,7 @@
     }
 }
 
-/// Starts the loops that keep the copy of the store up to date.
+/// Starts the loops that keep the local copy of the state service up to date.
 fn follow_store(components: &Components) {
     let follower = Rc::new(ReplicaFollower {
         env: components.env.clone(),
@@ -224,14 +225,14 @@
     tokio::task::spawn_local(supervise("refresher", serve_refreshes));
 }
 
-/// Starts the loop that keeps this controller's lease.
+/// Starts the loop that acquires and renews this controller's lease.
 fn maintain_lease(components: &Components) {
     let (env, session_lease) = (components.env.clone(), components.session_lease.clone());
     let keeper = Rc::new(LeaseKeeper { env, session_lease });
     tokio::task::spawn_local(supervise("session lease", move || keeper.clone().maintain()));
 }
 
-/// Runs the loop of election and leading.
+/// Runs the loop of leader election and leadership.
 async fn run_leadership(components: &Components) {
     let context = Rc::new(LeadershipContext {
         env: components.env.clone(),
@@ -243,20 +244,22 @@
     supervise("leader", move || leadership::run(context.clone())).await;
 }
 
-/// Runs a loop for ever. A fault in it must not end the controller, nor leave it half dead: the
-/// loop is started again from what is stored.
+/// Runs a loop forever and restarts it whenever it ends or panics. A fault in one loop must neither
+/// end the controller nor leave it running without that loop; the restarted loop begins from the
+/// stored state.
 async fn supervise<F>(name: &str, run: impl Fn() -> F)
 where
     F: Future<Output = ()> + 'static,
 {
     loop {
         let ended = tokio::task::spawn_local(run()).await;
-        tracing::error!(component = name, ?ended, "loop ended; started again");
+        tracing::error!(component = name, ?ended, "loop ended unexpectedly; restarting it");
         tokio::time::sleep(RESTART_PAUSE).await;
     }
 }
 
-/// A leader stops what a read shows as over before the read counts as proof of fresh state (S6).
+/// A leader closes the jobs that a read shows as finished before the read counts as proof of fresh
+/// state (S6).
 impl ReplicaObserver for Leadership {
     fn on_jobs_ended(&self, jobs: &[JobId]) {
         self.close_jobs(jobs);
@@ -271,7 +274,7 @@
     }
 }
 
-/// Answers what the other controllers ask of this one.
+/// Handles requests of the other controllers: relayed heartbeats and cancellations.
 struct PeerRequests {
     workers: Rc<WorkerHeartbeats>,
     leadership: Rc<Leadership>,
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -1,8 +1,9 @@
-//! Cancellations, announced to the other controllers over the links between them.
+//! Notifies the other controllers of cancellations over the links between controllers.
 //!
-//! The state service may refuse the leader alone while others commit cancellations. What it then
-//! doesn't read it hears here, and stops at once. That comes on top of the answer limit (S6), which
-//! holds with no other controller in reach.
+//! The state service may be unreachable for the leader while other controllers commit
+//! cancellations. The notification tells the leader of a cancellation that it can't read, and the
+//! leader stops the job at once. The notifications add to the answer limit (S6), which holds even
+//! if the leader reaches no other controller.
 
 use crate::environment::Environment;
 use crate::leadership::Leadership;
@@ -14,29 +15,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A user's answer waits this long for the leader's acknowledgement.
+/// How long the answer to a user waits for the leader's acknowledgement.
 const ACKNOWLEDGEMENT_WAIT: Duration = Duration::from_millis(300);
 
-/// Announces cancellations.
+/// Notifies all controllers of cancellations.
 pub struct CancellationNotifier {
-    /// Surroundings: the settings name the other controllers.
+    /// Settings, which name the other controllers.
     pub env: Rc<Environment>,
-    /// Names the leader.
+    /// The local copy of the state service, which names the leader.
     pub replica: Rc<StoreReplica>,
     /// Stops the job's tasks if this controller leads.
     pub leadership: Rc<Leadership>,
-    /// Say whether they lead.
+    /// The latest heartbeats of the other controllers, which state whether they lead.
     pub peers: Rc<Peers>,
     /// The links to the other controllers.
     pub links: Rc<PeerLinks>,
-    /// Where the announcements wait for acknowledgement.
+    /// Holds the notifications until they are acknowledged.
     pub outbox: Rc<CancellationOutbox>,
 }
 
 impl CancellationNotifier {
-    /// Announces to all controllers that the state service holds the job as cancelled, and waits a
-    /// moment for whoever leads. Called only for what was committed or read here: a cancellation
-    /// whose commit had no answer may never come about, and is not announced.
+    /// Notifies all controllers that the state service holds the job as cancelled, and waits up to
+    /// [`ACKNOWLEDGEMENT_WAIT`] for the leader's acknowledgement. Must be called only for a
+    /// cancellation that this controller committed or read: a commit without an answer may never
+    /// have been executed, so its cancellation must not be announced.
     pub async fn notify_all(&self, id: &JobId) {
         self.leadership.note_cancelled(id);
         let peers = self.env.settings.platform.peers.iter();
@@ -46,6 +48,7 @@
         let _ = tokio::time::timeout(ACKNOWLEDGEMENT_WAIT, acknowledged).await;
     }
 
+    /// Returns the controllers that may lead and that this controller has a link to.
     fn linked_leaders(&self) -> Vec<ControllerName> {
         let contents = self.replica.contents.borrow();
         let recorded = contents.leader.as_ref().and_then(|leader| leader.record.node.as_ref());
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which component answers which HTTP request.
+//! Dispatches HTTP requests to the components that answer them.
 
 use crate::environment::Environment;
 use crate::leadership::{self, Leadership};
@@ -15,29 +15,30 @@
 
 const PATH_OVERVIEW: &str = "/operator/overview";
 const PATH_RELEASE: &str = "/operator/release/";
-/// A controller whose proof of fresh state is older has no answers from the state service.
+/// A controller whose proof of fresh state is older than this counts as cut off from the state
+/// service.
 const MAX_READY_PROOF_AGE: Duration = Duration::from_secs(4);
 
-/// What a request asks for.
+/// The operation that a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Route {
     /// A worker's heartbeat.
     Heartbeat,
-    /// Whether the load balancer may send users here.
+    /// The load balancer's readiness check.
     Ready,
-    /// The operators' view.
+    /// The overview for operators.
     Overview,
-    /// An operator lets a dead-lettered job run again.
+    /// An operator releases a dead-lettered job.
     Release(JobId),
     /// A user submits a job.
     Submit,
-    /// A user asks for a job.
+    /// A user queries the status of a job.
     Query(JobId),
     /// A user cancels a job.
     Cancel(JobId),
 }
 
-/// Why a request asks for nothing that there is.
+/// Why a request matches no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RouteError {
     NoSuchPath,
@@ -46,6 +47,7 @@
 }
 
 impl Route {
+    /// Returns the route of a request.
     fn parse(method: &str, path: &str) -> Result<Self, RouteError> {
         match path {
             PATH_HEARTBEAT => post_only(method, Self::Heartbeat),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Of the requests about one job.
+    /// Returns the route of a request for one job.
     fn parse_job(method: &str, path: &str) -> Result<Self, RouteError> {
         let below_jobs = path.strip_prefix(PATH_JOBS).and_then(|path| path.strip_prefix('/'));
         let rest = below_jobs.ok_or(RouteError::NoSuchPath)?;
@@ -73,6 +75,7 @@
     }
 }
 
+/// Returns the route if the method is POST.
 fn post_only(method: &str, route: Route) -> Result<Route, RouteError> {
     if method == "POST" {
         Ok(route)
@@ -82,6 +85,7 @@
 }
 
 impl RouteError {
+    /// Returns the answer to a request that matches no route.
     fn response(self) -> Response {
         match self {
             Self::NoSuchPath => error(404, "no such path"),
@@ -91,24 +95,24 @@
     }
 }
 
-/// The components that answer requests.
+/// Dispatches requests to the components that answer them.
 pub struct Routes {
-    /// Answers users.
+    /// Answers users' requests.
     pub users: UserRequests,
-    /// Answers workers.
+    /// Answers workers' heartbeats.
     pub workers: Rc<WorkerHeartbeats>,
-    /// Whether this controller has answers from the state service.
+    /// The local copy of the state service, whose age the readiness check uses.
     pub replica: Rc<StoreReplica>,
-    /// Whether another controller has.
+    /// The other controllers' view of the state service, which the readiness check uses.
     pub peers: Rc<Peers>,
-    /// The operators' view.
+    /// The state of leadership, which the operators' overview shows.
     pub leadership: Rc<Leadership>,
-    /// Identity of this controller.
+    /// Identity and settings of this controller.
     pub env: Rc<Environment>,
 }
 
 impl Routes {
-    /// The answer to a request of a user, a worker, an operator or the load balancer.
+    /// Answers a request of a user, a worker, an operator or the load balancer.
     pub async fn answer(self: Rc<Self>, request: Request) -> Response {
         let body = &request.body;
         match Route::parse(&request.method, request.path()) {
@@ -123,9 +127,10 @@
         }
     }
 
-    /// A controller that alone gets no answers from the state service sends users elsewhere. When
-    /// none of them does, all stay, a restarted one too: there is nowhere better to go, and the
-    /// load balancer would only let them wait longer once the service is back.
+    /// Answers the readiness check. A controller that can't reach the state service is not ready
+    /// while another controller can reach it. If no controller can, all of them report ready, also
+    /// one that was just restarted: no other controller could serve the users better, and the load
+    /// balancer would delay users further once the state service is back.
     fn ready(&self) -> Response {
         let stale = !self.replica.is_synced() || self.replica.proof_age() > MAX_READY_PROOF_AGE;
         if stale && self.peers.has_peer_with_store_access() {
--- a/crates/corkfield/src/routes/tests.rs
+++ b/crates/corkfield/src/routes/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn each_request_finds_its_route() {
+fn parse_returns_the_route_of_each_request() {
     let id = "j-000001";
     let query = format!("{PATH_JOBS}/{id}");
     let cancel = format!("{PATH_JOBS}/{id}/{PATH_CANCEL}");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn requests_for_nothing_are_told_apart() {
+fn parse_distinguishes_unknown_paths_unknown_jobs_and_wrong_methods() {
     let query = format!("{PATH_JOBS}/j-000001");
     let bad_query = format!("{PATH_JOBS}/no job");
     let cancel = format!("{query}/{PATH_CANCEL}");
--- a/crates/corkfield/src/store_value.rs
+++ b/crates/corkfield/src/store_value.rs
@@ -1,25 +1,27 @@
-//! Records as values of the state service.
+//! Serialization of records to values of the state service.
 
 use serde::Serialize;
 use serde_json::Value;
 use std::io::{self, Write};
 
-/// The record as a value to be stored.
+/// Converts a record to the JSON value to store.
 ///
-/// Every record is a plain struct whose maps, if any, have string keys; serialization fails for
-/// nothing else, as it writes to memory.
+/// # Panics
+///
+/// Panics if serialization fails. It can't fail for records: they are plain structs whose maps have
+/// string keys, and the serializer writes to memory.
 pub fn store_value(record: &impl Serialize) -> Value {
     serde_json::to_value(record).expect("records are plain structs with string keys")
 }
 
-/// Bytes that a record or a transaction takes when it is sent, without keeping them.
+/// Returns the length of the JSON of a record or transaction, in bytes, without storing the JSON.
 pub fn serialized_bytes(value: &impl Serialize) -> usize {
     let mut counter = ByteCounter(0);
     serde_json::to_writer(&mut counter, value).expect("records are plain structs with string keys");
     counter.0
 }
 
-/// Counts what is written to it.
+/// A writer that counts the bytes written to it and discards them.
 struct ByteCounter(usize);
 
 impl Write for ByteCounter {
--- a/crates/corkfield/src/store_value/tests.rs
+++ b/crates/corkfield/src/store_value/tests.rs
@@ -3,7 +3,7 @@
 use corkfield_wire::{ControllerName, Incarnation, Term};
 
 #[test]
-fn counted_bytes_are_those_of_the_serialization() {
+fn serialized_bytes_equals_the_length_of_the_json() {
     let node = Some(ControllerName::from("contröller \"a\"\n"));
     let record = LeaderRecord {
         node,
--- a/crates/corkfield/src/timers.rs
+++ b/crates/corkfield/src/timers.rs
@@ -1,18 +1,18 @@
-//! Timers of periodic work, aligned so that they fire together.
+//! Timers for periodic work, aligned so that they fire at the same moments.
 //!
-//! Each time a process wakes costs it system calls, whatever it then finds to do. A dozen loops
-//! with timers of their own would wake it dozens of times a second.
+//! Every wakeup of the process costs system calls, even if there is no work to do. A dozen loops
+//! with independent timers would wake the process dozens of times a second.
 
 use std::future::Future;
 use std::time::Duration;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// The shortest period that is aligned; shorter ones are rounded up to it.
+/// Shorter periods are rounded up to this period.
 const MIN_PERIOD: Duration = Duration::from_millis(50);
 
-/// Moments at which periodic work is due: whole multiples of its period, counted from the start of
-/// the process. So timers of one period fire together, and so do those whose periods are multiples
-/// of each other.
+/// Timers that fire at whole multiples of their period, counted from the creation of this struct.
+/// Timers of the same period fire together, and so do timers whose periods are multiples of each
+/// other.
 pub struct AlignedTimers {
     started: Instant,
 }
@@ -24,20 +24,20 @@
 }
 
 impl AlignedTimers {
-    /// The multiple of `period` that is nearest to one period from now: half a period away at
-    /// least, one and a half at most.
+    /// Returns the multiple of `period` that is closest to one period from now. It is between half
+    /// a period and one and a half periods away.
     fn next(&self, period: Duration) -> Instant {
         let period = period.max(MIN_PERIOD);
         let periods = self.started.elapsed().as_secs_f64() / period.as_secs_f64();
         self.started + period.mul_f64((periods + 1.0).round())
     }
 
-    /// Waits for about one period.
+    /// Waits for the next multiple of `period`, which is about one period away.
     pub async fn tick(&self, period: Duration) {
         sleep_until(self.next(period)).await;
     }
 
-    /// Waits for an event, for about one period at most; true if it came.
+    /// Waits for `event`, for about one period at most. Returns whether the event occurred.
     pub async fn wait_for_event(&self, period: Duration, event: impl Future<Output = ()>) -> bool {
         timeout_at(self.next(period), event).await.is_ok()
     }
--- a/crates/corkfield/src/timers/tests.rs
+++ b/crates/corkfield/src/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn timers_of_periods_that_divide_each_other_fire_together() {
+async fn timers_whose_periods_are_multiples_of_each_other_fire_together() {
     let timers = AlignedTimers::default();
     for offset_ms in [0, 1, 120, 260, 499, 730] {
         tokio::time::sleep(Duration::from_millis(offset_ms)).await;
