--- a/crates/corkfield/src/outbox.rs
+++ b/crates/corkfield/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The outbox of notifications: cancellations that other controllers have still to acknowledge.
+//! The outbox of notifications: cancellations that other controllers have not acknowledged yet.
 
 use crate::clock::now;
 use crate::timers::AlignedTimers;
@@ -9,33 +9,35 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Without an acknowledgement a notification is sent again after this time.
+/// A notification is sent again after this time without an acknowledgement.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// Notifications that may be open for one controller. It remembers as many cancelled jobs; they are dropped after the time that a cancellation may take, so that only a flood of some
-/// thousand cancellations a second reaches this.
+/// Maximum number of unacknowledged notifications for one controller. A receiver keeps as many
+/// cancelled jobs. Notifications are dropped after the time limit of a cancellation, so only some
+/// thousand cancellations a second reach this maximum.
 const MAX_UNACKNOWLEDGED: usize = 65_536;
-/// Notifications that share a frame.
+/// Maximum number of notifications in one frame.
 const MAX_JOBS_IN_FRAME: usize = 256;
 
-/// A notification that was not acknowledged yet.
+/// A notification without an acknowledgement.
 struct Unacknowledged {
     added_at: Instant,
     last_sent_at: Option<Instant>,
 }
 
-/// What each of the other controllers has still to acknowledge.
+/// Notifications of cancellations that the other controllers have not acknowledged yet.
 #[derive(Default)]
 pub struct CancellationOutbox {
-    /// By controller.
+    /// The unacknowledged notifications, by controller.
     unacknowledged: RefCell<BTreeMap<ControllerName, BTreeMap<JobId, Unacknowledged>>>,
-    /// Controllers for which a notification was dropped unacknowledged, and when the last one was.
+    /// When an unacknowledged notification was last dropped, by controller.
     last_dropped_at: RefCell<BTreeMap<ControllerName, Instant>>,
     added: Notify,
     acknowledged: Notify,
 }
 
 impl CancellationOutbox {
-    /// Adds a notification to one controller. If too many are open for it, this one is dropped.
+    /// Adds a notification for one controller; drops it if the controller already has
+    /// [`MAX_UNACKNOWLEDGED`] notifications.
     fn add(&self, peer: &str, id: &JobId) {
         let mut unacknowledged = self.unacknowledged.borrow_mut();
         let to_peer = unacknowledged.entry(ControllerName::from(peer)).or_default();
@@ -48,30 +50,32 @@
         }
     }
 
-    /// Whether that controller has acknowledged every cancellation that users of this one, since
-    /// its process began, were told of.
+    /// Returns whether the peer has acknowledged every cancellation that this process confirmed to
+    /// users.
     pub fn has_acknowledged_all(&self, peer: &str) -> bool {
         !self.has_unacknowledged(peer) && !self.last_dropped_at.borrow().contains_key(peer)
     }
 
-    /// That controller read the state service after `since`: it knows of what was dropped before.
+    /// Records that the peer read the state service after `since`. The read contained every
+    /// cancellation whose notification was dropped before `since`.
     pub fn record_store_read(&self, peer: &str, since: Instant) {
         self.last_dropped_at
             .borrow_mut()
             .retain(|other, at| other.as_str() != peer || *at >= since);
     }
 
-    /// Whether that controller has anything to acknowledge.
+    /// Returns whether the peer has any unacknowledged notification.
     fn has_unacknowledged(&self, peer: &str) -> bool {
         self.unacknowledged.borrow().get(peer).is_some_and(|to_peer| !to_peer.is_empty())
     }
 
-    /// Whether that controller has still to acknowledge the cancellation.
+    /// Returns whether the peer has not acknowledged the job's cancellation yet.
     fn is_unacknowledged(&self, peer: &str, id: &JobId) -> bool {
         self.unacknowledged.borrow().get(peer).is_some_and(|to_peer| to_peer.contains_key(id))
     }
 
-    /// That controller has heard of these cancellations.
+    /// Removes the notifications that the peer acknowledged, and wakes the tasks that wait for
+    /// acknowledgements.
     pub fn record_acknowledgement(&self, peer: &str, jobs: &[String]) {
         if let Some(to_peer) = self.unacknowledged.borrow_mut().get_mut(peer) {
             jobs.iter().filter_map(|id| JobId::parse(id)).for_each(|id| {
@@ -81,8 +85,9 @@
         self.acknowledged.notify_waiters();
     }
 
-    /// What is to be sent to that controller now. Older notifications than `retention` are dropped: by
-    /// then the answer limit has settled the matter.
+    /// Returns the jobs whose notifications are due for the peer, one frame's worth, and marks them
+    /// as sent. Drops notifications older than `retention`: by then the answer limit guarantees
+    /// that the jobs were stopped.
     fn take_due_jobs(&self, peer: &str, retention: Duration) -> Vec<String> {
         let at = now();
         let mut unacknowledged = self.unacknowledged.borrow_mut();
@@ -107,20 +112,21 @@
         jobs
     }
 
-    /// A new link: whatever went over the one before may be lost.
+    /// Marks all notifications for the peer as unsent, when a new link opens: frames sent over the
+    /// previous link may be lost.
     fn reset_last_sent(&self, peer: &str) {
         if let Some(to_peer) = self.unacknowledged.borrow_mut().get_mut(peer) {
             to_peer.values_mut().for_each(|notification| notification.last_sent_at = None);
         }
     }
 
-    /// Adds a notification of this cancellation to each of the controllers.
+    /// Adds a notification of the job's cancellation for each of the controllers.
     pub fn add_for_all<'a>(&self, peers: impl Iterator<Item = &'a str>, id: &JobId) {
         peers.for_each(|peer| self.add(peer, id));
         self.added.notify_waiters();
     }
 
-    /// Waits until all of these controllers have acknowledged the cancellation.
+    /// Waits until none of these controllers has an unacknowledged notification for the job.
     pub async fn wait_until_acknowledged(&self, peers: &[ControllerName], id: &JobId) {
         loop {
             let acknowledged = self.acknowledged.notified();
@@ -131,8 +137,8 @@
         }
     }
 
-    /// Sends what is due over a link that was just opened, for as long as `queue_frame` says that
-    /// the link takes frames. Older notifications than `retention` are dropped.
+    /// Sends notifications over a link that was just opened, until `queue_frame` returns false
+    /// because the link accepts no more frames. Drops notifications older than `retention`.
     pub async fn send_notifications(
         &self,
         timers: &AlignedTimers,
--- a/crates/corkfield/src/outbox/tests.rs
+++ b/crates/corkfield/src/outbox/tests.rs
@@ -5,25 +5,33 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_a_controller_that_acknowledged_everything_is_attested_for() {
+async fn dropped_or_unacknowledged_notifications_prevent_attestation() {
     let outbox = CancellationOutbox::default();
     let retention = Duration::from_secs(30);
     assert!(outbox.has_acknowledged_all("a"));
     outbox.add("a", &id(1));
     assert!(!outbox.has_acknowledged_all("a") && outbox.has_acknowledged_all("b"));
     assert_eq!(outbox.take_due_jobs("a", retention), ["j-000001"]);
-    assert!(outbox.take_due_jobs("a", retention).is_empty(), "not again at once");
+    assert!(
+        outbox.take_due_jobs("a", retention).is_empty(),
+        "a notification is not resent at once"
+    );
     tokio::time::advance(RESEND_INTERVAL).await;
-    assert_eq!(outbox.take_due_jobs("a", retention), ["j-000001"], "but until it is acknowledged");
+    assert_eq!(
+        outbox.take_due_jobs("a", retention),
+        ["j-000001"],
+        "an unacknowledged notification is resent"
+    );
     outbox.record_acknowledgement("a", &["nonsense".into(), "j-000002".into(), "j-000001".into()]);
     assert!(outbox.has_acknowledged_all("a"));
-    // One that was given up, or found no place, may not have been heard of.
+    // The peer may not know of a cancellation whose notification was dropped, because it was too
+    // old or exceeded the maximum number.
     outbox.add("a", &id(3));
     tokio::time::advance(retention).await;
     assert!(outbox.take_due_jobs("a", retention).is_empty());
     assert!(!outbox.has_acknowledged_all("a"));
     outbox.record_store_read("a", now());
-    assert!(!outbox.has_acknowledged_all("a"), "a read that may be older shows nothing");
+    assert!(!outbox.has_acknowledged_all("a"), "a read may have started before the drop");
     tokio::time::advance(Duration::from_millis(1)).await;
     outbox.record_store_read("a", now());
     assert!(outbox.has_acknowledged_all("a"));
@@ -43,9 +51,12 @@
     let mut sent = Vec::new();
     while sent.len() < all.len() {
         let due = outbox.take_due_jobs("a", retention);
-        assert!(!due.is_empty(), "{} were dropped", all.len() - sent.len());
+        assert!(!due.is_empty(), "{} notifications were dropped", all.len() - sent.len());
         sent.extend(due);
     }
     outbox.record_acknowledgement("a", &sent);
-    assert!(outbox.has_acknowledged_all("a"), "4,096 were sent, and attesting ended");
+    assert!(
+        outbox.has_acknowledged_all("a"),
+        "with a limit of 4,096 notifications the rest was dropped and attesting ended"
+    );
 }
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -1,5 +1,6 @@
-//! The links between controllers: each keeps one to every other, over which it sends its
-//! heartbeats, relays workers' heartbeats to the leader and notifies of cancellations.
+//! The links between controllers. Each controller maintains a connection to every other controller,
+//! over which it sends its heartbeats, relays workers' heartbeats to the leader and sends
+//! notifications of cancellations.
 
 mod frames;
 mod incoming;
@@ -18,33 +19,34 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Pause between two heartbeats, and before a link is opened again.
+/// Interval of heartbeats, and pause before a lost link is reopened.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker gives a heartbeat up after 4 s.
+/// How long a relayed heartbeat waits for the leader's answer. A worker abandons its heartbeat
+/// after 4 s.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Frames that may wait for one link, at the least. A heartbeat that is relayed holds a worker's
-/// connection, so no more of them are under way than connections are accepted; all workers of a
-/// large zone may have to send theirs this way.
+/// Minimum capacity of a link's frame queue. A relayed heartbeat occupies a worker's connection, so
+/// the number of accepted connections bounds the relayed heartbeats without an answer. All workers
+/// of a large zone may need to have their heartbeats relayed.
 const MIN_QUEUED_FRAMES: usize = 512;
 
-/// Frames that may wait for one link, if so many connections are accepted.
+/// Returns the capacity of a link's frame queue for a maximum number of accepted connections.
 pub fn max_queued_frames(accepted_connections: usize) -> usize {
     accepted_connections.max(MIN_QUEUED_FRAMES)
 }
 
-/// The links that this controller opened, and the relayed heartbeats that wait for their answers.
+/// The links that this controller opened, and the relayed heartbeats without an answer.
 pub struct PeerLinks {
-    /// Where frames to each controller that there is a link to are queued.
+    /// The frame queues of the open links, by controller.
     queues: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
-    /// Relayed heartbeats without an answer yet, by number.
+    /// The relayed heartbeats without an answer, by number; each sender passes the answer on.
     pending_relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
     last_relay_number: Cell<u64>,
     max_queued: usize,
 }
 
 impl PeerLinks {
-    /// No more than `max_queued` frames wait for a link, and no more relayed heartbeats for
-    /// answers.
+    /// Creates a set of links. `max_queued` limits the frames in the queue of each link, and the
+    /// relayed heartbeats that wait for an answer.
     pub fn new(max_queued: usize) -> Self {
         Self {
             queues: RefCell::default(),
@@ -54,9 +56,12 @@
         }
     }
 
-    /// Relays a worker's heartbeat to the leader, and brings its answer. It is the leader's own
-    /// answer, under its term; a worker counts its lease from when it sent the heartbeat, so the
-    /// way round makes no lease longer, and it drops an answer that comes too late.
+    /// Relays a worker's heartbeat to the leader and returns the leader's answer. Returns `None` if
+    /// there is no link to the leader, a limit is reached or no answer arrives in time.
+    ///
+    /// The answer is the leader's own, under the leader's term. A worker's lease starts when the
+    /// worker sends the heartbeat, and the worker drops an answer that arrives too late, so
+    /// relaying never extends a lease.
     pub async fn relay_heartbeat(&self, leader: &str, body: &[u8]) -> Option<Response> {
         let link = self.queues.borrow().get(leader).cloned()?;
         if self.pending_relays.borrow().len() >= self.max_queued {
@@ -75,31 +80,31 @@
         answer
     }
 
-    /// Controllers that there is a link to and that say they lead, or that the state service names
-    /// as the leader.
+    /// Returns the controllers with an open link that report that they lead, or that are the
+    /// `recorded` leader in the state service.
     pub fn linked_leaders(
         &self,
         recorded: Option<&ControllerName>,
         peers: &Peers,
     ) -> Vec<ControllerName> {
-        let leads =
+        let may_lead =
             |name: &ControllerName| recorded == Some(name) || peers.is_peer_leading(name.as_str());
-        self.queues.borrow().keys().filter(|name| leads(name)).cloned().collect()
+        self.queues.borrow().keys().filter(|name| may_lead(name)).cloned().collect()
     }
 
-    /// A link was opened; returns the queue of its frames.
+    /// Registers a link that was opened; returns both ends of its frame queue.
     fn register_link(&self, peer: &str) -> (mpsc::Sender<Frame>, mpsc::Receiver<Frame>) {
         let (sender, receiver) = mpsc::channel(self.max_queued);
         self.queues.borrow_mut().insert(ControllerName::from(peer), sender.clone());
         (sender, receiver)
     }
 
-    /// The link to that controller was lost.
+    /// Removes the link to a controller after it was lost.
     fn remove_link(&self, peer: &str) {
         self.queues.borrow_mut().remove(peer);
     }
 
-    /// The answer to a relayed heartbeat has come.
+    /// Passes the answer to a relayed heartbeat on to the request that waits for it.
     fn complete_relay(&self, number: u64, response: Response) {
         if let Some(waiting) = self.pending_relays.borrow_mut().remove(&number) {
             let _ = waiting.send(response);
--- a/crates/corkfield/src/peer_links/frames.rs
+++ b/crates/corkfield/src/peer_links/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on a link: read one by one, written as they are queued.
+//! Reads frames from a link, and writes queued frames to it.
 
 use super::HEARTBEAT_INTERVAL;
 use corkfield_http::Stream;
@@ -7,7 +7,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A heartbeat, length and all, comes with one read; larger frames take a few.
+/// Size of the read buffer, in bytes. A heartbeat with its length prefix fits into one read; larger
+/// frames need several.
 const READ_BUFFER: usize = 2048;
 
 /// The reading half of a link.
@@ -15,14 +16,18 @@
     stream: BufReader<ReadHalf<Stream>>,
 }
 
-/// The two halves of a link.
+/// Splits a link into its reading and writing halves.
 pub(super) fn split(stream: Stream) -> (FrameReader, WriteHalf<Stream>) {
     let (reader, writer) = tokio::io::split(stream);
     (FrameReader { stream: BufReader::with_capacity(READ_BUFFER, reader) }, writer)
 }
 
 impl FrameReader {
-    /// The next frame; `None` if what comes is none that can be read.
+    /// Reads the next frame. Returns `None` if the frame is oversized or malformed.
+    ///
+    /// # Errors
+    ///
+    /// If the link fails or is closed.
     pub(super) async fn read_frame(&mut self) -> std::io::Result<Option<Frame>> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME {
@@ -41,7 +46,8 @@
     }
 }
 
-/// Writes the queued frames; returns when the link fails or takes too long.
+/// Writes the queued frames to the link; returns when the link fails, a write times out or the
+/// queue is closed.
 pub(super) async fn write_frames(mut writer: WriteHalf<Stream>, mut frames: mpsc::Receiver<Frame>) {
     while let Some(frame) = frames.recv().await {
         let written = timeout(HEARTBEAT_INTERVAL * 2, writer.write_all(&frame.encode())).await;
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -1,5 +1,5 @@
-//! Links that other controllers opened: their heartbeats, relayed heartbeats of workers, and
-//! cancellations come over them.
+//! Links that other controllers opened. They carry the heartbeats of those controllers, relayed
+//! heartbeats of workers, and notifications of cancellations.
 
 use super::frames::{split, write_frames, FrameReader};
 use super::max_queued_frames;
@@ -15,32 +15,33 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Pause after a link could not be accepted.
+/// Pause after accepting a link failed.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What other controllers ask of this one.
+/// Handles the requests of other controllers.
 pub trait PeerRequestHandler {
-    /// The answer to a worker's heartbeat that another controller relayed.
+    /// Answers a worker's heartbeat that another controller relayed.
     fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response>;
 
-    /// The state service holds the job as cancelled, as another controller says (S11).
+    /// Records another controller's notification that the state service holds the job as cancelled
+    /// (S11).
     fn on_job_cancelled(&self, id: &JobId);
 }
 
 /// Serves the links that other controllers open.
 pub struct IncomingLinks {
-    /// Surroundings: settings, and the process that heartbeats have to last_received_number.
+    /// Settings, and the id of this process, which the peers' heartbeats must echo.
     pub env: Rc<Environment>,
-    /// Records the heartbeats.
+    /// Records the received heartbeats.
     pub peers: Rc<Peers>,
-    /// Learns which controllers have read the state service.
+    /// Records which controllers have read the state service.
     pub outbox: Rc<CancellationOutbox>,
-    /// Decides on what the peers ask.
+    /// Handles the peers' requests.
     pub handler: Rc<dyn PeerRequestHandler>,
 }
 
 impl IncomingLinks {
-    /// Accepts links for ever, a bounded number at once.
+    /// Accepts links forever; at most [`MAX_PEERS`] are open at once.
     pub async fn accept_links(self: Rc<Self>, listener: Box<dyn Listener>) {
         let open_links = Rc::new(());
         loop {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes what another controller says on the link that it opened.
+    /// Reads and answers the frames of a link until it is lost.
     async fn serve_link(&self, stream: Stream) {
         let (reader, writer) = split(stream);
         let accepted = self.env.settings.connection_limits().accepted;
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Returns when the link is silent for too long, or brings what doesn't belong here.
+    /// Handles the frames of a link; returns when the link fails, is silent for too long, or
+    /// carries a frame that is malformed or not allowed in this direction.
     async fn read_frames(&self, mut reader: FrameReader, answers: &mpsc::Sender<Frame>) {
         while let Ok(Ok(Some(frame))) = timeout(HEARTBEAT_TIMEOUT * 2, reader.read_frame()).await {
             match frame {
@@ -88,7 +90,8 @@
 
     fn on_heartbeat(&self, heartbeat: PeerHeartbeat) {
         let echoed_sent_at = self.peers.echoed_sent_at(&heartbeat, self.env.process);
-        // Its newest read was begun no longer ago than that.
+        // A peer sets `store_answers` only if its newest successful read started less than
+        // `HEARTBEAT_TIMEOUT` before it sent this heartbeat, so that read started after `read`.
         let read = echoed_sent_at
             .filter(|_| heartbeat.store_answers)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
@@ -98,7 +101,8 @@
         self.peers.record_heartbeat(heartbeat, echoed_sent_at);
     }
 
-    /// Answers on a task of its own: other frames must not wait for it.
+    /// Answers a relayed heartbeat in a separate task, so that other frames don't wait for the
+    /// answer.
     fn answer_relayed(&self, number: u64, body: Vec<u8>, answers: mpsc::Sender<Frame>) {
         let handler = self.handler.clone();
         tokio::task::spawn_local(async move {
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -1,4 +1,4 @@
-//! Links to the other controllers, opened again whenever they are lost.
+//! Links to the other controllers, which are reopened whenever they are lost.
 
 use super::frames::{split, write_frames, FrameReader};
 use super::{PeerLinks, HEARTBEAT_INTERVAL};
@@ -16,26 +16,26 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Keeps a link to each of the other controllers.
+/// Maintains a link to each of the other controllers.
 pub struct OutgoingLinks {
-    /// Surroundings: the network, timers, and this controller's name and process.
+    /// The network, settings, timers, and the name and process of this controller.
     pub env: Rc<Environment>,
-    /// The copy of the store, whose freshness heartbeats state.
+    /// The local copy of the state service, whose freshness and leader heartbeats report.
     pub replica: Rc<StoreReplica>,
-    /// This controller's lease, whose incarnation heartbeats state.
+    /// This controller's lease, whose incarnation heartbeats report.
     pub session_lease: Rc<SessionLease>,
-    /// Whether this controller leads.
+    /// The state of leadership: heartbeats report whether this controller leads.
     pub leadership: Rc<Leadership>,
-    /// The heartbeats of the others, which those of this controller last_received_number.
+    /// The heartbeats of the other controllers, which this controller's heartbeats echo.
     pub peers: Rc<Peers>,
-    /// The cancellations that are sent.
+    /// The notifications of cancellations to send.
     pub outbox: Rc<CancellationOutbox>,
-    /// Where open links are found.
+    /// The registry of open links.
     pub links: Rc<PeerLinks>,
 }
 
 impl OutgoingLinks {
-    /// Keeps a link to a peer: sends heartbeats to it again and again, and relays those of workers.
+    /// Maintains a link to a peer, forever; a lost link is reopened after a pause.
     pub async fn maintain_link(self: Rc<Self>, peer: ControllerName, addr: SocketAddr) {
         loop {
             let connected = timeout(HEARTBEAT_INTERVAL * 2, self.env.network.connect(addr)).await;
@@ -46,29 +46,31 @@
         }
     }
 
-    /// Serves a link until it is lost.
+    /// Sends frames over a link and handles the peer's answers, until the link is lost.
     async fn serve_link(&self, peer: &str, stream: Stream) {
         let (reader, writer) = split(stream);
         let (frames, queued) = self.links.register_link(peer);
         let retention = self.env.settings.platform.params.workers.cancel();
         let queue_frame = |frame| frames.try_send(frame).is_ok();
+        let timers = &self.env.timers;
         tokio::select! {
             () = self.send_heartbeats(peer, &frames) => {}
-            () = self.outbox.send_notifications(&self.env.timers, peer, retention, queue_frame) => {}
+            () = self.outbox.send_notifications(timers, peer, retention, queue_frame) => {}
             () = self.read_frames(peer, reader) => {}
             () = write_frames(writer, queued) => {}
         }
         self.links.remove_link(peer);
     }
 
-    /// Returns when the link takes no more frames.
+    /// Sends heartbeats periodically; returns when the queue of the link is full or closed.
     async fn send_heartbeats(&self, peer: &str, frames: &mpsc::Sender<Frame>) {
         while frames.try_send(Frame::PeerHeartbeat(self.build_heartbeat(peer))).is_ok() {
             self.env.timers.tick(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Takes the peer's answers; returns when the link fails, or brings what doesn't belong here.
+    /// Handles the peer's answers; returns when the link fails, or carries a frame that is
+    /// malformed or not allowed in this direction.
     async fn read_frames(&self, peer: &str, mut reader: FrameReader) {
         while let Ok(Some(frame)) = reader.read_frame().await {
             match frame {
@@ -83,6 +85,7 @@
         }
     }
 
+    /// Builds the next heartbeat to the peer and records it as sent.
     fn build_heartbeat(&self, peer: &str) -> PeerHeartbeat {
         let contents = self.replica.contents.borrow();
         let leader = contents.leader.as_ref().map(|leader| &leader.record);
@@ -103,9 +106,10 @@
         }
     }
 
-    /// Whether this controller attests_outage for the peer as the leader (S6, S11): it has had no answer
-    /// from the state service for a while, knows of no other leader, and all cancellations that
-    /// its users were told of were acknowledged there.
+    /// Returns whether this controller attests to an outage of the state service, with the peer as
+    /// the leader (S6, S11): the state service has not answered for [`HEARTBEAT_TIMEOUT`], the peer
+    /// is the only known leader, and the peer has acknowledged every cancellation that this
+    /// controller confirmed to users.
     fn can_attest_outage_to(&self, peer: &str) -> bool {
         let contents = self.replica.contents.borrow();
         let leader = contents.leader.as_ref().and_then(|leader| leader.record.node.as_ref());
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -3,7 +3,7 @@
 use corkfield_wire::{ControllerName, Incarnation, Term};
 
 #[tokio::test(start_paused = true)]
-async fn a_relayed_heartbeat_brings_the_answer_with_its_number() {
+async fn relayed_heartbeat_returns_the_answer_with_the_same_number() {
     let links = PeerLinks::new(4);
     assert!(links.relay_heartbeat("q", b"no link").await.is_none());
     let (_sender, mut queued) = links.register_link("q");
@@ -21,14 +21,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn relayed_heartbeats_without_an_answer_are_bounded_in_number_and_time() {
+async fn relayed_heartbeats_without_an_answer_are_limited_in_number_and_time() {
     let links = PeerLinks::new(2);
     let (_sender, _queued) = links.register_link("q");
     let started = tokio::time::Instant::now();
     let relay = || links.relay_heartbeat("q", b"heartbeat");
     let (first, second, third) = tokio::join!(relay(), relay(), async {
         let response = relay().await;
-        assert_eq!(started.elapsed(), Duration::ZERO, "one too many is not waited for");
+        assert_eq!(
+            started.elapsed(),
+            Duration::ZERO,
+            "a heartbeat above the limit is refused at once"
+        );
         response
     });
     assert!(first.is_none() && second.is_none() && third.is_none());
@@ -36,11 +40,11 @@
     assert!(links.pending_relays.borrow().is_empty());
     links.remove_link("q");
     assert!(links.relay_heartbeat("q", b"heartbeat").await.is_none());
-    assert_eq!(started.elapsed(), RELAY_TIMEOUT, "a lost link is not waited for");
+    assert_eq!(started.elapsed(), RELAY_TIMEOUT, "without a link the heartbeat is refused at once");
 }
 
 #[tokio::test(start_paused = true)]
-async fn leaders_are_those_with_a_link_that_lead_by_their_own_word_or_by_the_record() {
+async fn linked_leaders_are_controllers_with_a_link_that_report_or_are_recorded_to_lead() {
     let (links, peers) = (PeerLinks::new(4), Peers::default());
     let heartbeat = |node: &str, leading| PeerHeartbeat {
         node: ControllerName::from(node),
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -1,5 +1,5 @@
-//! What the other controllers said last, and what follows from it: who leads, whether they have
-//! answers from the state service, and what they attest to.
+//! The latest heartbeats of the other controllers. They show which controller leads, whether the
+//! state service answers the other controllers, and whether they attest to its outage.
 
 use crate::clock::now;
 use corkfield_wire::peer::PeerHeartbeat;
@@ -9,54 +9,58 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A controller that sent no heartbeat for this long counts as silent.
+/// A controller whose latest heartbeat is older than this counts as silent.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Controllers whose heartbeats are kept, and links that are accepted.
+/// Maximum number of controllers whose heartbeats are kept, and of links that are accepted.
 pub const MAX_PEERS: usize = 32;
-/// Heartbeats of which the time of sending is kept, for each peer.
+/// Number of heartbeats to each peer whose sending times are kept.
 const MAX_SENT_HEARTBEATS: usize = 32;
 
-/// What another controller said last.
+/// The latest heartbeat of another controller.
 struct LastHeartbeat {
     heartbeat: PeerHeartbeat,
     received_at: Instant,
-    /// Since when it is the same process.
+    /// When the first heartbeat of the sender's current process was received.
     process_first_seen: Instant,
-    /// It attested for this controller, as the leader, at this moment or later.
+    /// The peer attested to the outage, with this controller as the leader, at this time or later.
+    /// `None` if its current process never did.
     attested_at: Option<Instant>,
 }
 
 impl LastHeartbeat {
+    /// Returns whether the heartbeat was received within [`HEARTBEAT_TIMEOUT`].
     fn is_recent(&self) -> bool {
         now().saturating_duration_since(self.received_at) < HEARTBEAT_TIMEOUT
     }
 }
 
-/// A heartbeat that this controller sent.
+/// A heartbeat that this controller sent to a peer.
 struct SentHeartbeat {
     number: u64,
     sent_at: Instant,
 }
 
-/// The peer's heartbeat that the next one to it echoes; zeros if there was none.
+/// The peer's heartbeat that the next heartbeat to the peer echoes. Both fields are 0 if none was
+/// received.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Echo {
     /// Number of the heartbeat.
     pub number: u64,
-    /// The process that sent it.
+    /// The process that sent the heartbeat.
     pub process: u64,
 }
 
-/// The view of the other controllers.
+/// Tracks the heartbeats received from and sent to the other controllers.
 #[derive(Default)]
 pub struct Peers {
     last: RefCell<BTreeMap<ControllerName, LastHeartbeat>>,
-    /// The heartbeats sent to each, the oldest first.
+    /// The heartbeats sent to each controller, oldest first.
     sent: RefCell<BTreeMap<ControllerName, VecDeque<SentHeartbeat>>>,
 }
 
 impl Peers {
-    /// Records a heartbeat; `echoed_sent_at` is when the one that it echoes was sent.
+    /// Records a received heartbeat. `echoed_sent_at` is the time when this controller sent the
+    /// heartbeat that the received one echoes.
     pub fn record_heartbeat(&self, heartbeat: PeerHeartbeat, echoed_sent_at: Option<Instant>) {
         let (peer, received_at) = (heartbeat.node.clone(), now());
         let mut last = self.last.borrow_mut();
@@ -68,7 +72,8 @@
         let process_first_seen =
             previous.as_ref().map_or(received_at, |previous| previous.process_first_seen);
         let attested_at = previous.and_then(|previous| previous.attested_at);
-        // It was sent after what it echoes had come, and so after that was sent.
+        // The peer sent its heartbeat after it had received the echoed one, so the attestation is
+        // later than the time when the echoed heartbeat was sent.
         let attested_at = attested_at.max(echoed_sent_at.filter(|_| heartbeat.attests_outage));
         last.insert(
             peer,
@@ -76,8 +81,9 @@
         );
     }
 
-    /// When the heartbeat that this one echoes was sent by `process`, which is this one. One to a
-    /// process before this one, with the same number, says nothing.
+    /// Returns when this controller sent the heartbeat that `heartbeat` echoes. `process` is this
+    /// process. Returns `None` if the echoed heartbeat was sent by an earlier process of this
+    /// controller: its number may equal that of a different heartbeat of this process.
     pub fn echoed_sent_at(&self, heartbeat: &PeerHeartbeat, process: u64) -> Option<Instant> {
         let sent = self.sent.borrow();
         let mut to_peer = sent.get(&heartbeat.node)?.iter();
@@ -85,7 +91,7 @@
         (heartbeat.last_received_process == process).then_some(echoed.sent_at)
     }
 
-    /// Records that a heartbeat is sent now; returns its number.
+    /// Records that a heartbeat to the peer is sent now; returns the number of the heartbeat.
     pub fn record_sent_heartbeat(&self, peer: &str) -> u64 {
         let mut sent = self.sent.borrow_mut();
         let to_peer = sent.entry(ControllerName::from(peer)).or_default();
@@ -97,7 +103,7 @@
         number
     }
 
-    /// What the next heartbeat to that controller echoes.
+    /// Returns the received heartbeat that the next heartbeat to the peer echoes.
     pub fn echo_for(&self, peer: &str) -> Echo {
         let last = self.last.borrow();
         last.get(peer).map_or_else(Echo::default, |last| Echo {
@@ -106,10 +112,12 @@
         })
     }
 
-    /// How long ago all other controllers attested that nobody else leads, and that this one heard
-    /// of all cancellations confirmed (S6). `None` if one of them didn't attest under this `term`,
-    /// or is another process than at `proven_at`, when the state service was read last: what a
-    /// process before it confirmed is not known.
+    /// Returns how long ago all other controllers attested that no other controller leads and that
+    /// this controller acknowledged every cancellation that they confirmed to users (S6).
+    ///
+    /// Returns `None` if any of them did not attest under `term`, or if its process first appeared
+    /// after `proven_at`, the time of the newest read of the state service: cancellations that an
+    /// earlier process of that controller confirmed are unknown.
     pub fn attestation_age(
         &self,
         platform: &Platform,
@@ -129,20 +137,20 @@
         Some(now().saturating_duration_since(oldest))
     }
 
-    /// Whether another controller has answers from the state service.
+    /// Returns whether another controller recently reported that the state service answers it.
     pub fn has_peer_with_store_access(&self) -> bool {
         self.last.borrow().values().any(|last| last.heartbeat.store_answers && last.is_recent())
     }
 
-    /// Whether others were heard of, and none of them has answers from the state service: it is
-    /// out for all, and not for this controller alone.
+    /// Returns whether other controllers sent heartbeats recently and the state service answers
+    /// none of them. The outage then doesn't affect this controller alone.
     pub fn is_store_unreachable_for_all_peers(&self) -> bool {
         let last = self.last.borrow();
         let mut others = last.values().filter(|last| last.is_recent()).peekable();
         others.peek().is_some() && others.all(|last| !last.heartbeat.store_answers)
     }
 
-    /// Whether that controller says that it leads.
+    /// Returns whether the peer recently reported that it leads.
     pub fn is_peer_leading(&self, peer: &str) -> bool {
         let last = self.last.borrow();
         last.get(peer).is_some_and(|last| last.heartbeat.leading && last.is_recent())
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_attestation_counts_from_what_it_echoes_and_for_its_processes_alone() {
+async fn attestation_is_dated_by_the_echoed_heartbeat_and_bound_to_both_processes() {
     let peers = Peers::default();
     let sent = now();
     assert_eq!(peers.record_sent_heartbeat("q"), 1);
@@ -32,16 +32,17 @@
     let record = |heartbeat: PeerHeartbeat| {
         peers.record_heartbeat(heartbeat.clone(), peers.echoed_sent_at(&heartbeat, 7))
     };
-    // Held back since before this process, or an answer to nothing that it sent.
+    // Echoes a heartbeat of an earlier process, echoes a heartbeat that was never sent, or does not
+    // attest.
     for heartbeat in [heartbeat(3, 1, 6, true), heartbeat(3, 2, 7, true), heartbeat(3, 1, 7, false)]
     {
         record(heartbeat);
         assert_eq!(attested(&peers), None);
     }
     record(heartbeat(3, 1, 7, true));
-    assert_eq!(attested(&peers), Some(sent), "however late it comes");
+    assert_eq!(attested(&peers), Some(sent), "the delay of the heartbeat doesn't matter");
     record(heartbeat(3, 1, 7, false));
-    assert_eq!(attested(&peers), Some(sent), "it said so then");
+    assert_eq!(attested(&peers), Some(sent), "the earlier attestation still counts");
     record(heartbeat(4, 1, 7, false));
-    assert_eq!(attested(&peers), None, "another process");
+    assert_eq!(attested(&peers), None, "a new process of the peer has not attested");
 }
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -1,4 +1,4 @@
-//! This controller's lease and its membership key.
+//! This controller's lease in the state service, and the membership key written under the lease.
 
 use crate::clock::now;
 use crate::environment::Environment;
@@ -12,34 +12,35 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A lease is renewed after this part of its time to live; a renewal may take as long.
+/// The lease is renewed at this fraction of its time to live; the same fraction is the timeout of a
+/// renewal.
 const RENEWAL_FRACTION: f64 = 0.2;
-/// A renewal that failed is repeated after this part of the time to live.
+/// A failed renewal is retried after this fraction of the time to live.
 const RENEWAL_RETRY_FRACTION: f64 = 0.03;
-/// The part of the time to live that counts: clocks may drift by the rest.
+/// The fraction of the time to live that this controller relies on; the rest covers clock drift.
 const TRUSTED_FRACTION: f64 = 0.998;
-/// Allowance for delays of this process.
+/// Subtracted from the trusted time to live, as an allowance for delays of this process.
 const TRUSTED_MARGIN: Duration = Duration::from_millis(300);
-/// Pause after a lease could not be taken, in milliseconds; drawn at random.
+/// Range of the random pause after a failed attempt to acquire a lease, in milliseconds.
 const ACQUIRE_RETRY_MS: std::ops::Range<u64> = 100..400;
 
-/// This controller's lease, as the other components see it.
+/// The state of this controller's lease, as visible to the other components.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
 /// | absent | lease granted and membership key written | held |
-/// | held | renewed | held, valid for longer |
+/// | held | lease renewed | held, with a later end of validity |
 /// | held | the store no longer knows the lease | absent |
 ///
-/// A lost lease is replaced by a new one under a new incarnation.
+/// A lost lease is replaced by a new lease under a new incarnation.
 #[derive(Default)]
 pub struct SessionLease {
     state: RefCell<LeaseState>,
-    /// Notified when a lease was taken or lost.
+    /// Notified when a lease was acquired or lost.
     pub changed: Notify,
 }
 
-/// See the table of [`SessionLease`].
+/// States of the table in [`SessionLease`].
 #[derive(Default)]
 enum LeaseState {
     #[default]
@@ -47,26 +48,26 @@
     Held(HeldLease),
 }
 
-/// A lease that is held, and for how long.
+/// A lease that this controller holds, and the end of its validity.
 struct HeldLease {
     lease: CurrentLease,
-    /// By our own clock the lease surely goes on until then.
+    /// The lease can't expire before this time of the local monotonic clock.
     valid_until: Instant,
 }
 
-/// A lease that is held.
+/// Identity of the lease that this controller holds, and of its membership key.
 #[derive(Debug, Clone)]
 pub struct CurrentLease {
-    /// Names the period for which this lease is held; a new lease has another one.
+    /// Identifies the period during which this lease is held; every lease has a new incarnation.
     pub incarnation: Incarnation,
-    /// The state service's number of the lease.
+    /// Id of the lease in the state service.
     pub lease_id: u64,
     /// Version of the membership key.
     pub membership_version: Revision,
 }
 
 impl SessionLease {
-    /// The lease that is held.
+    /// Returns the lease that this controller holds, even if its validity has ended.
     pub fn current(&self) -> Option<CurrentLease> {
         match &*self.state.borrow() {
             LeaseState::Absent => None,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether the lease surely hasn't ended, by our own clock (S4).
+    /// Returns whether the lease can't have expired yet by the local clock (S4).
     pub fn is_valid(&self) -> bool {
         match &*self.state.borrow() {
             LeaseState::Absent => false,
@@ -82,13 +83,14 @@
         }
     }
 
-    /// Changes the state; those that wait for it are notified.
+    /// Changes the state and notifies the waiters of [`SessionLease::changed`].
     fn enter(&self, state: LeaseState) {
         *self.state.borrow_mut() = state;
         self.changed.notify_waiters();
     }
 
-    /// The lease was renewed; nobody has to be notified of that.
+    /// Extends the validity of the lease after a renewal. A lost lease is not extended. Nothing
+    /// waits for renewals, so there is no notification.
     fn extend_validity(&self, until: Instant) {
         if let LeaseState::Held(held) = &mut *self.state.borrow_mut() {
             held.valid_until = until;
@@ -96,30 +98,30 @@
     }
 }
 
-/// Takes a lease and renews it for ever.
+/// Acquires a lease, renews it, and replaces it when it is lost.
 pub struct LeaseKeeper {
-    /// Surroundings: the client of the state service, the controller's name, random numbers.
+    /// The client of the state service, this controller's name, and random numbers.
     pub env: Rc<Environment>,
-    /// Where the lease is shown to the other components.
+    /// The state of the lease, which the other components read.
     pub session_lease: Rc<SessionLease>,
 }
 
 impl LeaseKeeper {
-    /// Takes a lease and renews it for ever; a lost one is replaced under a new incarnation.
+    /// Acquires a lease and renews it, forever. A lost lease is replaced under a new incarnation.
     pub async fn maintain(self: Rc<Self>) {
         let ttl = Duration::from_secs_f64(self.env.settings.operator.lease_s);
         loop {
             match self.acquire_lease(ttl).await {
                 Ok(held) => self.publish_and_renew(held, ttl).await,
                 Err(error) => {
-                    tracing::debug!(%error, "can't take a lease");
+                    tracing::debug!(%error, "failed to acquire a lease");
                     self.env.sleep_random(ACQUIRE_RETRY_MS).await;
                 }
             }
         }
     }
 
-    /// Shows the lease and renews it; returns when it is lost.
+    /// Publishes the acquired lease and renews it; returns when the lease is lost.
     async fn publish_and_renew(&self, held: HeldLease, ttl: Duration) {
         let lease = held.lease.lease_id;
         tracing::info!(incarnation = %held.lease.incarnation, lease, "lease taken");
@@ -129,10 +131,11 @@
         tracing::warn!(lease, "lease lost");
     }
 
-    /// Takes a lease and writes the membership key under it.
+    /// Acquires a lease and writes the membership key under it.
     async fn acquire_lease(&self, ttl: Duration) -> Result<HeldLease, StateError> {
         let key = controller_key(self.env.name.as_str());
-        // What a former process of this controller left is written over: whoever it was is gone.
+        // A membership key of an earlier process of this controller is overwritten: that process
+        // no longer runs.
         let found = self.env.state.get(RequestClass::Lease, &key).await?;
         let started = now();
         let lease_id = self.env.state.grant(ttl).await?;
@@ -144,7 +147,7 @@
         Ok(HeldLease { lease, valid_until: started + trusted_duration(ttl) })
     }
 
-    /// Writes the membership key over what was found there; returns its version.
+    /// Writes the membership key if its item is still `found`; returns the version of the key.
     async fn write_membership(
         &self,
         key: &str,
@@ -159,14 +162,14 @@
             Err(StateError::NoAnswer(error)) => error,
             outcome => return outcome,
         };
-        // It may have been carried out all the same.
+        // The transaction may have been executed although its answer was lost.
         let read = self.env.state.get(RequestClass::Lease, key).await?;
         read.filter(|item| item.value["incarnation"] == membership.incarnation.as_str())
             .map(|item| item.version)
             .ok_or(StateError::NoAnswer(error))
     }
 
-    /// Returns when the lease is lost.
+    /// Renews the lease; returns when the state service no longer knows the lease.
     async fn renew_until_lost(&self, lease: u64, ttl: Duration) {
         let interval = ttl.mul_f64(RENEWAL_FRACTION);
         loop {
@@ -178,7 +181,7 @@
                 }
                 Err(StateError::NoSuchLease) => return,
                 Err(error) => {
-                    tracing::debug!(lease, %error, "renewal failed");
+                    tracing::debug!(lease, %error, "lease renewal failed");
                     ttl.mul_f64(RENEWAL_RETRY_FRACTION)
                 }
             };
@@ -187,7 +190,8 @@
     }
 }
 
-/// The part of a lease's time that counts, allowing for drift and for delays of our own.
+/// Returns how long after its start a lease is valid for certain, allowing for clock drift and for
+/// delays of this process.
 fn trusted_duration(ttl: Duration) -> Duration {
     ttl.mul_f64(TRUSTED_FRACTION).saturating_sub(TRUSTED_MARGIN)
 }
--- a/crates/corkfield/src/session_lease/tests.rs
+++ b/crates/corkfield/src/session_lease/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_counts_while_it_is_renewed_and_not_after_it_was_lost() {
+async fn lease_is_valid_while_renewed_and_invalid_once_lost() {
     let session_lease = SessionLease::default();
     assert!(!session_lease.is_valid() && session_lease.current().is_none());
     let ttl = Duration::from_secs(10);
@@ -14,10 +14,10 @@
     session_lease.enter(LeaseState::Held(HeldLease { lease, valid_until }));
     assert!(session_lease.is_valid());
     tokio::time::advance(trusted_duration(ttl)).await;
-    assert!(!session_lease.is_valid(), "it may have ended");
-    assert!(session_lease.current().is_some(), "but it is not known to");
+    assert!(!session_lease.is_valid(), "the lease may have expired");
+    assert!(session_lease.current().is_some(), "the loss of the lease is not known yet");
     session_lease.extend_validity(now() + trusted_duration(ttl));
-    assert!(session_lease.is_valid(), "a renewal went through after all");
+    assert!(session_lease.is_valid(), "a late renewal makes the lease valid again");
     session_lease.enter(LeaseState::Absent);
     assert!(!session_lease.is_valid() && session_lease.current().is_none());
     session_lease.extend_validity(now() + trusted_duration(ttl));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn less_than_the_whole_time_to_live_is_trusted() {
+fn trusted_duration_is_shorter_than_the_time_to_live() {
     assert_eq!(trusted_duration(Duration::from_secs(10)), Duration::from_millis(9680));
     assert_eq!(trusted_duration(Duration::from_millis(100)), Duration::ZERO);
 }
