--- a/crates/corkfield/src/replica.rs
+++ b/crates/corkfield/src/replica.rs
@@ -1,7 +1,7 @@
-//! The local copy of everything below `c/` in the state service, and how fresh it is.
+//! The local copy of all keys below `c/` in the state service, and its freshness.
 //!
-//! Reading and following the service is the part of [`ReplicaFollower`]; all other components only
-//! look at [`StoreReplica`].
+//! [`ReplicaFollower`] reads the state service and updates the copy; all other components only read
+//! [`StoreReplica`].
 
 mod contents;
 mod follower;
@@ -16,43 +16,46 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The copy of the store's keys that this controller decides from.
+/// The local copy of the state service that this controller bases its decisions on.
+///
+/// A successful read proves that the copy was current when the read started. The start of the
+/// newest successful read is the copy's proof of fresh state (S6).
 #[derive(Default)]
 pub struct StoreReplica {
     /// The records as last read.
     pub contents: RefCell<ReplicaContents>,
     /// Notified after each read that changed the contents.
     pub changed: Notify,
-    /// Whether the contents follow the service from a complete read on.
+    /// Whether a complete read was made and every later change has been followed since.
     synced: Cell<bool>,
     proof: FreshnessProof,
     refresh_queue: RefreshQueue,
 }
 
 impl StoreReplica {
-    /// Whether a complete read was made, from which on changes are followed without a gap.
+    /// Returns whether a complete read was made and every later change has been followed since.
     pub fn is_synced(&self) -> bool {
         self.synced.get()
     }
 
-    /// How long ago the newest state known was surely current; an hour if nothing was read yet.
+    /// Returns the time since the start of the newest successful read; an hour if there was none.
     pub fn proof_age(&self) -> Duration {
         self.proof.age()
     }
 
-    /// When the newest state known was surely current.
+    /// Returns when the newest successful read started.
     pub fn proven_at(&self) -> Option<Instant> {
         self.proof.proven_at()
     }
 
-    /// For how long the present leader record has been known; zero if there is none.
+    /// Returns how long the current leader record has been known; zero if there is none.
     pub fn leader_known_for(&self) -> Duration {
         let since = self.contents.borrow().leader_first_seen();
         since.map_or(Duration::ZERO, |at| now().saturating_duration_since(at))
     }
 
-    /// Waits until the copy contains everything that was stored before the call (S1), for `limit`
-    /// at most; true if it does. One read serves all that wait for it.
+    /// Waits, for `limit` at most, until the copy contains everything that was stored before the
+    /// call (S1). Returns whether it does. A single read serves all concurrent calls.
     pub async fn refresh(&self, limit: Duration) -> bool {
         self.refresh_queue.wait_for_read(limit).await
     }
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -1,4 +1,4 @@
-//! The records of the local copy, and how reads change them.
+//! The records of the local copy, and the changes that reads apply to them.
 
 use crate::clock::now;
 use corkfield_wire::cloud::MachineType;
@@ -14,40 +14,41 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Final states that are kept.
+/// Maximum number of final records that are kept.
 const MAX_FINAL_RECORDS: usize = 20_000;
 
-/// A request for the leader's place, as it was seen here.
+/// Another controller's request to take over leadership, as seen in the local copy.
 #[derive(Debug, Clone, Copy)]
 struct SeenTransferRequest {
     version: Revision,
     first_seen: Instant,
 }
 
-/// The records below `c/`, each with its version, and what else is known of jobs that are over.
+/// The records below `c/` with their versions, and a cache of final records of jobs.
 #[derive(Default)]
 pub struct ReplicaContents {
-    /// Everything up to this revision is contained.
+    /// The copy contains all changes up to this revision.
     revision: Revision,
     /// The unfinished jobs.
     pub jobs: BTreeMap<JobId, Versioned<JobRecord>>,
     /// The membership records, by controller.
     pub controllers: BTreeMap<ControllerName, Versioned<Membership>>,
-    /// By the controller that asks.
+    /// The transfer requests, by requesting controller.
     transfer_requests: BTreeMap<ControllerName, SeenTransferRequest>,
     /// The leader record.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// When the present leader record was first seen.
+    /// When the current leader record was first seen.
     leader_first_seen: Option<Instant>,
-    /// The machine types on offer, once they are known.
+    /// The machine types that the cloud offers; `None` until they are known.
     pub machine_types: Option<Vec<MachineType>>,
+    /// A cache of final records, by job.
     final_records: HashMap<JobId, FinalRecord>,
-    /// The jobs of `final_records`, the oldest note first.
+    /// The jobs of `final_records`, oldest entry first.
     final_records_order: VecDeque<JobId>,
 }
 
 impl ReplicaContents {
-    /// What a complete read at this revision brought.
+    /// Creates the contents from a complete read at `revision`.
     pub(super) fn from_items(items: Vec<Item>, revision: Revision) -> Self {
         let mut contents = Self { revision, ..Self::default() };
         for item in items {
@@ -56,7 +57,8 @@
         contents
     }
 
-    /// Final states never change, so they may be kept as long as there is room.
+    /// Caches the final record of a job. Final records never change, so an entry stays valid; the
+    /// oldest entry is dropped above [`MAX_FINAL_RECORDS`].
     pub fn insert_final_record(&mut self, id: &JobId, record: FinalRecord) {
         if self.final_records.insert(id.clone(), record).is_some() {
             return;
@@ -69,17 +71,18 @@
         }
     }
 
-    /// The final state of a job that is over, if it is among those kept.
+    /// Returns the final record of a job, if it is cached.
     pub fn final_record(&self, id: &JobId) -> Option<FinalRecord> {
         self.final_records.get(id).cloned()
     }
 
-    /// Everything up to this revision of the store is contained.
+    /// Returns the revision of the state service up to which the copy contains all changes.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Controllers that asked for the leader's place within that time.
+    /// Returns the controllers whose request to take over leadership was first seen less than
+    /// `time` ago.
     pub fn recent_transfer_requesters(
         &self,
         time: Duration,
@@ -91,24 +94,25 @@
         requests.filter(move |(_, request)| recent(request)).map(|(name, _)| name)
     }
 
-    /// When the present leader record was first seen.
+    /// Returns when the current leader record was first seen.
     pub(super) fn leader_first_seen(&self) -> Option<Instant> {
         self.leader_first_seen
     }
 
-    /// Whether the machine types are known, and there is a leader whose process is present.
+    /// Returns whether the machine types are known and the leader's process is present.
     pub(super) fn can_serve_requests(&self) -> bool {
         self.machine_types.is_some()
             && self.leader.as_ref().is_some_and(|leader| self.is_holder_present(&leader.record))
     }
 
-    /// Whether the process that claimed the leader record is still there.
+    /// Returns whether the process that claimed the leader record still holds its lease, according
+    /// to its membership record.
     pub fn is_holder_present(&self, record: &LeaderRecord) -> bool {
         let membership = record.node.as_ref().and_then(|node| self.controllers.get(node));
         membership.is_some_and(|membership| membership.record.incarnation == record.incarnation)
     }
 
-    /// Takes the record stored under a key.
+    /// Inserts the record stored under a key; ignores keys that the copy doesn't use.
     fn insert_item(&mut self, key: &str, value: Value, version: Revision) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             if let Some(record) = decode(key, value) {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Drops the record of a key that was deleted.
+    /// Removes the record of a deleted key.
     fn remove_key(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             self.jobs.remove(&id);
@@ -146,8 +150,8 @@
         }
     }
 
-    /// Applies the events that are newer than the contents. Two reads may overlap; what the first
-    /// brought is skipped, so that an older value never replaces a newer one.
+    /// Applies the events that are newer than the contents. Two reads may overlap; events that were
+    /// already applied are skipped, so that an older value never replaces a newer one.
     pub(super) fn apply_events(&mut self, events: Events) -> ReadChanges {
         let mut changes = ReadChanges::default();
         for event in events.events {
@@ -168,12 +172,14 @@
         changes
     }
 
-    /// Takes over what a read of everything doesn't tell.
+    /// Takes over the data of the previous contents that a complete read doesn't contain: cached
+    /// final records, and the times when records were first seen.
     pub(super) fn carry_over_from(&mut self, previous: &mut Self) {
         self.final_records = std::mem::take(&mut previous.final_records);
         self.final_records_order = std::mem::take(&mut previous.final_records_order);
-        // Old transfer requests don't count again: a leader that was merely quiet would leave its
-        // place for them.
+        // A known transfer request keeps its first-seen time, and an unknown one is dropped because
+        // it may be old. Otherwise a leader that was merely silent for a while would hand over its
+        // place because of old requests.
         let known = &previous.transfer_requests;
         self.transfer_requests.retain(|name, request| match known.get(name) {
             Some(previous) if previous.version == request.version => {
@@ -189,16 +195,16 @@
     }
 }
 
-/// What a read changed.
+/// The changes that a read applied to the contents.
 #[derive(Default)]
 pub(super) struct ReadChanges {
-    /// Whether any record was written or deleted.
+    /// Whether any record was inserted or removed.
     pub(super) has_changes: bool,
-    /// Jobs that are no longer unfinished.
+    /// Jobs whose record of an unfinished job was deleted.
     pub(super) ended_jobs: Vec<JobId>,
 }
 
-/// The record stored under a key; an unreadable one is reported and left out.
+/// Decodes the record stored under a key; logs an error and returns `None` if it is unreadable.
 fn decode<T: DeserializeOwned>(key: &str, value: Value) -> Option<T> {
     match serde_json::from_value(value) {
         Ok(record) => Some(record),
--- a/crates/corkfield/src/replica/contents/tests.rs
+++ b/crates/corkfield/src/replica/contents/tests.rs
@@ -2,7 +2,7 @@
 use corkfield_wire::Incarnation;
 
 #[test]
-fn of_two_overlapping_reads_the_older_never_undoes_the_newer() {
+fn an_older_overlapping_read_never_reverts_a_newer_one() {
     let session_lease = |lease| {
         serde_json::to_value(Membership { incarnation: Incarnation::from("a"), lease })
             .expect("serializable")
@@ -16,7 +16,7 @@
     let mut contents = ReplicaContents::default();
     contents.apply_events(Events { revision: Revision::new(3), events: vec![put(2), delete(3)] });
     contents.apply_events(Events { revision: Revision::new(2), events: vec![put(2)] });
-    assert!(contents.controllers.is_empty(), "the older read came last");
+    assert!(contents.controllers.is_empty(), "the older read arrived last and must be ignored");
     contents.apply_events(Events { revision: Revision::new(4), events: vec![delete(3), put(4)] });
     assert_eq!(contents.controllers["n"].version, Revision::new(4));
 }
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -1,4 +1,4 @@
-//! Reading the state service: a watch that follows all changes, and reads on request.
+//! Reads the state service: a watch follows all changes, and other reads are made on request.
 
 use super::{ReplicaContents, StoreReplica};
 use crate::clock::now;
@@ -11,47 +11,47 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between two watches. Whatever changes meanwhile comes with one answer: the leader has new jobs
-/// to claim and cancelled ones to stop, while the others only stand by.
+/// Pause of a leader between two watches. Changes during the pause arrive together in one answer.
+/// A leader pauses briefly because it has to claim new jobs and stop cancelled ones.
 const WATCH_PAUSE: Duration = Duration::from_millis(50);
+/// Pause of a standby between two watches.
 const STANDBY_WATCH_PAUSE: Duration = Duration::from_millis(500);
-/// After a watch that failed.
+/// Pause after a failed watch.
 const WATCH_RETRY: Duration = Duration::from_millis(250);
-/// After a complete read that failed.
+/// Pause after a failed complete read.
 const RELOAD_RETRY: Duration = Duration::from_millis(300);
-/// After a requested read that failed.
+/// Pause after a failed read on request.
 const REFRESH_RETRY: Duration = Duration::from_millis(100);
 
-/// Who has to know what a read brought before the read counts as a proof of fresh state (S6).
+/// Observes the changes of a read before the read counts as proof of fresh state (S6).
 ///
 /// The methods are called synchronously, after the contents have changed and before the proof is
-/// renewed: a leader that answers heartbeats on the strength of a read must have closed the jobs
-/// that the read shows as over, whatever else it is waiting for.
+/// renewed: a leader that answers heartbeats because of a read must already have closed the jobs
+/// that the read shows as finished, whatever else it is waiting for.
 pub trait ReplicaObserver {
-    /// These jobs are no longer unfinished.
+    /// Called with the jobs that are no longer unfinished.
     fn on_jobs_ended(&self, jobs: &[JobId]);
 
-    /// The copy was replaced as a whole; `unfinished` are all jobs that are not over, with the
-    /// versions of their records.
+    /// Called after the whole copy was replaced, with the records of all unfinished jobs.
     fn on_jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>);
 
-    /// Whether changes have to be seen soon, as by a leader.
+    /// Returns whether this controller needs to see changes with little delay, as a leader does.
     fn needs_prompt_updates(&self) -> bool;
 }
 
 /// Keeps a [`StoreReplica`] up to date.
 pub struct ReplicaFollower {
-    /// Surroundings: the client of the state service, and timers.
+    /// The client of the state service, settings and timers.
     pub env: Rc<Environment>,
-    /// The copy that is kept.
+    /// The local copy to update.
     pub replica: Rc<StoreReplica>,
-    /// Told of what each read brought.
+    /// Is notified of the changes of each read.
     pub observer: Rc<dyn ReplicaObserver>,
 }
 
 impl ReplicaFollower {
-    /// Keeps a watch open, and starts over when the service no longer keeps the changes after the
-    /// revision that was reached.
+    /// Follows all changes with one watch after another. Makes a complete read at the start, and
+    /// when the state service no longer keeps the changes after the copy's revision.
     pub async fn watch(self: Rc<Self>) {
         loop {
             if self.replica.is_synced() {
@@ -59,13 +59,13 @@
                     self.env.timers.tick(pause).await;
                 }
             } else if let Err(error) = self.reload().await {
-                tracing::debug!(%error, "can't read the state service");
+                tracing::debug!(%error, "complete read of the state service failed");
                 tokio::time::sleep(RELOAD_RETRY).await;
             }
         }
     }
 
-    /// Serves [`StoreReplica::refresh`].
+    /// Makes the reads that [`StoreReplica::refresh`] requests.
     pub async fn serve_refreshes(self: Rc<Self>) {
         loop {
             let ticket = self.replica.refresh_queue.next_ticket().await;
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Waits for changes once; returns how long to pause before the next watch, if at all.
+    /// Opens one watch and applies its changes. Returns the pause before the next watch, or `None`
+    /// to continue at once.
     async fn watch_once(&self) -> Option<Duration> {
         let wait = self.env.settings.watch_timeout();
         let after = self.replica.contents.borrow().revision();
@@ -89,8 +90,9 @@
                 let waited = now().saturating_duration_since(started);
                 let quiet = events.events.is_empty() && waited >= wait / 2;
                 self.apply_read(events, started);
-                // Its proof of fresh state is as old as the watch was long: a pause on top would
-                // make a standby doubt the service, and tell the load balancer that it isn't ready.
+                // The proof of fresh state is as old as the watch was long. With an additional
+                // pause a standby would consider the state service unreachable, and would report to
+                // the load balancer that it isn't ready.
                 (!quiet).then(|| self.watch_pause())
             }
             Err(StateError::TooOld) => {
@@ -104,8 +106,9 @@
         }
     }
 
+    /// Returns the pause between two watches.
     fn watch_pause(&self) -> Duration {
-        // Without the machine types, or a leader, users and workers wait for what comes next.
+        // Without machine types or a leader, users and workers wait for the next change.
         if self.observer.needs_prompt_updates()
             || !self.replica.contents.borrow().can_serve_requests()
         {
@@ -115,7 +118,8 @@
         }
     }
 
-    /// Reads what has changed by now; true if that succeeded.
+    /// Reads the changes since the copy's revision without waiting for new ones. Returns whether
+    /// the read succeeded.
     async fn read_changes(&self) -> bool {
         let after = self.replica.contents.borrow().revision();
         let started = now();
@@ -130,14 +134,14 @@
                 true
             }
             Err(error) => {
-                tracing::debug!(%error, "refresh failed");
+                tracing::debug!(%error, "read on request failed");
                 false
             }
         }
     }
 
-    /// Takes what a read begun at `started` brought. It is a proof of fresh state (S6) only once
-    /// the observer has it.
+    /// Applies a read that started at `started`. The read becomes the proof of fresh state (S6)
+    /// only after the observer was notified of the ended jobs.
     fn apply_read(&self, events: Events, started: Instant) {
         let changes = self.replica.contents.borrow_mut().apply_events(events);
         self.observer.on_jobs_ended(&changes.ended_jobs);
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Reads everything anew; the copy is replaced as a whole.
+    /// Makes a complete read and replaces the whole copy, unless the copy is newer than the read.
     async fn reload(&self) -> Result<(), StateError> {
         let started = now();
         let (items, revision) = self.env.state.list(RequestClass::Claim, REPLICATED_PREFIX).await?;
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -11,13 +11,14 @@
     "bundle": "img-1", "image_gb": 0.5, "same_place": false, "apart": false, "loaners": true,
     "guess_s": 5.0, "snapshot_s": 0.0, "flush_s": 0.0}"#;
 
-/// What the observer saw when it was told of jobs that ended.
+/// State of the replica when the observer was notified of ended jobs.
 struct Ended {
     jobs: Vec<JobId>,
     still_in_replica: bool,
     proven_at: Option<Instant>,
 }
 
+/// An observer that records its notifications.
 struct Recorder {
     replica: Rc<StoreReplica>,
     ended_jobs: RefCell<Vec<Ended>>,
@@ -53,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_is_proof_only_after_the_observer_has_what_it_brought() {
+async fn read_becomes_proof_of_fresh_state_only_after_the_observer_was_notified() {
     let (follower, observer) = follower();
     let record = record("j-000001");
     let id = record.spec.id.clone();
@@ -69,8 +70,8 @@
     follower.apply_read(Events { revision: Revision::new(2), events: vec![delete] }, second);
     assert_eq!(follower.replica.proven_at(), Some(second));
     let ended = observer.ended_jobs.borrow();
-    let seen = ended.last().expect("the observer was told");
+    let seen = ended.last().expect("the observer was notified");
     assert_eq!(seen.jobs, [id]);
-    assert!(!seen.still_in_replica, "the replica shows it already");
-    assert_eq!(seen.proven_at, Some(first), "the second read was no proof yet");
+    assert!(!seen.still_in_replica, "the replica already contains the change");
+    assert_eq!(seen.proven_at, Some(first), "the second read was not the proof yet");
 }
--- a/crates/corkfield/src/replica/freshness.rs
+++ b/crates/corkfield/src/replica/freshness.rs
@@ -1,31 +1,33 @@
-//! Proof of fresh state, and the queue of those that wait for a read.
+//! The proof of fresh state, and the queue of requests for a read.
 
 use crate::clock::now;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use tokio::sync::{watch, Notify};
 
-/// Age of a proof that was never given.
+/// Age of the proof while no read has succeeded.
 const UNPROVEN_AGE: Duration = Duration::from_secs(3600);
 
-/// When the newest successful read was begun: what it brought was current then, or later.
+/// The start of the newest successful read. The state that the read returned was current at that
+/// time or later.
 #[derive(Default)]
 pub(super) struct FreshnessProof {
     newest_read: Cell<Option<Instant>>,
 }
 
 impl FreshnessProof {
-    /// A successful read was begun at `started`. Never goes back.
+    /// Records a successful read that started at `started`; ignores it if a newer one is recorded.
     pub(super) fn record_read(&self, started: Instant) {
         self.newest_read.set(self.newest_read.get().max(Some(started)));
     }
 
-    /// When the newest successful read was begun.
+    /// Returns when the newest successful read started.
     pub(super) fn proven_at(&self) -> Option<Instant> {
         self.newest_read.get()
     }
 
-    /// How long ago the newest successful read was begun; an hour if there was none.
+    /// Returns the time since the start of the newest successful read; [`UNPROVEN_AGE`] if there
+    /// was none.
     pub(super) fn age(&self) -> Duration {
         self.newest_read
             .get()
@@ -33,19 +35,20 @@
     }
 }
 
-/// The newest ticket whose read has ended, and whether that read succeeded.
+/// The newest ticket whose read has ended, and the result of that read.
 #[derive(Debug, Clone, Copy)]
 struct ServedTicket {
     ticket: u64,
+    /// Whether the read succeeded.
     succeeded: bool,
 }
 
-/// Requests for a read that is begun after the request. Each takes a ticket; a read serves all
-/// tickets that were given out before it began.
+/// Requests for a read that starts after the request. Each request has a ticket number; a read
+/// serves all tickets that were issued before the read started.
 pub(super) struct RefreshQueue {
-    /// The newest ticket given out.
+    /// The newest ticket that was issued.
     newest_ticket: Cell<u64>,
-    /// Notified when a ticket is given out.
+    /// Notified when a ticket is issued.
     requested: Notify,
     served: watch::Sender<ServedTicket>,
 }
@@ -61,7 +64,7 @@
 }
 
 impl RefreshQueue {
-    /// Waits for a read begun after the call; true if it succeeded within `limit`.
+    /// Waits for a read that starts after the call. Returns whether it succeeded within `limit`.
     pub(super) async fn wait_for_read(&self, limit: Duration) -> bool {
         let ticket = self.newest_ticket.get() + 1;
         self.newest_ticket.set(ticket);
@@ -72,7 +75,7 @@
         matches!(waited, Ok(Ok(served)) if served.succeeded)
     }
 
-    /// Waits until somebody waits for a read; the newest ticket that it will serve.
+    /// Waits until a read is requested; returns the newest ticket, which the next read serves.
     pub(super) async fn next_ticket(&self) -> u64 {
         while self.newest_ticket.get() <= self.served.borrow().ticket {
             self.requested.notified().await;
@@ -80,7 +83,7 @@
         self.newest_ticket.get()
     }
 
-    /// The read for all tickets up to this one has ended.
+    /// Reports the result of the read that served all tickets up to `ticket`.
     pub(super) fn complete_ticket(&self, ticket: u64, succeeded: bool) {
         self.served.send_replace(ServedTicket { ticket, succeeded });
     }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -1,4 +1,4 @@
-//! Answers to workers' heartbeats.
+//! Answers workers' heartbeats.
 
 mod redirects;
 
@@ -24,36 +24,37 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A heartbeat that comes in the middle of a failover waits this long for it.
+/// How long a heartbeat that arrives during a failover waits for the failover to end.
 const FAILOVER_WAIT: Duration = Duration::from_millis(1500);
-/// A heartbeat for whose machine starts wait is kept this long for a proof of fresh state.
+/// How long the answer to a heartbeat with pending starts waits for a proof of fresh state.
 const START_PROOF_WAIT: Duration = Duration::from_millis(600);
-/// Without any proof for this long the service is surely away: then no heartbeat waits for it.
+/// If the proof of fresh state is older than this, the state service counts as unreachable, and no
+/// heartbeat waits for a new proof.
 const STORE_UNREACHABLE_AGE: Duration = Duration::from_secs(4);
 
-/// Answers workers' heartbeats: as the leader, or by sending them to whoever leads.
+/// Answers workers' heartbeats: as the leader, or by redirecting or relaying them to the leader.
 pub struct WorkerHeartbeats {
-    /// Surroundings: settings, and this controller's name.
+    /// Settings, and the name and process of this controller.
     pub env: Rc<Environment>,
-    /// The copy of the store, whose freshness decides on what may be answered (S4, S6).
+    /// The local copy of the state service; its freshness limits the possible answers (S4, S6).
     pub replica: Rc<StoreReplica>,
-    /// The scheduler, if this controller leads.
+    /// The state of leadership, with the scheduler if this controller leads.
     pub leadership: Rc<Leadership>,
-    /// Whether starts may leave by the lease that this controller leads under (S4).
+    /// This controller's lease, under which a leader may start tasks (S4).
     pub session_lease: Rc<SessionLease>,
-    /// What the other controllers attest to.
+    /// The latest heartbeats and attestations of the other controllers.
     pub peers: Rc<Peers>,
-    /// The way to a leader that a worker doesn't reach itself.
+    /// The links over which heartbeats are relayed to the leader.
     pub links: Rc<PeerLinks>,
-    /// Workers that were redirected.
+    /// Workers that were recently redirected to the leader.
     pub redirected_workers: Rc<RedirectedWorkers>,
     /// The connections of users and workers.
     pub connections: Rc<Connections>,
 }
 
 impl WorkerHeartbeats {
-    /// The answer to a heartbeat that a worker sent to this controller, over the connection with
-    /// that number.
+    /// Answers a heartbeat that a worker sent to this controller over the connection with this
+    /// number.
     pub async fn answer_heartbeat(&self, body: &[u8], connection: u64) -> Response {
         let heartbeat: WorkerHeartbeat = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The answer to a heartbeat that another controller relayed to this one, as the leader.
+    /// Answers a heartbeat that another controller relayed to this one, as the leader.
     pub async fn answer_relayed(&self, body: &[u8]) -> Response {
         match serde_json::from_slice(body) {
             Ok(received) if self.leadership.is_ready() => self.answer_as_leader(&received).await,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Redirects the worker to the leader, or relays its heartbeat if it was there in vain.
+    /// Redirects the worker to the leader, or relays the heartbeat if the worker couldn't reach the
+    /// leader.
     async fn answer_as_standby(&self, received: &RelayedHeartbeat) -> Response {
         let heartbeat = &received.heartbeat;
         let leader = self.other_leader();
@@ -99,8 +101,8 @@
         json(421, &Redirect { report_to: leader })
     }
 
-    /// The leader's answer goes to the worker as it is, but for starts that don't match the job's
-    /// record as it is known here.
+    /// Returns the leader's answer for the worker, without the starts whose generation differs from
+    /// the job's record in the local copy.
     fn filter_relayed_answer(&self, response: Response) -> Response {
         if response.status != 200 {
             return retry_later("the planner has no answer");
@@ -119,6 +121,7 @@
         json(200, &reply)
     }
 
+    /// Answers a heartbeat with the orders of the scheduler.
     async fn answer_as_leader(&self, received: &RelayedHeartbeat) -> Response {
         let heartbeat = &received.heartbeat;
         let Some(scheduler) = self.leadership.scheduler() else {
@@ -133,7 +136,7 @@
         }
         self.hold_answer(&scheduler, heartbeat.machine.as_str()).await;
         self.renew_start_proof(&scheduler, heartbeat.machine.as_str()).await;
-        // The leader may have changed while the answer was held back.
+        // The leader may have changed while the answer was delayed.
         let is_same_scheduler =
             self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
         if !is_same_scheduler || !self.may_answer() {
@@ -147,7 +150,8 @@
         json(200, &HeartbeatReply { term: scheduler.term(), orders })
     }
 
-    /// Gives the heartbeat to the scheduler; the answer if it can't be taken.
+    /// Passes the heartbeat to the scheduler. Returns `None` if the scheduler accepted the heartbeat,
+    /// or else the answer that refuses it.
     fn process_heartbeat(
         &self,
         scheduler: &RefCell<Scheduler>,
@@ -155,10 +159,10 @@
     ) -> Option<Response> {
         let RelayedHeartbeat { heartbeat, connection } = received;
         let WorkerHeartbeat { machine, sequence, .. } = heartbeat;
-        // S6: without fresh state a cancellation may have been missed; the machines' leases have
-        // to run out while there is time.
+        // S6: without fresh state this controller may have missed a cancellation. Refused workers
+        // lose their leases, and so stop the job, before the time limit of the cancellation.
         if !self.may_answer() {
-            tracing::debug!(%machine, "no fresh state to answer from");
+            tracing::debug!(%machine, "heartbeat refused: no proof of fresh state");
             return Some(retry_later("no fresh state"));
         }
         let origin = MessageOrigin::Heartbeat { connection: *connection };
@@ -178,11 +182,12 @@
         }
     }
 
-    /// Holds the answer to an idle machine back until there are orders for it, for a moment at
-    /// most.
+    /// Delays the answer to an idle machine until there are orders for it, at most for the operator
+    /// setting `hold_s`.
     async fn hold_answer(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let max_hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
-        // Short of sockets, an answer that waits for work would keep other workers out.
+        // While connections are scarce, a delayed answer would occupy a connection that another
+        // worker needs.
         let may_delay_answer = !max_hold.is_zero() && !self.connections.is_short_of_connections();
         if may_delay_answer && scheduler.borrow().may_delay_answer(machine) {
             let answer_due = self.leadership.hold_answer(machine);
@@ -191,8 +196,9 @@
         }
     }
 
-    /// S4: a start leaves on a young proof. A cancellation that another controller confirms after
-    /// it can then meet no more than the starts of about that time.
+    /// Waits for a new proof of fresh state if starts are pending for the machine and the proof is
+    /// too old for them (S4). After another controller has confirmed the cancellation of a job,
+    /// tasks of the job can then be started only for about the maximum age of the proof.
     async fn renew_start_proof(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let has_starts = scheduler.borrow().has_starts_for(machine);
         if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_UNREACHABLE_AGE
@@ -201,14 +207,15 @@
         }
     }
 
-    /// Whether the proof of fresh state is young enough for starts (S4).
+    /// Returns whether the proof of fresh state is recent enough for starts (S4).
     fn has_start_proof(&self) -> bool {
         self.replica.proof_age() <= self.env.settings.start_proof()
     }
 
-    /// S6: whether a heartbeat may be answered with 200. That rests on state that was fresh a while
-    /// ago, or, while the state service is out for all, on what all other controllers attest; and
-    /// it shows no other leader.
+    /// Returns whether a heartbeat may be answered with status 200 (S6). This requires that the
+    /// proof of fresh state is younger than the answer limit or, during an outage of the state
+    /// service for all controllers, that the attestations of all other controllers are. It also
+    /// requires that the local copy shows no newer leader.
     fn may_answer(&self) -> bool {
         let limit = self.env.settings.answer_limit();
         let fresh = self.replica.proof_age() < limit
@@ -216,14 +223,15 @@
         fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
     }
 
-    /// How long ago all other controllers attested for this one as the leader.
+    /// Returns how long ago all other controllers attested to the outage, with this controller as
+    /// the leader; `None` if any of them did not.
     fn attestation_age(&self) -> Option<Duration> {
         let term = self.leadership.term()?;
         let proven_at = self.replica.proven_at()?;
         self.peers.attestation_age(&self.env.settings.platform, term, proven_at)
     }
 
-    /// The leader, if it is another controller that is present.
+    /// Returns the leader, if it is another controller and its process is present.
     fn other_leader(&self) -> Option<ControllerName> {
         let contents = self.replica.contents.borrow();
         let record = &contents.leader.as_ref()?.record;
@@ -232,7 +240,7 @@
     }
 }
 
-/// Whether a relayed start is of the generation of its job's record, as far as that is known.
+/// Returns whether a relayed start has the generation of its job's record in the local copy.
 fn matches_generation(task: &TaskId, attempt: Attempt, record: Option<&JobRecord>) -> bool {
     let known = record.map(|record| record.generation);
     let matches = known == Some(attempt.generation());
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -1,4 +1,5 @@
-//! Workers that were redirected to the leader, and those that can't reach it.
+//! Tracks workers that were redirected to the leader, and finds the workers that can't reach the
+//! leader.
 
 use crate::clock::now;
 use corkfield_wire::MachineName;
@@ -6,30 +7,31 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A worker that is back this soon after it was redirected to the leader didn't reach it.
+/// A worker that returns within this time after it was redirected didn't reach the leader.
 const RETURN_WINDOW: Duration = Duration::from_secs(12);
-/// After this a worker whose heartbeats are relayed tries the leader itself again.
+/// After this time a worker whose heartbeats are relayed is redirected to the leader again.
 const RELAY_PERIOD: Duration = Duration::from_secs(60);
-/// Above the number of workers; only those that came in the last seconds are remembered.
+/// Maximum number of workers that are tracked. It is above the number of workers of a cluster: only
+/// workers seen within [`RETURN_WINDOW`] are tracked.
 const MAX_REDIRECTED: usize = 32_768;
 
-/// How a worker's heartbeats get to the leader.
+/// How a worker's heartbeats reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatRoute {
-    /// The worker is to send them to the leader itself.
+    /// The worker sends them to the leader itself.
     Redirect,
     /// This controller relays them.
     Relay,
 }
 
-/// What is remembered of a worker that was here.
+/// A worker that recently sent a heartbeat to this controller.
 #[derive(Debug, Clone, Copy)]
 struct RedirectedWorker {
     last_seen: Instant,
     state: RedirectState,
 }
 
-/// How the heartbeats of a worker that was here get to the leader.
+/// How the heartbeats of a tracked worker reach the leader.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
@@ -44,15 +46,17 @@
 }
 
 impl RedirectedWorker {
+    /// Returns a worker that was just redirected for the first time.
     fn redirected(seen: Instant) -> Self {
         Self { last_seen: seen, state: RedirectState::Redirected }
     }
 
+    /// Returns whether the worker was not seen for [`RETURN_WINDOW`].
     fn is_expired(&self, at: Instant) -> bool {
         at.saturating_duration_since(self.last_seen) >= RETURN_WINDOW
     }
 
-    /// The state after a heartbeat that came soon after the one before.
+    /// Returns the state after a heartbeat within [`RETURN_WINDOW`] after the previous one.
     fn state_after_return(&self, at: Instant) -> RedirectState {
         match self.state {
             RedirectState::Redirected => RedirectState::Relayed { since: at },
@@ -66,16 +70,16 @@
     }
 }
 
-/// Workers that came to this controller although another one leads.
+/// Workers that sent heartbeats to this controller although another controller leads.
 #[derive(Default)]
 pub struct RedirectedWorkers {
-    /// By machine.
+    /// The tracked workers, by machine.
     workers: RefCell<BTreeMap<MachineName, RedirectedWorker>>,
     last_swept: Cell<Option<Instant>>,
 }
 
 impl RedirectedWorkers {
-    /// Records a worker's heartbeat, and says how it gets to the leader.
+    /// Records a worker's heartbeat and returns how it reaches the leader.
     pub fn route_heartbeat(&self, machine: &str) -> HeartbeatRoute {
         let at = now();
         self.sweep(at);
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Forgets those that were not here for a while, now and then.
+    /// Removes expired workers, at most once per [`RETURN_WINDOW`].
     fn sweep(&self, at: Instant) {
         let due = |last_swept: Instant| at.saturating_duration_since(last_swept) >= RETURN_WINDOW;
         if self.last_swept.get().is_none_or(due) {
--- a/crates/corkfield/src/workers/redirects/tests.rs
+++ b/crates/corkfield/src/workers/redirects/tests.rs
@@ -5,14 +5,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn heartbeats_of_a_worker_that_comes_back_are_relayed_for_a_while() {
+async fn heartbeats_of_a_worker_that_returns_soon_are_relayed_for_the_relay_period() {
     let workers = RedirectedWorkers::default();
     assert_eq!(workers.route_heartbeat("m"), HeartbeatRoute::Redirect);
     advance(RETURN_WINDOW).await;
     assert_eq!(
         workers.route_heartbeat("m"),
         HeartbeatRoute::Redirect,
-        "it may have reached the leader"
+        "the worker may have reached the leader"
     );
     let heartbeat_interval = Duration::from_secs(5);
     for _ in 0..=RELAY_PERIOD.as_secs() / heartbeat_interval.as_secs() {
@@ -22,16 +22,20 @@
     assert_eq!(
         workers.route_heartbeat("other"),
         HeartbeatRoute::Redirect,
-        "each worker for itself"
+        "workers are tracked separately"
     );
     advance(heartbeat_interval).await;
-    assert_eq!(workers.route_heartbeat("m"), HeartbeatRoute::Redirect, "it tries the leader again");
+    assert_eq!(
+        workers.route_heartbeat("m"),
+        HeartbeatRoute::Redirect,
+        "the worker is sent to the leader again"
+    );
     advance(heartbeat_interval).await;
     assert_eq!(workers.route_heartbeat("m"), HeartbeatRoute::Relay);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bounded_number_of_workers_is_remembered_for_a_bounded_time() {
+async fn tracked_workers_are_limited_in_number_and_expire() {
     let workers = RedirectedWorkers::default();
     for number in 0..=MAX_REDIRECTED {
         workers.route_heartbeat(&format!("m-{number}"));
