--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the platform's file (TOML), the operators' own (JSON), and logging.
+//! Settings of a controller: the platform's file (TOML), the operators' file (JSON) and logging.
 
 mod logging;
 mod operator;
@@ -11,43 +11,45 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Unfinished jobs for each MB of memory: 8 KiB for each. An allowance, not a measurement.
+/// Maximum unfinished jobs per MB of memory, which allows 8 KiB for each job.
 const JOBS_PER_MB: f64 = 128.0;
+/// Bounds of the maximum of unfinished jobs that is derived from the memory.
 const MIN_MAX_JOBS: f64 = 1000.0;
 const MAX_MAX_JOBS: f64 = 100_000.0;
-/// Where the platform doesn't say how much memory it grants.
+/// Maximum unfinished jobs if the platform doesn't state how much memory it grants.
 const DEFAULT_MAX_JOBS: usize = 20_000;
 
-/// One answer of the state service may take this share of the memory: one in so many bytes.
+/// The memory is divided by this to get the maximum length of an answer of the state service.
 const ANSWER_MEMORY_DIVISOR: usize = 32;
-/// In bytes. A page of a list has 512 KiB at most.
+/// Minimum of the maximum answer length, in bytes. A page of a list has 512 KiB at most.
 const MIN_STATE_ANSWER_BYTES: usize = 1024 * 1024;
-/// In bytes.
+/// Upper bound of the maximum answer length, in bytes.
 const MAX_STATE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// A worker's lease may last longer than its time to live by this factor: clocks drift.
+/// Factor by which a worker's lease may exceed its time to live, because of clock drift.
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
 /// Allowance for delays between a controller's answer and the end of a worker's lease, in seconds.
 const ANSWER_MARGIN_S: f64 = 4.0;
 /// The shortest answer limit, in seconds.
 const MIN_ANSWER_LIMIT_S: f64 = 1.0;
 
-/// A watch stays open for this share of the answer limit, within these bounds.
+/// The answer limit is divided by this to get the time that a watch stays open.
 const WATCH_TIMEOUT_DIVISOR: u32 = 4;
+/// Bounds of the time that a watch stays open.
 const MIN_WATCH_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Connections that a process may have open where the platform sets no limit.
+/// Maximum open connections of a process if the platform sets no limit.
 const DEFAULT_MAX_CONNECTIONS: usize = 900;
-/// Connections of each kind, at the least.
+/// Minimum of the limit for each kind of connection.
 const MIN_CONNECTIONS_PER_KIND: usize = 8;
-/// Percentages of all connections; see [`ConnectionLimits`].
+/// Limits of the kinds of connections, in percent of all connections; see [`ConnectionLimits`].
 const ACCEPTED_PERCENT: usize = 65;
 const KEEP_ALIVE_PERCENT: usize = 62;
 const USERS_PERCENT: usize = 25;
 const DIRECT_ORDERS_PERCENT: usize = 22;
 
-/// Why the settings can't be loaded.
+/// An error that occurs while settings are loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// A file can't be read.
@@ -55,7 +57,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         error: std::io::Error,
     },
     /// The platform's settings are not valid.
@@ -76,30 +78,34 @@
     },
 }
 
-/// How many connections of each kind may be open at once.
+/// Maximum numbers of connections that may be open at once, by kind.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Accepted from users and workers.
+    /// Connections accepted from users and workers.
     pub accepted: usize,
-    /// While more of these are open, each is closed after its answer.
+    /// While more accepted connections than this are open, each one is closed after its answer.
     pub keep_alive: usize,
-    /// Of these, from others than workers.
+    /// Accepted connections of clients other than workers.
     pub users: usize,
-    /// To machines.
+    /// Connections to machines, for direct orders.
     pub direct_orders_in_flight: usize,
 }
 
 /// The settings of one controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// What the platform says: names, addresses, limits, teams.
+    /// The platform's settings: names, addresses, limits, teams.
     pub platform: Platform,
-    /// What the operators chose.
+    /// The operators' settings.
     pub operator: Operator,
 }
 
 impl Settings {
-    /// Reads and checks the platform's file and, if there is one, the operators'.
+    /// Reads and checks the platform's file, and the operators' file if there is one.
+    ///
+    /// # Errors
+    ///
+    /// If a file can't be read or its settings are not valid.
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Self, LoadError> {
         let platform = Platform::parse(&read_file(config)?)
             .map_err(|error| LoadError::Platform { path: config.to_owned(), error })?;
@@ -111,27 +117,28 @@
         Ok(Self { platform, operator })
     }
 
-    /// Unfinished jobs that this controller keeps. A job takes some KiB, in the copy of the state
-    /// service and in the leader.
+    /// Returns the maximum number of unfinished jobs. A job takes some KiB of memory, in the local
+    /// copy of the state service and in the leader's scheduler.
     pub fn max_jobs(&self) -> usize {
         self.operator.max_jobs.map_or_else(|| self.max_jobs_for_memory(), |max| max as usize)
     }
 
+    /// Returns the maximum number of unfinished jobs that the granted memory allows.
     fn max_jobs_for_memory(&self) -> usize {
         self.memory_mb().map_or(DEFAULT_MAX_JOBS, |memory_mb| {
             (memory_mb * JOBS_PER_MB).clamp(MIN_MAX_JOBS, MAX_MAX_JOBS) as usize
         })
     }
 
-    /// The memory that the platform grants, in MB, if it says so.
+    /// Returns the memory that the platform grants, in MB; `None` if the platform doesn't state it.
     fn memory_mb(&self) -> Option<f64> {
         let memory_mb = self.platform.params.limits.memory_mb;
         (memory_mb.is_finite() && memory_mb > 0.0).then_some(memory_mb)
     }
 
-    /// Bytes that an answer of the state service may have. Read into records it takes several
-    /// times as much for a moment, so a small process takes small ones: what is larger is read
-    /// anew, page by page.
+    /// Returns the maximum length of an answer of the state service, in bytes. Decoding an answer
+    /// briefly takes several times its length in memory, so a process with little memory accepts
+    /// only short answers. State that exceeds the maximum is read again page by page.
     pub fn max_state_answer_bytes(&self) -> usize {
         self.memory_mb().map_or(MAX_STATE_ANSWER_BYTES, |memory_mb| {
             let memory = (memory_mb * 1024.0 * 1024.0) as usize;
@@ -139,29 +146,32 @@
         })
     }
 
-    /// How long a controller without fresh state goes on answering heartbeats (S6): after that a
-    /// worker's whole lease still has to pass before a cancellation's time is over.
+    /// Returns how long a controller without fresh state continues to answer heartbeats (S6). After
+    /// this time a worker's whole lease can still expire within the time limit of a cancellation.
     pub fn answer_limit(&self) -> Duration {
         let workers = &self.platform.params.workers;
         let remaining_s = workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - ANSWER_MARGIN_S;
         Duration::from_secs_f64(remaining_s.max(MIN_ANSWER_LIMIT_S))
     }
 
-    /// How young a proof of fresh state has to be for a start to leave (S4).
-    pub fn start_proof(&self) -> Duration {
+    /// Returns the maximum age of the proof of fresh state under which tasks are started (S4).
+    pub fn max_start_proof_age(&self) -> Duration {
         Duration::from_secs_f64(self.operator.start_proof_s)
     }
 
-    /// How long a watch may stay open. Only its beginning proves fresh state, so it has to be
-    /// short against the answer limit: where a cancellation has little more time than a lease,
-    /// a quiet leader would otherwise refuse its workers between two watches. One and its
-    /// predecessor, with a pause between them, also stay below the time after which a controller
-    /// takes the service to be away.
+    /// Returns how long a watch may stay open.
+    ///
+    /// A watch proves that the state was fresh when the watch started, so a watch must be short
+    /// compared with the answer limit. Otherwise, if the time limit of a cancellation is hardly
+    /// longer than a worker's lease, a leader whose watches return no changes would refuse its
+    /// workers' heartbeats between two watches. Two consecutive watches and the pause between them
+    /// are also shorter than the age of the proof at which a controller considers the state service
+    /// unreachable.
     pub fn watch_timeout(&self) -> Duration {
         (self.answer_limit() / WATCH_TIMEOUT_DIVISOR).clamp(MIN_WATCH_TIMEOUT, MAX_WATCH_TIMEOUT)
     }
 
-    /// The parts of the sockets that this process may have open. What is left is for the state
+    /// Returns the limits of each kind of connection. The remaining connections are for the state
     /// service, the cloud and the other controllers.
     pub fn connection_limits(&self) -> ConnectionLimits {
         let total = match self.platform.params.limits.max_connections {
@@ -177,7 +187,7 @@
         }
     }
 
-    /// The configuration of the scheduler.
+    /// Returns the configuration of the scheduler.
     pub fn scheduler_config(&self) -> Config {
         let params = &self.platform.params;
         Config {
@@ -192,7 +202,7 @@
         }
     }
 
-    /// What the settings come to, for operators: one line for each subject.
+    /// Returns a summary of the settings for operators, one line for each subject.
     pub fn summary(&self) -> String {
         let platform = &self.platform;
         let operator = serde_json::to_string_pretty(&self.operator).unwrap_or_default();
@@ -218,6 +228,7 @@
 }
 
 impl ConnectionLimits {
+    /// Returns a summary of the limits for operators, in one line.
     fn summary(&self) -> String {
         format!(
             "connections: {} accepted, {} of them kept between requests, {} of users, {} to machines",
@@ -226,7 +237,7 @@
     }
 }
 
-/// The contents of a file of settings.
+/// Reads a settings file.
 fn read_file(path: &Path) -> Result<String, LoadError> {
     std::fs::read_to_string(path).map_err(|error| LoadError::Read { path: path.to_owned(), error })
 }
--- a/crates/corkfield/src/settings/logging.rs
+++ b/crates/corkfield/src/settings/logging.rs
@@ -1,8 +1,8 @@
-//! Logging: its level and format, from the environment variables `LOG_LEVEL` and `LOG_FORMAT`.
+//! Logging, whose level and format the environment variables `LOG_LEVEL` and `LOG_FORMAT` set.
 
 use tracing_subscriber::filter::LevelFilter;
 
-/// Why logging can't be started.
+/// An error in the environment variables that set up logging.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoggingError {
     /// `LOG_LEVEL` names no level.
@@ -13,17 +13,17 @@
     UnknownFormat(String),
 }
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
     /// One JSON object a line, with the fields of the event at its top level.
     Json,
 }
 
 impl LogFormat {
-    /// The format that a value of `LOG_FORMAT` names; text if there is none.
+    /// Parses a value of `LOG_FORMAT`; the default is text.
     fn parse(value: Option<&str>) -> Result<Self, LoggingError> {
         match value {
             Some("text" | "") | None => Ok(Self::Text),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The level that a value of `LOG_LEVEL` names; info if there is none.
+/// Parses a value of `LOG_LEVEL`; the default is info.
 fn parse_level(value: Option<&str>) -> Result<LevelFilter, LoggingError> {
     match value {
         Some("error") => Ok(LevelFilter::ERROR),
@@ -44,8 +44,11 @@
     }
 }
 
-/// Logs go to standard error, at the level that `LOG_LEVEL` names and in the format that
-/// `LOG_FORMAT` names.
+/// Starts logging to standard error, at the level of `LOG_LEVEL` and in the format of `LOG_FORMAT`.
+///
+/// # Errors
+///
+/// If one of the two environment variables has an unknown value.
 pub fn start_logging() -> Result<(), LoggingError> {
     let level = parse_level(std::env::var("LOG_LEVEL").ok().as_deref())?;
     let format = LogFormat::parse(std::env::var("LOG_FORMAT").ok().as_deref())?;
--- a/crates/corkfield/src/settings/logging/tests.rs
+++ b/crates/corkfield/src/settings/logging/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn log_format_is_text_unless_json_is_named() {
+fn log_format_defaults_to_text() {
     assert_eq!(LogFormat::parse(None), Ok(LogFormat::Text));
     assert_eq!(LogFormat::parse(Some("")), Ok(LogFormat::Text));
     assert_eq!(LogFormat::parse(Some("text")), Ok(LogFormat::Text));
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn unknown_log_settings_are_named() {
+fn errors_name_unknown_log_settings() {
     let format = LogFormat::parse(Some("JSON")).unwrap_err();
     assert_eq!(format.to_string(), "LOG_FORMAT: `JSON` is not text or json");
     let level = parse_level(Some("trace")).unwrap_err();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn log_level_is_info_unless_another_is_named() {
+fn log_level_defaults_to_info() {
     assert_eq!(parse_level(None), Ok(LevelFilter::INFO));
     assert_eq!(parse_level(Some("")), Ok(LevelFilter::INFO));
     assert_eq!(parse_level(Some("error")), Ok(LevelFilter::ERROR));
--- a/crates/corkfield/src/settings/operator.rs
+++ b/crates/corkfield/src/settings/operator.rs
@@ -1,36 +1,38 @@
-//! The operators' own settings (JSON).
+//! The operator settings (JSON).
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The operators' own settings. All have defaults; unknown ones are errors.
+/// The operator settings. Every setting has a default; unknown settings are errors.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operator {
     /// Time to live of a controller's lease, in seconds.
     #[schemars(range(min = 1.0, max = 120.0))]
     pub lease_s: f64,
-    /// Records in one claiming transaction.
+    /// Maximum number of job records in one transaction that claims jobs.
     #[schemars(range(min = 1, max = 100))]
     pub claim_batch: u32,
-    /// Claims that a job may have without progress before it is set aside.
+    /// Number of claims without progress after which a job is dead-lettered (set aside).
     #[schemars(range(min = 1, max = 1000))]
     pub claim_limit: u32,
-    /// How long the answer to an idle machine's report may wait for work, in seconds.
+    /// How long the answer to an idle machine's heartbeat is delayed to wait for work, in seconds.
     #[schemars(range(min = 0.0, max = 3.0))]
     pub hold_s: f64,
-    /// How long an idle machine is kept before it is returned, in seconds.
+    /// How long an idle machine is kept before it is returned to the cloud, in seconds.
     #[schemars(range(min = 0.0, max = 86400.0))]
     pub idle_keep_s: f64,
-    /// Machines looked at for one placement; more candidates than this are sampled.
+    /// Maximum number of machines that one placement examines; a random sample if there are more
+    /// candidates.
     #[schemars(range(min = 1, max = 10000))]
     pub placement_sample: u32,
-    /// Unfinished jobs above which new ones are refused for the time being; left out, it follows
-    /// from the memory that the platform grants.
+    /// Maximum number of unfinished jobs; at this number new jobs are refused temporarily. If
+    /// omitted, the number is derived from the memory that the platform grants.
     #[schemars(range(min = 1, max = 1000000))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_jobs: Option<u32>,
-    /// Tasks are started only if the state service was heard of this recently, in seconds.
+    /// Tasks are started only if a successful read of the state service began at most this many
+    /// seconds ago.
     #[schemars(range(min = 0.05, max = 60.0))]
     pub start_proof_s: f64,
 }
@@ -50,16 +52,16 @@
     }
 }
 
-/// Why the operators' settings can't be used.
+/// An error in the operator settings.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// No JSON, or a field that is unknown or of another type.
+    /// The text is not JSON, or a field is unknown or has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// JSON, but of another form.
+    /// The text is JSON, but not a JSON object.
     #[error("must be a JSON object")]
     NotAnObject,
-    /// A value out of its range.
+    /// A value is out of its range.
     #[error("{field}: must be from {min} to {max}")]
     OutOfRange {
         /// Name of the setting.
@@ -71,7 +73,7 @@
     },
 }
 
-/// A setting with the values that it may have.
+/// The value of a setting and its allowed range.
 struct Range {
     field: &'static str,
     value: f64,
@@ -86,7 +88,12 @@
 }
 
 impl Operator {
-    /// Reads and checks the settings.
+    /// Parses and validates the settings.
+    ///
+    /// # Errors
+    ///
+    /// If `text` is not a JSON object, a field is unknown, or a value has the wrong type or is out
+    /// of its range.
     pub fn parse(text: &str) -> Result<Self, OperatorError> {
         let value: serde_json::Value = serde_json::from_str(text)?;
         if !value.is_object() {
@@ -97,6 +104,7 @@
         Ok(operator)
     }
 
+    /// Checks that every value is in its range.
     fn validate(&self) -> Result<(), OperatorError> {
         let ranges = [
             Range::new("lease_s", self.lease_s, 1.0, 120.0),
@@ -117,7 +125,7 @@
     }
 }
 
-/// The JSON schema of the operators' own settings.
+/// Returns the JSON schema of the operator settings.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(Operator)).unwrap_or_default()
 }
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn operators_mistakes_are_named() {
+fn errors_in_operator_settings_name_the_field() {
     assert!(Operator::parse("{\"lease_s\": 5}").is_ok());
     assert!(Operator::parse("{\"leas_s\": 5}").unwrap_err().to_string().contains("leas_s"));
     let error = Operator::parse("{\"hold_s\": 9}").unwrap_err().to_string();
@@ -9,7 +9,8 @@
     assert!(Operator::parse("[]").is_err());
 }
 
-/// Settings of a lone controller, with these times of workers in seconds.
+/// Returns settings of a single controller. `lease` is the workers' lease and `cancel` the time
+/// limit of cancellations, in seconds; `limits` are TOML lines of the platform's limits.
 pub(crate) fn settings_of(lease: f64, cancel: f64, limits: &str) -> Settings {
     let text = format!(
         "node_name = \"n\"\ndomain = \"z\"\nclient_listen = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n\
@@ -23,10 +24,13 @@
 }
 
 #[test]
-fn unfinished_jobs_and_answers_follow_the_memory() {
+fn limits_of_jobs_and_answers_depend_on_the_memory() {
     let jobs = |limits: &str| settings_of(14.0, 34.0, limits).max_jobs();
-    assert!(jobs("mem_mb = 37.0") >= 4000, "a small process keeps as many as before");
-    assert!(jobs("mem_mb = 258.0") > 20_000, "a large one several times as many");
+    assert!(jobs("mem_mb = 37.0") >= 4000, "a process with little memory keeps 4,000 jobs");
+    assert!(
+        jobs("mem_mb = 258.0") > 20_000,
+        "a process with much memory keeps several times as many"
+    );
     assert_eq!(jobs(""), DEFAULT_MAX_JOBS);
     assert_eq!(jobs("mem_mb = 0.0"), DEFAULT_MAX_JOBS);
     assert_eq!(jobs("mem_mb = 0.001"), MIN_MAX_JOBS as usize);
@@ -42,7 +46,7 @@
 }
 
 #[test]
-fn a_quiet_watch_leaves_the_leader_fresh_enough_to_answer() {
+fn a_watch_without_changes_is_short_compared_with_the_answer_limit() {
     for (lease, cancel) in [(14.0, 34.0), (10.0, 10.0), (26.0, 27.0)] {
         let settings = settings_of(lease, cancel, "");
         assert!(settings.watch_timeout() * 3 <= settings.answer_limit(), "{lease} {cancel}");
@@ -50,7 +54,7 @@
 }
 
 #[test]
-fn mistakes_are_reported_in_the_words_that_operators_know() {
+fn errors_use_the_names_of_the_operator_settings() {
     let message = |text: &str| Operator::parse(text).unwrap_err().to_string();
     assert_eq!(message("{\"max_jobs\": 0}"), "max_jobs: must be from 1 to 1000000");
     assert_eq!(message("{\"start_proof_s\": 0}"), "start_proof_s: must be from 0.05 to 60");
@@ -61,7 +65,7 @@
 }
 
 #[test]
-fn the_summary_says_what_the_settings_come_to() {
+fn summary_lists_the_effective_settings() {
     let summary = settings_of(14.0, 34.0, "").summary();
     let (platform, operator) = summary.split_once("operators' settings: ").unwrap();
     assert_eq!(
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn the_published_schema_is_that_of_the_settings() {
+fn published_schema_matches_the_operator_settings() {
     let published = include_str!("../../../../docs/operator.schema.json");
     assert_eq!(published.trim(), schema().trim());
 }
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -1,4 +1,4 @@
-//! Answers to users. Only what is stored is answered (S1).
+//! Answers users' requests. An answer contains only state that the state service holds (S1).
 
 mod lookup;
 mod submission;
@@ -17,25 +17,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Users wait 5 s for a submission or a cancellation.
+/// Time limit of a submission or a cancellation. Users wait 5 s for the answer.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
-/// Reason given to users who are asked to come back.
+/// Reason in the answers that ask users to retry.
 const STORE_UNAVAILABLE: &str = "the state service doesn't answer";
-/// Pause after a cancellation met a newer record or no answer, in milliseconds; drawn at random.
+/// Range of the random pause before a cancellation is retried after a conflict, a missing answer or
+/// status 429, in milliseconds.
 const CANCEL_RETRY_MS: std::ops::Range<u64> = 5..50;
 
-/// Answers the requests of users, and of operators about one job.
+/// Answers requests of users, and requests of operators to release a job.
 pub struct UserRequests {
-    /// Surroundings: settings and the client of the state service.
+    /// Settings, and the client of the state service.
     pub env: Rc<Environment>,
-    /// The copy of the store.
+    /// The local copy of the state service.
     pub replica: Rc<StoreReplica>,
-    /// Announces cancellations to the other controllers.
+    /// Notifies all controllers of cancellations.
     pub notifier: CancellationNotifier,
 }
 
 impl UserRequests {
-    /// The answer to a query for a job.
+    /// Answers a query for a job.
     pub async fn query(&self, id: &JobId) -> Response {
         match tokio::time::timeout(QUERY_TIMEOUT, self.find_job(id)).await {
             Ok(Ok(found)) => found.response(id).unwrap_or_else(|| error(404, "no such job")),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The answer to a cancellation (S11).
+    /// Answers a request to cancel a job (S11).
     pub async fn cancel(&self, id: &JobId) -> Response {
         let run = self.cancel_job(id);
         tokio::time::timeout(CHANGE_TIMEOUT, run)
@@ -52,6 +53,8 @@
             .unwrap_or_else(|_| retry_later(STORE_UNAVAILABLE))
     }
 
+    /// Cancels an unfinished job; retries until the transaction is committed, the job is found to
+    /// have a final record, or an error can't be retried.
     async fn cancel_job(&self, id: &JobId) -> Response {
         loop {
             let (record, version) = match self.find_job(id).await {
@@ -64,7 +67,7 @@
             let cancelled = FinalRecord { status: JobStatus::Cancelled, done: record.done };
             match self.store_cancelled(id, version, &cancelled).await {
                 Ok(_) => {
-                    tracing::debug!(job = %id, "cancelled");
+                    tracing::debug!(job = %id, "job cancelled");
                     self.record_final_state(id, &cancelled).await;
                     return json(200, &job_view(id, cancelled.status, cancelled.done, 0));
                 }
@@ -74,14 +77,14 @@
                     self.env.sleep_random(CANCEL_RETRY_MS).await;
                 }
                 Err(error) => {
-                    tracing::debug!(job = %id, %error, "can't store a cancellation");
+                    tracing::debug!(job = %id, %error, "failed to store a cancellation");
                     return retry_later(STORE_UNAVAILABLE);
                 }
             }
         }
     }
 
-    /// Replaces the job's record of this version by its final one.
+    /// Replaces the job's record of this version by its final record, in one transaction.
     async fn store_cancelled(
         &self,
         id: &JobId,
@@ -97,7 +100,8 @@
         self.env.state.transaction(RequestClass::Claim, &transaction).await
     }
 
-    /// An operator lets a dead-lettered job run again (S12).
+    /// Releases a dead-lettered job at the request of an operator, so that the job can be claimed
+    /// again (S12).
     pub async fn release(&self, id: &JobId) -> Response {
         let Ok(StoredJob::Unfinished { record, version }) = self.find_job(id).await else {
             return error(404, "no such unfinished job");
@@ -111,15 +115,15 @@
         match self.env.state.transaction(RequestClass::Submission, &transaction).await {
             Ok(_) => json(200, &job_view(id, JobStatus::Queued, record.done, 0)),
             Err(error) => {
-                tracing::debug!(job = %id, %error, "can't release");
+                tracing::debug!(job = %id, %error, "failed to release a dead-lettered job");
                 retry_later(STORE_UNAVAILABLE)
             }
         }
     }
 
-    /// The answer while it is not known what the store holds of the job.
+    /// Logs a failed lookup and builds the answer that asks the user to retry.
     fn lookup_failed_response(&self, id: &JobId, reason: &LookupError) -> Response {
-        tracing::debug!(job = %id, error = %reason, "job can't be looked up");
+        tracing::debug!(job = %id, error = %reason, "job lookup failed");
         retry_later(STORE_UNAVAILABLE)
     }
 }
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -1,4 +1,4 @@
-//! What the state service holds of a job.
+//! Looks up the stored state of a job.
 
 use super::UserRequests;
 use crate::responses::json;
@@ -9,28 +9,28 @@
 use corkfield_wire::{JobId, JobStatus, Revision};
 use std::time::Duration;
 
-/// Users wait 2 s for a query.
+/// Time limit of a query. Users wait 2 s for the answer.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
 
-/// What the store holds of a job, read after the request came in (S1).
+/// The stored state of a job, read after the request arrived (S1).
 pub(super) enum StoredJob {
     /// An unfinished job.
     Unfinished {
-        /// The record.
+        /// The job's record.
         record: Box<JobRecord>,
         /// Version of the record.
         version: Revision,
     },
-    /// A job that is over.
+    /// A job with a final record.
     Final(FinalRecord),
-    /// The job was never accepted.
+    /// The state service holds no record of the job, so the job was never accepted.
     Unknown,
 }
 
-/// Why it is not known what the store holds of a job.
+/// Why the stored state of a job can't be determined.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LookupError {
-    #[error("the local copy could not be brought up to date")]
+    #[error("the local copy of the state service could not be refreshed")]
     RefreshFailed,
     #[error("can't read the final record: {0}")]
     Read(#[from] StateError),
@@ -39,7 +39,7 @@
 }
 
 impl StoredJob {
-    /// The answer to a user who asks for the job; `None` if there is none.
+    /// Returns the answer to a user who queries the job; `None` if the job is unknown.
     pub(super) fn response(&self, id: &JobId) -> Option<Response> {
         match self {
             Self::Unfinished { record, .. } => {
@@ -51,13 +51,13 @@
     }
 }
 
-/// A job as users see it, with the numbers of its tasks that are done and running.
+/// Builds the view of a job for users, with the numbers of its done and running tasks.
 pub(super) fn job_view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
     JobView { id: id.clone(), status, done: Some(done), running: Some(running) }
 }
 
 impl UserRequests {
-    /// Finds out what the store holds of a job, not counting what it was before the call.
+    /// Looks up the stored state of a job. The result is current at some time after the call.
     pub(super) async fn find_job(&self, id: &JobId) -> Result<StoredJob, LookupError> {
         if let Some(record) = self.replica.contents.borrow().final_record(id) {
             return Ok(StoredJob::Final(record));
@@ -68,8 +68,9 @@
         if let Some(found) = self.find_in_replica(id) {
             return Ok(found);
         }
-        // Jobs that are over are not followed. One that is neither unfinished nor over now was
-        // never accepted: final records are written in the transaction that drops the others.
+        // The local copy doesn't follow final records. A job that has neither a record of an
+        // unfinished job nor a final record was never accepted: the transaction that deletes the
+        // former writes the latter.
         let read = self.env.state.get(RequestClass::Reading, &final_key(id)).await?;
         let Some(item) = read else {
             return Ok(StoredJob::Unknown);
@@ -79,9 +80,11 @@
         Ok(StoredJob::Final(record))
     }
 
+    /// Looks up a job in the local copy.
     fn find_in_replica(&self, id: &JobId) -> Option<StoredJob> {
         let contents = self.replica.contents.borrow();
-        // Another request may have been answered with it while this one's read was under way.
+        // Another request may have cached the final record, and answered a user with it, while this
+        // request waited for the read.
         if let Some(record) = contents.final_record(id) {
             return Some(StoredJob::Final(record));
         }
@@ -89,8 +92,9 @@
         Some(StoredJob::Unfinished { record: Box::new(record), version })
     }
 
-    /// The store surely holds this final state: it was read there, or committed. Before a user
-    /// hears of a cancellation, whoever leads hears of it too, even if the store refuses it.
+    /// Records a final state that was read from the state service or committed to it. Notifies all
+    /// controllers of a cancellation first, so that the leader knows of it before the user does,
+    /// even if the leader can't reach the state service.
     pub(super) async fn record_final_state(&self, id: &JobId, record: &FinalRecord) {
         if record.status == JobStatus::Cancelled {
             self.notifier.notify_all(id).await;
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs.
+//! Answers submissions of jobs.
 
 use super::lookup::job_view;
 use super::{UserRequests, CHANGE_TIMEOUT, STORE_UNAVAILABLE};
@@ -12,20 +12,22 @@
 use corkfield_wire::user::BadSubmission;
 use corkfield_wire::{JobId, JobSpec, JobStatus, Revision};
 
-/// Pause after a submission could not be stored, in milliseconds; drawn at random.
+/// Range of the random pause before storing a submission is retried, in milliseconds.
 const STORE_RETRY_MS: std::ops::Range<u64> = 50..150;
 
-/// Whether a new job can be taken.
+/// Whether a new job can be accepted.
 enum Admission {
+    /// The job can be accepted.
     Admitted,
-    /// Too many jobs are unfinished, or the machine types are not known yet.
+    /// Too many jobs are unfinished, or the machine types are unknown: the user has to retry.
     RetryLater,
-    /// The job fits no machine type, for this reason.
+    /// The job can never be scheduled, for this reason.
     Unschedulable(String),
 }
 
 impl UserRequests {
-    /// The answer to a submission: 201 if it is new, 200 if it was accepted before (S2).
+    /// Answers a submission: with status 201 if the job is new, with 200 if it was accepted before
+    /// (S2).
     pub async fn submit(&self, body: &[u8]) -> Response {
         let parsed = JobSpec::parse(body);
         let run = async {
@@ -41,7 +43,7 @@
             .unwrap_or_else(|_| retry_later(STORE_UNAVAILABLE))
     }
 
-    /// Refuses a submission for good, unless its id was accepted before (S2).
+    /// Refuses a submission permanently, unless a job with the same id was accepted before (S2).
     async fn refuse_submission(&self, id: Option<&JobId>, status: u16, reason: &str) -> Response {
         let refusal = error(status, reason);
         match id {
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The answer to a repeated submission if the job is known, or else this one.
+    /// Returns the answer to a repeated submission if the job is stored, or else `otherwise`.
     async fn stored_job_or(&self, id: &JobId, otherwise: Response) -> Response {
         match self.find_job(id).await {
             Ok(found) => found.response(id).unwrap_or(otherwise),
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Stores a valid submission if it is admitted.
     async fn accept_submission(&self, spec: JobSpec) -> Response {
         let id = spec.id.clone();
         match self.check_admission(&spec) {
@@ -65,7 +68,7 @@
             Admission::Unschedulable(reason) => {
                 return self.refuse_submission(Some(&id), 422, &reason).await
             }
-            // A known job is still recognised.
+            // A repeated submission of a stored job is answered in any case.
             Admission::RetryLater => return self.stored_job_or(&id, retry_later("not now")).await,
         }
         let record = JobRecord::new(spec, unix_time_ms());
@@ -79,6 +82,7 @@
         self.store_new_job(&id, &transaction).await
     }
 
+    /// Returns whether a new job can be accepted.
     fn check_admission(&self, spec: &JobSpec) -> Admission {
         let teams = &self.env.settings.platform.params.teams;
         let contents = self.replica.contents.borrow();
@@ -90,14 +94,16 @@
         }
     }
 
+    /// Commits the transaction that stores a new job; retries while it has no answer or is refused
+    /// with status 429.
     async fn store_new_job(&self, id: &JobId, transaction: &Transaction) -> Response {
         loop {
             match self.env.state.transaction(RequestClass::Submission, transaction).await {
                 Ok(_) => {
-                    tracing::debug!(job = %id, "accepted");
+                    tracing::debug!(job = %id, "job accepted");
                     return json(201, &job_view(id, JobStatus::Queued, 0, 0));
                 }
-                // Known already, perhaps by an earlier try of ours whose answer was lost.
+                // The job is stored already, possibly by an earlier attempt whose answer was lost.
                 Err(StateError::Conflict(_)) => {
                     return self.stored_job_or(id, retry_later("not now")).await
                 }
@@ -105,7 +111,7 @@
                     self.env.sleep_random(STORE_RETRY_MS).await;
                 }
                 Err(error) => {
-                    tracing::debug!(job = %id, %error, "can't store a submission");
+                    tracing::debug!(job = %id, %error, "failed to store a submission");
                     return retry_later(STORE_UNAVAILABLE);
                 }
             }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -150,8 +150,8 @@
         json(200, &HeartbeatReply { term: scheduler.term(), orders })
     }
 
-    /// Passes the heartbeat to the scheduler. Returns `None` if the scheduler accepted the heartbeat,
-    /// or else the answer that refuses it.
+    /// Passes the heartbeat to the scheduler. Returns `None` if the scheduler accepted the
+    /// heartbeat, or else the answer that refuses it.
     fn process_heartbeat(
         &self,
         scheduler: &RefCell<Scheduler>,
@@ -209,7 +209,7 @@
 
     /// Returns whether the proof of fresh state is recent enough for starts (S4).
     fn has_start_proof(&self) -> bool {
-        self.replica.proof_age() <= self.env.settings.start_proof()
+        self.replica.proof_age() <= self.env.settings.max_start_proof_age()
     }
 
     /// Returns whether a heartbeat may be answered with status 200 (S6). This requires that the
