--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Modules depend on each other in one direction only; each line may use only the lines above it:
 //!
-//! - `clock`, `responses`, `store_value`, `timers`, `settings`: utilities and
-//!   settings that all modules use;
+//! - `clock`, `responses`, `store_value`, `timers`, `settings`: utilities and settings, used by all
+//!   modules;
 //! - `environment`: settings, clients of external services, random numbers;
 //! - `replica`, `session_lease`, `peers`, `outbox`: the local view of the state service, of this
 //!   controller's lease and of the other controllers;
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -106,8 +106,8 @@
 
     /// Passes the answer to a relayed heartbeat on to the request that waits for it.
     fn complete_relay(&self, number: u64, response: Response) {
-        if let Some(waiting) = self.pending_relays.borrow_mut().remove(&number) {
-            let _ = waiting.send(response);
+        if let Some(sender) = self.pending_relays.borrow_mut().remove(&number) {
+            let _ = sender.send(response);
         }
     }
 }
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -60,7 +60,8 @@
 
 impl Peers {
     /// Records a received heartbeat. `echoed_sent_at` is the time when this controller sent the
-    /// heartbeat that the received one echoes.
+    /// heartbeat that the received one echoes. A heartbeat of an unknown controller is ignored if
+    /// [`MAX_PEERS`] controllers are known already.
     pub fn record_heartbeat(&self, heartbeat: PeerHeartbeat, echoed_sent_at: Option<Instant>) {
         let (peer, received_at) = (heartbeat.node.clone(), now());
         let mut last = self.last.borrow_mut();
@@ -130,8 +131,8 @@
         let last = self.last.borrow();
         let attested = platform.peers.iter().map(|peer| {
             let last = last.get(&peer.node)?;
-            let counts = last.heartbeat.term == term && last.process_first_seen < proven_at;
-            last.attested_at.filter(|_| counts)
+            let is_valid = last.heartbeat.term == term && last.process_first_seen < proven_at;
+            last.attested_at.filter(|_| is_valid)
         });
         let oldest = attested.collect::<Option<Vec<Instant>>>()?.into_iter().min()?;
         Some(now().saturating_duration_since(oldest))
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -82,13 +82,13 @@
     }
 
     /// Returns the controllers whose request to take over leadership was first seen less than
-    /// `time` ago.
+    /// `max_age` ago.
     pub fn recent_transfer_requesters(
         &self,
-        time: Duration,
+        max_age: Duration,
     ) -> impl Iterator<Item = &ControllerName> {
         let recent = move |request: &SeenTransferRequest| {
-            now().saturating_duration_since(request.first_seen) < time
+            now().saturating_duration_since(request.first_seen) < max_age
         };
         let requests = self.transfer_requests.iter();
         requests.filter(move |(_, request)| recent(request)).map(|(name, _)| name)
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -17,11 +17,11 @@
 /// Pause of a standby between two watches.
 const STANDBY_WATCH_PAUSE: Duration = Duration::from_millis(500);
 /// Pause after a failed watch.
-const WATCH_RETRY: Duration = Duration::from_millis(250);
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Pause after a failed complete read.
-const RELOAD_RETRY: Duration = Duration::from_millis(300);
+const RELOAD_RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Pause after a failed read on request.
-const REFRESH_RETRY: Duration = Duration::from_millis(100);
+const REFRESH_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Observes the changes of a read before the read counts as proof of fresh state (S6).
 ///
@@ -60,7 +60,7 @@
                 }
             } else if let Err(error) = self.reload().await {
                 tracing::debug!(%error, "complete read of the state service failed");
-                tokio::time::sleep(RELOAD_RETRY).await;
+                tokio::time::sleep(RELOAD_RETRY_PAUSE).await;
             }
         }
     }
@@ -69,10 +69,10 @@
     pub async fn serve_refreshes(self: Rc<Self>) {
         loop {
             let ticket = self.replica.refresh_queue.next_ticket().await;
-            let fresh = self.replica.is_synced() && self.read_changes().await;
-            self.replica.refresh_queue.complete_ticket(ticket, fresh);
-            if !fresh {
-                tokio::time::sleep(REFRESH_RETRY).await;
+            let succeeded = self.replica.is_synced() && self.read_changes().await;
+            self.replica.refresh_queue.complete_ticket(ticket, succeeded);
+            if !succeeded {
+                tokio::time::sleep(REFRESH_RETRY_PAUSE).await;
             }
         }
     }
@@ -88,12 +88,12 @@
         match read {
             Ok(events) => {
                 let waited = now().saturating_duration_since(started);
-                let quiet = events.events.is_empty() && waited >= wait / 2;
+                let is_quiet = events.events.is_empty() && waited >= wait / 2;
                 self.apply_read(events, started);
                 // The proof of fresh state is as old as the watch was long. With an additional
                 // pause a standby would consider the state service unreachable, and would report to
                 // the load balancer that it isn't ready.
-                (!quiet).then(|| self.watch_pause())
+                (!is_quiet).then(|| self.watch_pause())
             }
             Err(StateError::TooOld) => {
                 self.replica.synced.set(false);
@@ -101,7 +101,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "watch failed");
-                Some(WATCH_RETRY)
+                Some(WATCH_RETRY_PAUSE)
             }
         }
     }
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::settings::tests::settings_of;
+use crate::settings::tests::test_settings;
 use corkfield_http::Tcp;
 use corkfield_wire::records::{job_key, JobRecord, Versioned};
 use corkfield_wire::store::Event;
@@ -12,7 +12,7 @@
     "guess_s": 5.0, "snapshot_s": 0.0, "flush_s": 0.0}"#;
 
 /// State of the replica when the observer was notified of ended jobs.
-struct Ended {
+struct EndedNotification {
     jobs: Vec<JobId>,
     still_in_replica: bool,
     proven_at: Option<Instant>,
@@ -21,13 +21,13 @@
 /// An observer that records its notifications.
 struct Recorder {
     replica: Rc<StoreReplica>,
-    ended_jobs: RefCell<Vec<Ended>>,
+    notifications: RefCell<Vec<EndedNotification>>,
 }
 
 impl ReplicaObserver for Recorder {
     fn on_jobs_ended(&self, jobs: &[JobId]) {
         let contents = self.replica.contents.borrow();
-        self.ended_jobs.borrow_mut().push(Ended {
+        self.notifications.borrow_mut().push(EndedNotification {
             jobs: jobs.to_vec(),
             still_in_replica: jobs.iter().any(|id| contents.jobs.contains_key(id)),
             proven_at: self.replica.proven_at(),
@@ -42,9 +42,10 @@
 }
 
 fn follower() -> (ReplicaFollower, Rc<Recorder>) {
-    let env = Rc::new(Environment::new(settings_of(14.0, 34.0, ""), Rc::new(Tcp), 1));
+    let env = Rc::new(Environment::new(test_settings(14.0, 34.0, ""), Rc::new(Tcp), 1));
     let replica: Rc<StoreReplica> = Rc::default();
-    let observer = Rc::new(Recorder { replica: replica.clone(), ended_jobs: RefCell::default() });
+    let observer =
+        Rc::new(Recorder { replica: replica.clone(), notifications: RefCell::default() });
     (ReplicaFollower { env, replica, observer: observer.clone() }, observer)
 }
 
@@ -69,8 +70,8 @@
     let delete = Event::Delete { key: job_key(&id), version: Revision::new(2) };
     follower.apply_read(Events { revision: Revision::new(2), events: vec![delete] }, second);
     assert_eq!(follower.replica.proven_at(), Some(second));
-    let ended = observer.ended_jobs.borrow();
-    let seen = ended.last().expect("the observer was notified");
+    let notifications = observer.notifications.borrow();
+    let seen = notifications.last().expect("the observer was notified");
     assert_eq!(seen.jobs, [id]);
     assert!(!seen.still_in_replica, "the replica already contains the change");
     assert_eq!(seen.proven_at, Some(first), "the second read was not the proof yet");
--- a/crates/corkfield/src/routes/tests.rs
+++ b/crates/corkfield/src/routes/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn job(id: &str) -> JobId {
+fn job_id(id: &str) -> JobId {
     JobId::parse(id).expect("an id")
 }
 
@@ -16,9 +16,9 @@
         ("HEAD", PATH_READY, Route::Ready),
         ("GET", PATH_OVERVIEW, Route::Overview),
         ("POST", PATH_JOBS, Route::Submit),
-        ("GET", &query, Route::Query(job(id))),
-        ("POST", &cancel, Route::Cancel(job(id))),
-        ("POST", &release, Route::Release(job(id))),
+        ("GET", &query, Route::Query(job_id(id))),
+        ("POST", &cancel, Route::Cancel(job_id(id))),
+        ("POST", &release, Route::Release(job_id(id))),
     ] {
         assert_eq!(Route::parse(method, path), Ok(route), "{method} {path}");
     }
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -13,7 +13,7 @@
 
 /// Maximum unfinished jobs per MB of memory, which allows 8 KiB for each job.
 const JOBS_PER_MB: f64 = 128.0;
-/// Bounds of the maximum of unfinished jobs that is derived from the memory.
+/// Bounds of the maximum number of unfinished jobs that is derived from the memory.
 const MIN_MAX_JOBS: f64 = 1000.0;
 const MAX_MAX_JOBS: f64 = 100_000.0;
 /// Maximum unfinished jobs if the platform doesn't state how much memory it grants.
@@ -21,7 +21,7 @@
 
 /// The memory is divided by this to get the maximum length of an answer of the state service.
 const ANSWER_MEMORY_DIVISOR: usize = 32;
-/// Minimum of the maximum answer length, in bytes. A page of a list has 512 KiB at most.
+/// Lower bound of the maximum answer length, in bytes. A page of a list has 512 KiB at most.
 const MIN_STATE_ANSWER_BYTES: usize = 1024 * 1024;
 /// Upper bound of the maximum answer length, in bytes.
 const MAX_STATE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
@@ -41,7 +41,7 @@
 
 /// Maximum open connections of a process if the platform sets no limit.
 const DEFAULT_MAX_CONNECTIONS: usize = 900;
-/// Minimum of the limit for each kind of connection.
+/// Lower bound of the limit for each kind of connection.
 const MIN_CONNECTIONS_PER_KIND: usize = 8;
 /// Limits of the kinds of connections, in percent of all connections; see [`ConnectionLimits`].
 const ACCEPTED_PERCENT: usize = 65;
@@ -65,7 +65,7 @@
     Platform {
         /// The file.
         path: PathBuf,
-        /// What is wrong with them.
+        /// The invalid setting.
         error: SettingsError,
     },
     /// The operators' settings are not valid.
@@ -73,7 +73,7 @@
     Operator {
         /// The file.
         path: PathBuf,
-        /// What is wrong with them.
+        /// The invalid setting.
         error: OperatorError,
     },
 }
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -11,7 +11,7 @@
 
 /// Returns settings of a single controller. `lease` is the workers' lease and `cancel` the time
 /// limit of cancellations, in seconds; `limits` are TOML lines of the platform's limits.
-pub(crate) fn settings_of(lease: f64, cancel: f64, limits: &str) -> Settings {
+pub(crate) fn test_settings(lease: f64, cancel: f64, limits: &str) -> Settings {
     let text = format!(
         "node_name = \"n\"\ndomain = \"z\"\nclient_listen = \"10.0.0.1:1\"\nback = \"10.0.0.1:2\"\n\
          [endpoints]\ncloud = \"10.0.0.2:1\"\nstate = \"10.0.0.2:2\"\n[settings]\nsize = 1\n\
@@ -25,7 +25,7 @@
 
 #[test]
 fn limits_of_jobs_and_answers_depend_on_the_memory() {
-    let jobs = |limits: &str| settings_of(14.0, 34.0, limits).max_jobs();
+    let jobs = |limits: &str| test_settings(14.0, 34.0, limits).max_jobs();
     assert!(jobs("mem_mb = 37.0") >= 4000, "a process with little memory keeps 4,000 jobs");
     assert!(
         jobs("mem_mb = 258.0") > 20_000,
@@ -35,12 +35,12 @@
     assert_eq!(jobs("mem_mb = 0.0"), DEFAULT_MAX_JOBS);
     assert_eq!(jobs("mem_mb = 0.001"), MIN_MAX_JOBS as usize);
     assert_eq!(jobs("mem_mb = 1e300"), MAX_MAX_JOBS as usize);
-    let answer = |limits: &str| settings_of(14.0, 34.0, limits).max_state_answer_bytes();
+    let answer = |limits: &str| test_settings(14.0, 34.0, limits).max_state_answer_bytes();
     assert!(answer("mem_mb = 37.0") < 2 * 1024 * 1024);
     assert!(answer("mem_mb = 0.001") > 512 * 1024, "a page of a list always fits");
     assert_eq!(answer("mem_mb = 1e300"), MAX_STATE_ANSWER_BYTES);
     let operator = Operator::parse("{\"max_jobs\": 7}").unwrap();
-    let settings = Settings { operator, ..settings_of(14.0, 34.0, "mem_mb = 37.0") };
+    let settings = Settings { operator, ..test_settings(14.0, 34.0, "mem_mb = 37.0") };
     assert_eq!(settings.max_jobs(), 7);
     assert!(Operator::parse("{\"max_jobs\": 0}").unwrap_err().to_string().contains("max_jobs"));
 }
@@ -48,7 +48,7 @@
 #[test]
 fn a_watch_without_changes_is_short_compared_with_the_answer_limit() {
     for (lease, cancel) in [(14.0, 34.0), (10.0, 10.0), (26.0, 27.0)] {
-        let settings = settings_of(lease, cancel, "");
+        let settings = test_settings(lease, cancel, "");
         assert!(settings.watch_timeout() * 3 <= settings.answer_limit(), "{lease} {cancel}");
     }
 }
@@ -66,7 +66,7 @@
 
 #[test]
 fn summary_lists_the_effective_settings() {
-    let summary = settings_of(14.0, 34.0, "").summary();
+    let summary = test_settings(14.0, 34.0, "").summary();
     let (platform, operator) = summary.split_once("operators' settings: ").unwrap();
     assert_eq!(
         platform,
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -47,8 +47,8 @@
 
     /// Answers a request to cancel a job (S11).
     pub async fn cancel(&self, id: &JobId) -> Response {
-        let run = self.cancel_job(id);
-        tokio::time::timeout(CHANGE_TIMEOUT, run)
+        let cancellation = self.cancel_job(id);
+        tokio::time::timeout(CHANGE_TIMEOUT, cancellation)
             .await
             .unwrap_or_else(|_| retry_later(STORE_UNAVAILABLE))
     }
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -30,7 +30,7 @@
     /// (S2).
     pub async fn submit(&self, body: &[u8]) -> Response {
         let parsed = JobSpec::parse(body);
-        let run = async {
+        let submission = async {
             match parsed {
                 Ok(spec) => self.accept_submission(spec).await,
                 Err(BadSubmission { id, reason }) => {
@@ -38,7 +38,7 @@
                 }
             }
         };
-        tokio::time::timeout(CHANGE_TIMEOUT, run)
+        tokio::time::timeout(CHANGE_TIMEOUT, submission)
             .await
             .unwrap_or_else(|_| retry_later(STORE_UNAVAILABLE))
     }
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -218,9 +218,9 @@
     /// requires that the local copy shows no newer leader.
     fn may_answer(&self) -> bool {
         let limit = self.env.settings.answer_limit();
-        let fresh = self.replica.proof_age() < limit
+        let is_fresh = self.replica.proof_age() < limit
             || self.attestation_age().is_some_and(|age| age < limit);
-        fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
+        is_fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
     }
 
     /// Returns how long ago all other controllers attested to the outage, with this controller as
@@ -243,8 +243,8 @@
 /// Returns whether a relayed start has the generation of its job's record in the local copy.
 fn matches_generation(task: &TaskId, attempt: Attempt, record: Option<&JobRecord>) -> bool {
     let known = record.map(|record| record.generation);
-    let matches = known == Some(attempt.generation());
-    if !matches {
+    let is_match = known == Some(attempt.generation());
+    if !is_match {
         tracing::debug!(
             %task,
             attempt = attempt.get(),
@@ -253,5 +253,5 @@
             "relayed start dropped"
         );
     }
-    matches
+    is_match
 }
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -18,9 +18,9 @@
 /// How a worker's heartbeats reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatRoute {
-    /// The worker sends them to the leader itself.
+    /// The worker sends its heartbeats to the leader itself.
     Redirect,
-    /// This controller relays them.
+    /// This controller relays the heartbeats to the leader.
     Relay,
 }
 
