--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -68,7 +68,7 @@
         loop {
             let changed = self.context.replica.changed.notified();
             if self.claim_next_batch().await != ClaimBatchOutcome::MoreDue {
-                self.context.env.timers.within(CLAIM_INTERVAL, changed).await;
+                self.context.env.timers.wait_for_event(CLAIM_INTERVAL, changed).await;
             }
         }
     }
@@ -139,7 +139,7 @@
     async fn claim_records(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
         let own_key = controller_key(self.context.env.name.as_str());
         let mut transaction =
-            self.leader_transaction().when(own_key, self.claim.membership.version);
+            self.leader_transaction().when(own_key, self.claim.membership.membership_version);
         let mut records = Vec::new();
         for job in batch {
             let record = self.apply_claim(job.record);
@@ -197,7 +197,7 @@
             Err(StateError::NoAnswer(_)) => self.read_back_claim(claimed.first()?).await,
             Err(error) => {
                 tracing::debug!(jobs = claimed.len(), %error, "claim failed");
-                env.pause(50..150).await;
+                env.sleep_random(50..150).await;
                 None
             }
         }
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -62,7 +62,7 @@
 
     /// Passes the machine types to the scheduler, and stores them if they have changed.
     async fn update_machine_types(&self, types: Vec<MachineType>) {
-        let known = self.context.replica.contents.borrow().types.clone();
+        let known = self.context.replica.contents.borrow().machine_types.clone();
         self.scheduler.borrow_mut().set_machine_types(types.clone());
         if known.is_some_and(|known| are_equal_except_spot_prices(&known, &types)) {
             return;
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -51,7 +51,7 @@
             let due = self.scheduler.borrow_mut().due_completion_commits(max_commits, now());
             if due.is_empty() {
                 let notified = context.leadership.commits_due.notified();
-                context.env.timers.within(IDLE_INTERVAL, notified).await;
+                context.env.timers.wait_for_event(IDLE_INTERVAL, notified).await;
                 continue;
             }
             for batch in group_into_batches(due, max_changes) {
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -3,7 +3,7 @@
 use super::context::LeadershipContext;
 use super::state::LeadershipState;
 use crate::replica::ReplicaContents;
-use crate::session_lease::Current;
+use crate::session_lease::CurrentLease;
 use crate::store_value::store_value;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{controller_key, LeaderRecord, LEADER_KEY};
@@ -24,7 +24,7 @@
 /// A successful claim of the leader record.
 pub(super) struct WonElection {
     /// This controller's lease and membership key, which the claim was conditional on.
-    pub(super) membership: Current,
+    pub(super) membership: CurrentLease,
     /// Version of the leader record that the claim wrote.
     pub(super) record_version: Revision,
     /// The term of the claim. No other leader ever uses it.
@@ -33,7 +33,7 @@
 
 /// Preconditions of a claim of the leader record.
 struct Candidacy {
-    membership: Current,
+    membership: CurrentLease,
     /// The leader record in the replica.
     previous: Option<LeaderRecord>,
     /// Transaction with the conditions of the claim, but without changes.
@@ -86,7 +86,7 @@
     let replica = &context.replica;
     let contents = replica.contents.borrow();
     if !replica.is_synced()
-        || contents.types.is_none() && replica.proof_age() > MAX_PROOF_AGE_WITHOUT_TYPES
+        || contents.machine_types.is_none() && replica.proof_age() > MAX_PROOF_AGE_WITHOUT_TYPES
     {
         return None;
     }
@@ -97,7 +97,7 @@
     let own_name = &context.env.name;
     let mut conditions = Transaction::default()
         .when(LEADER_KEY, version)
-        .when(controller_key(own_name.as_str()), membership.version);
+        .when(controller_key(own_name.as_str()), membership.membership_version);
     match holder_status(&contents, previous.as_ref(), own_name) {
         HolderStatus::Present => return None,
         HolderStatus::Gone { membership_key, version } => {
@@ -118,7 +118,7 @@
     let Some(name) = record.node.as_ref().filter(|name| *name != own_name) else {
         return HolderStatus::NoOtherHolder;
     };
-    if contents.is_present(record) {
+    if contents.is_holder_present(record) {
         return HolderStatus::Present;
     }
     let version =
@@ -133,7 +133,7 @@
     if successor.is_some_and(|name| *name != context.env.name) {
         tokio::time::sleep(SUCCESSOR_HEAD_START).await;
     } else {
-        context.env.pause(CLAIM_JITTER_MS).await;
+        context.env.sleep_random(CLAIM_JITTER_MS).await;
     }
 }
 
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -85,7 +85,7 @@
     /// Returns another controller that has a valid transfer request.
     fn requested_successor(&self) -> Option<ControllerName> {
         let contents = self.context.replica.contents.borrow();
-        let mut recent = contents.transfer_requested_within(MAX_TRANSFER_REQUEST_AGE);
+        let mut recent = contents.recent_transfer_requesters(MAX_TRANSFER_REQUEST_AGE);
         recent.find(|name| **name != self.context.env.name).cloned()
     }
 }
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -92,7 +92,7 @@
             enter_standby(&context);
         }
         let changed = context.replica.changed.notified();
-        context.env.timers.within(STANDBY_CHECK_INTERVAL, changed).await;
+        context.env.timers.wait_for_event(STANDBY_CHECK_INTERVAL, changed).await;
         request_transfer(&context).await;
     }
 }
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -39,7 +39,8 @@
             // thousands would otherwise grow by only that many per second.
             let scaling_requested = self.scaling_requested.notified();
             let interval = self.tick_interval();
-            let is_requested = self.context.env.timers.within(interval, scaling_requested).await;
+            let is_requested =
+                self.context.env.timers.wait_for_event(interval, scaling_requested).await;
             if is_requested {
                 let pause = MIN_SCALE_INTERVAL.saturating_sub(time_since(last_scaling));
                 tokio::time::sleep(pause).await;
@@ -62,7 +63,7 @@
     /// controller gets answers from the state service, none can have claimed the leader record
     /// since.
     fn may_scale(&self) -> bool {
-        self.context.has_valid_lease() || self.context.peers.nobody_has_store()
+        self.context.has_valid_lease() || self.context.peers.is_store_unreachable_for_all_peers()
     }
 
     /// Returns the interval between two ticks for the current number of machines.
--- a/crates/corkfield/src/leadership/state.rs
+++ b/crates/corkfield/src/leadership/state.rs
@@ -1,7 +1,7 @@
 //! States of a controller in election and leading.
 
 use crate::clock::now;
-use crate::session_lease::Current;
+use crate::session_lease::CurrentLease;
 use corkfield_core::Scheduler;
 use corkfield_wire::Revision;
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 /// The claim of the leader record under which this controller leads.
 pub(super) struct LeadershipClaim {
     /// This controller's lease and membership key, which the claim was conditional on.
-    pub(super) membership: Current,
+    pub(super) membership: CurrentLease,
     /// Version of the leader record as this controller last wrote it. Raising the term writes a
     /// new version.
     pub(super) record_version: Cell<Revision>,
