--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -21,7 +21,7 @@
 impl Job {
     /// Whether something of it is to be stored, and how soon. Mere progress is stored less often
     /// than what somebody waits for.
-    pub(crate) fn commit_due(&self, now: Instant) -> Option<CommitUrgency> {
+    pub(crate) fn commit_urgency(&self, now: Instant) -> Option<CommitUrgency> {
         if self.completion.is_committing() || !self.is_live() {
             return None;
         }
@@ -47,19 +47,19 @@
     }
 
     /// A write of it was carried out: its record is stored at that version, with those tasks done.
-    pub(crate) fn commit_succeeded(
+    pub(crate) fn on_commit_succeeded(
         &mut self,
         record: &JobRecord,
         tasks: &[u32],
         version: Revision,
     ) {
         self.completion.end_commit();
-        self.completion.note_stored(tasks);
-        self.take_stored_record(record.clone(), version);
+        self.completion.mark_stored(tasks);
+        self.replace_record(record.clone(), version);
     }
 
     /// A write of it failed, or was not answered. It may be tried again.
-    pub(crate) fn commit_failed(&mut self) {
+    pub(crate) fn on_commit_failed(&mut self) {
         self.completion.end_commit();
         self.update_refunded();
     }
@@ -74,7 +74,7 @@
     /// taken only if it is of this claim. One that an operator released since has the same
     /// generation, but no owner: its version must stay unknown, as it is by that that the job is
     /// found to be due for a claim.
-    pub(crate) fn found_record(
+    pub(crate) fn merge_stored_record(
         &mut self,
         record: JobRecord,
         finished: &TaskSet,
@@ -83,8 +83,8 @@
         if !self.is_of_same_claim(&record) && version > self.version {
             return;
         }
-        self.completion.found_stored(finished);
-        self.take_stored_record(record, version);
+        self.completion.merge_stored(finished);
+        self.replace_record(record, version);
     }
 
     /// Whether a record of the job is of the claim that is known.
@@ -95,7 +95,7 @@
     /// Takes a record that was stored at that version, unless a later one is known: the answer to
     /// a write, or a read, may come after that of a later claim. With the version before the claim
     /// no write of the job would be carried out any more.
-    fn take_stored_record(&mut self, record: JobRecord, version: Revision) {
+    fn replace_record(&mut self, record: JobRecord, version: Revision) {
         if version > self.version {
             self.record = record;
             self.version = version;
@@ -125,7 +125,7 @@
     }
 
     /// Finished numbers of a chunk.
-    pub(crate) fn chunk(&self, chunk: u32) -> TaskSet {
-        self.completion.chunk(chunk)
+    pub(crate) fn finished_in_chunk(&self, chunk: u32) -> TaskSet {
+        self.completion.finished_in_chunk(chunk)
     }
 }
--- a/crates/core/src/job/completion.rs
+++ b/crates/core/src/job/completion.rs
@@ -43,12 +43,12 @@
     }
 
     /// Finished numbers of a chunk.
-    pub(super) fn chunk(&self, chunk: u32) -> TaskSet {
+    pub(super) fn finished_in_chunk(&self, chunk: u32) -> TaskSet {
         self.finished.slice(chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS)
     }
 
     /// A task was reported as done; true if that was not known.
-    pub(super) fn finish(&mut self, index: u32) -> bool {
+    pub(super) fn mark_finished(&mut self, index: u32) -> bool {
         let is_new = self.finished.insert(index);
         if is_new {
             self.unstored.insert(index);
@@ -57,14 +57,14 @@
     }
 
     /// These finished tasks were stored.
-    pub(super) fn note_stored(&mut self, tasks: &[u32]) {
+    pub(super) fn mark_stored(&mut self, tasks: &[u32]) {
         for index in tasks {
             self.unstored.remove(index);
         }
     }
 
     /// Finished tasks found in the store (after a write whose answer was lost, say).
-    pub(super) fn found_stored(&mut self, stored: &TaskSet) {
+    pub(super) fn merge_stored(&mut self, stored: &TaskSet) {
         self.unstored.retain(|index| !stored.contains(*index));
         self.finished.extend(stored);
     }
--- a/crates/core/src/job/failures.rs
+++ b/crates/core/src/job/failures.rs
@@ -20,7 +20,7 @@
     /// A task failed on that machine.
     pub(crate) fn add(&mut self, machine: &str) {
         self.count += 1;
-        if !self.include(machine) {
+        if !self.contains_machine(machine) {
             self.machines.push(MachineName::from(machine));
         }
     }
@@ -32,17 +32,17 @@
     }
 
     /// The job may be tried on all machines again; its failures are still counted.
-    pub(super) fn forget_machines(&mut self) {
+    pub(super) fn clear_machines(&mut self) {
         self.machines.clear();
     }
 
     /// Whether its tasks failed on that machine.
-    pub(super) fn include(&self, machine: &str) -> bool {
+    pub(super) fn contains_machine(&self, machine: &str) -> bool {
         self.machines.iter().any(|failed_on| failed_on.as_str() == machine)
     }
 
     /// Whether its tasks failed on any machine since it was claimed last.
-    pub(super) fn include_any(&self) -> bool {
+    pub(super) fn has_any_machine(&self) -> bool {
         !self.machines.is_empty()
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// Whether it failed on so few machines that these may be the cause.
-    pub(crate) fn may_blame_machines(&self) -> bool {
+    pub(crate) fn may_be_caused_by_machines(&self) -> bool {
         self.machines.len() <= BLAMED_MACHINES
     }
 
     /// Whether it failed on so many machines that it backs off.
-    pub(crate) fn call_for_back_off(&self) -> bool {
+    pub(crate) fn should_back_off(&self) -> bool {
         self.machines.len() >= BACK_OFF_MACHINES
     }
 }
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -19,7 +19,7 @@
 use completion::Completion;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::{Attempt, Generation, JobSpec, MachineName, Priority, Revision, TaskSet};
-use start_queue::{StartQueue, StartView};
+use start_queue::{StartConstraints, StartQueue};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
 
 /// Where a task is, and under which attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed {
+pub struct TaskPlacement {
     /// Its machine.
     pub machine: MachineName,
     /// The attempt under which it was started.
@@ -57,7 +57,7 @@
     /// Its finished tasks, and the writes that store them.
     completion: Completion,
     /// Placed tasks and their machines.
-    active: BTreeMap<u32, Placed>,
+    placements: BTreeMap<u32, TaskPlacement>,
     /// Which of its tasks is started next.
     start_queue: StartQueue,
     /// Attempts made under this generation.
@@ -102,7 +102,7 @@
             accepted_at,
             due_at,
             completion: Completion::new(finished),
-            active: BTreeMap::new(),
+            placements: BTreeMap::new(),
             start_queue: StartQueue::new(previous_start_watermark),
             attempts: 0,
             running: 0,
@@ -159,22 +159,22 @@
     }
 
     /// Its placed tasks.
-    pub fn active(&self) -> &BTreeMap<u32, Placed> {
-        &self.active
+    pub fn placements(&self) -> &BTreeMap<u32, TaskPlacement> {
+        &self.placements
     }
 
     /// How many of its tasks are placed.
     fn placed_count(&self) -> u32 {
-        u32::try_from(self.active.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.placements.len()).unwrap_or(u32::MAX)
     }
 
     /// How many of its tasks have no place and are not done.
-    pub fn waiting(&self) -> u32 {
+    pub fn waiting_tasks(&self) -> u32 {
         self.spec().tasks.saturating_sub(self.finished().len() + self.placed_count())
     }
 
     /// How many of its tasks are not done.
-    pub fn remaining(&self) -> u32 {
+    pub fn remaining_tasks(&self) -> u32 {
         self.spec().tasks.saturating_sub(self.finished().len())
     }
 
@@ -185,7 +185,7 @@
 
     /// Notes since when nothing of it is placed, though something waits.
     pub(crate) fn update_unplaced_since(&mut self, now: Instant) {
-        if !self.active.is_empty() || self.waiting() == 0 {
+        if !self.placements.is_empty() || self.waiting_tasks() == 0 {
             self.unplaced_since = None;
         } else {
             self.unplaced_since.get_or_insert(now);
@@ -193,47 +193,47 @@
     }
 
     /// None of its tasks was ever placed, as far as is known.
-    pub(crate) fn has_not_begun(&self) -> bool {
-        self.active.is_empty() && self.finished().is_empty()
+    pub(crate) fn has_not_started(&self) -> bool {
+        self.placements.is_empty() && self.finished().is_empty()
     }
 
     /// Whether its tasks failed on that machine since it was claimed last, or something of it last
     /// completed.
     pub(crate) fn has_failed_on(&self, machine: &str) -> bool {
-        self.failures.include(machine)
+        self.failures.contains_machine(machine)
     }
 
     /// Whether its tasks failed on any machine since then.
     pub(crate) fn has_failed(&self) -> bool {
-        self.failures.include_any()
+        self.failures.has_any_machine()
     }
 
     /// The next task to place; the caller places it. With `only_never_started`, only one that no
     /// earlier owner can have started (S7).
-    pub(crate) fn take_waiting(&mut self, only_never_started: bool) -> Option<u32> {
-        let view = StartView {
+    pub(crate) fn pop_startable_task(&mut self, only_never_started: bool) -> Option<u32> {
+        let constraints = StartConstraints {
             record: &self.record,
             finished: self.completion.finished(),
-            active: &self.active,
+            placements: &self.placements,
         };
-        self.start_queue.pop(&view, only_never_started)
+        self.start_queue.pop(&constraints, only_never_started)
     }
 
-    /// How many tasks [`Self::take_waiting`] would give, at the most; 0 only if there are none.
+    /// How many tasks [`Self::pop_startable_task`] would give, at the most; 0 only if there are none.
     /// Jobs whose other tasks wait for their record to allow more first starts would otherwise
     /// be looked at on every machine in every pass, and others stopped for what can't start.
-    pub(crate) fn startable(&mut self, only_never_started: bool) -> u32 {
-        let view = StartView {
+    pub(crate) fn startable_tasks(&mut self, only_never_started: bool) -> u32 {
+        let constraints = StartConstraints {
             record: &self.record,
             finished: self.completion.finished(),
-            active: &self.active,
+            placements: &self.placements,
         };
-        self.start_queue.len(&view, only_never_started).min(self.waiting())
+        self.start_queue.len(&constraints, only_never_started).min(self.waiting_tasks())
     }
 
     /// Has its record allow (more) first starts with the next write.
-    pub(crate) fn raise_start_watermark(&mut self) {
-        self.start_queue.raise_watermark();
+    pub(crate) fn request_start_watermark_raise(&mut self) {
+        self.start_queue.request_watermark_raise();
     }
 
     /// Whether the record that is about to be written has to allow more first starts.
@@ -255,16 +255,17 @@
     }
 
     /// The task is, or is about to be, on that machine.
-    pub(crate) fn place(&mut self, index: u32, machine: &str, attempt: Attempt) {
-        self.active.insert(index, Placed { machine: MachineName::from(machine), attempt });
+    pub(crate) fn place_task(&mut self, index: u32, machine: &str, attempt: Attempt) {
+        self.placements
+            .insert(index, TaskPlacement { machine: MachineName::from(machine), attempt });
     }
 
     /// That attempt is surely no longer on that machine. An earlier attempt that its worker
     /// only now forgets says nothing about a later one, even on the same machine.
-    pub(crate) fn release(&mut self, index: u32, machine: &str, attempt: Attempt) {
-        let same = |p: &Placed| p.machine.as_str() == machine && p.attempt == attempt;
-        if self.active.get(&index).is_some_and(same) {
-            self.active.remove(&index);
+    pub(crate) fn release_task(&mut self, index: u32, machine: &str, attempt: Attempt) {
+        let same = |p: &TaskPlacement| p.machine.as_str() == machine && p.attempt == attempt;
+        if self.placements.get(&index).is_some_and(same) {
+            self.placements.remove(&index);
             if !self.finished().contains(index) {
                 self.start_queue.push_retry(index);
             }
@@ -278,10 +279,10 @@
     }
 
     /// A task was reported as done; true if that was not known.
-    pub(crate) fn finish(&mut self, index: u32) -> bool {
-        let is_new = index < self.spec().tasks && self.completion.finish(index);
+    pub(crate) fn mark_finished(&mut self, index: u32) -> bool {
+        let is_new = index < self.spec().tasks && self.completion.mark_finished(index);
         if is_new {
-            self.active.remove(&index);
+            self.placements.remove(&index);
             self.failures.clear();
         }
         is_new
@@ -297,14 +298,14 @@
     }
 
     /// Claimed once more, after a back-off for example.
-    pub(crate) fn reclaimed(&mut self, record: JobRecord, version: Revision, now: Instant) {
+    pub(crate) fn on_reclaimed(&mut self, record: JobRecord, version: Revision, now: Instant) {
         let state = JobState::after_claim(record.dead_lettered);
         self.claims_when_claimed = record.claims;
         self.record = record;
         self.version = version;
         self.claimed_at = now;
         self.refunded = false;
-        self.failures.forget_machines();
+        self.failures.clear_machines();
         self.enter(state);
     }
 
@@ -321,8 +322,8 @@
     }
 
     /// What all of its tasks that are not done take together.
-    pub(crate) fn demand(&self) -> Usage {
-        Usage::of_tasks(self.spec(), self.remaining())
+    pub(crate) fn remaining_demand(&self) -> Usage {
+        Usage::of_tasks(self.spec(), self.remaining_tasks())
     }
 
     /// Expected run time of a task: what was seen, else the owner's guess corrected by what
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -36,21 +36,21 @@
     let second = job.next_attempt();
     let mut again = job.record.clone();
     again.claim("owner".into());
-    job.reclaimed(again, Revision::new(2), now);
+    job.on_reclaimed(again, Revision::new(2), now);
     assert!(first < second && second < job.next_attempt());
 }
 
 #[test]
 fn a_task_that_came_off_its_machine_is_started_before_new_ones() {
     let mut job = claimed_job(record(4), Instant::now());
-    let first = job.take_waiting(false).expect("a waiting task");
-    job.place(first, "host-1", Attempt::new(1));
-    assert_eq!(job.startable(false), 3);
-    job.release(first, "host-1", Attempt::new(2));
-    assert_eq!(job.startable(false), 3, "another attempt says nothing about this one");
-    job.release(first, "host-1", Attempt::new(1));
-    assert_eq!(job.startable(false), 4);
-    assert_eq!(job.take_waiting(false), Some(first));
+    let first = job.pop_startable_task(false).expect("a waiting task");
+    job.place_task(first, "host-1", Attempt::new(1));
+    assert_eq!(job.startable_tasks(false), 3);
+    job.release_task(first, "host-1", Attempt::new(2));
+    assert_eq!(job.startable_tasks(false), 3, "another attempt says nothing about this one");
+    job.release_task(first, "host-1", Attempt::new(1));
+    assert_eq!(job.startable_tasks(false), 4);
+    assert_eq!(job.pop_startable_task(false), Some(first));
 }
 
 #[test]
@@ -58,9 +58,9 @@
     let mut record = record(6);
     record.previous_start_watermark = 4;
     let mut job = claimed_job(record, Instant::now());
-    assert_eq!(job.startable(true), 2);
-    assert_eq!(job.take_waiting(true), Some(4));
-    assert_eq!(job.take_waiting(false), Some(0));
+    assert_eq!(job.startable_tasks(true), 2);
+    assert_eq!(job.pop_startable_task(true), Some(4));
+    assert_eq!(job.pop_startable_task(false), Some(0));
 }
 
 #[test]
@@ -69,10 +69,10 @@
     let mut job = claimed_job(record(1000), now);
     let watermark = job.record.start_watermark;
     for index in 0..watermark - watermark / 4 {
-        assert_eq!(job.commit_due(now), None, "at {index}");
-        assert_eq!(job.take_waiting(false), Some(index));
+        assert_eq!(job.commit_urgency(now), None, "at {index}");
+        assert_eq!(job.pop_startable_task(false), Some(index));
     }
-    assert_eq!(job.commit_due(now), Some(CommitUrgency::Awaited));
+    assert_eq!(job.commit_urgency(now), Some(CommitUrgency::Awaited));
     assert!(job.take_watermark_raise());
     assert!(!job.take_watermark_raise());
 }
@@ -84,7 +84,7 @@
     job.back_off(now);
     assert!(matches!(job.state(), JobState::BackingOff(until) if until > now));
     job.enter(JobState::NeedsReclaim);
-    job.reclaimed(record(1), Revision::new(2), now);
+    job.on_reclaimed(record(1), Revision::new(2), now);
     assert_eq!(job.state(), JobState::Active);
     job.enter(JobState::Closing);
     job.enter(JobState::Active);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,10 +17,10 @@
 mod team;
 
 pub use config::Config;
-pub use job::{Job, JobState, Placed};
+pub use job::{Job, JobState, TaskPlacement};
 pub use machine::{
-    DirectExchange, Machine, MachineState, MachineTask, MachineTaskState, MessageNumber,
-    MessageOrigin, Reachability, Recorded,
+    Machine, MachineState, MachineTask, MachineTaskState, MessageNumber, MessageOrigin,
+    PendingDirectRequest, Reachability, RecordState,
 };
 pub use scaling::RentalFailure;
 pub use scheduler::{
--- a/crates/core/src/machine/health.rs
+++ b/crates/core/src/machine/health.rs
@@ -45,13 +45,13 @@
 
 impl MachineHealth {
     /// A task completed here.
-    pub(crate) fn note_completion(&mut self) {
+    pub(crate) fn record_completion(&mut self) {
         self.failures = 0;
         self.failed_jobs.clear();
     }
 
     /// A task failed here, and its job is not known to be the cause.
-    pub(crate) fn note_failure(&mut self, job: &JobId) {
+    pub(crate) fn record_failure(&mut self, job: &JobId) {
         self.failures += 1;
         if !self.failed_jobs.contains(job) {
             self.failed_jobs.push(job.clone());
@@ -65,17 +65,17 @@
     }
 
     /// The worker refused a start.
-    pub(crate) fn note_refusal(&mut self, until: Instant) {
+    pub(crate) fn record_refusal(&mut self, until: Instant) {
         self.refused_until = Some(until);
     }
 
     /// Whether starts may be sent again after the last refusal.
-    pub(super) fn accepts_starts(&self, now: Instant) -> bool {
+    pub(super) fn can_accept_starts(&self, now: Instant) -> bool {
         self.refused_until.is_none_or(|until| now >= until)
     }
 
     /// A task took `ratio` times as long here as the same job's tasks elsewhere.
-    pub(crate) fn note_run_time(&mut self, ratio: f64) {
+    pub(crate) fn record_run_time(&mut self, ratio: f64) {
         self.slowness = self.slowness * SLOWNESS_MEMORY + ratio * SLOWNESS_WEIGHT;
         self.slowness_samples += 1;
     }
--- a/crates/core/src/machine/image_cache.rs
+++ b/crates/core/src/machine/image_cache.rs
@@ -21,7 +21,7 @@
 
 impl ImageCache {
     /// Notes an image as the most recently used; older ones fall out of a cache of that size.
-    pub(super) fn touch(&mut self, name: &str, size_gb: f64, capacity_gb: f64) {
+    pub(super) fn mark_used(&mut self, name: &str, size_gb: f64, capacity_gb: f64) {
         self.images.retain(|image| image.name != name);
         self.images.push(CachedImage { name: name.to_owned(), size_gb });
         let mut total_gb: f64 = self.images.iter().map(|image| image.size_gb).sum();
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -37,18 +37,18 @@
     }
 
     /// An earlier leader may have answered heartbeats until this moment (S6).
-    pub(crate) fn may_be_renewed_until(&mut self, at: Instant) {
+    pub(crate) fn allow_renewal_by_earlier_leader_until(&mut self, at: Instant) {
         self.earlier_leader_until = Some(at);
     }
 
     /// The first heartbeat, or the first after an expiry, is going to be answered, perhaps not
     /// at once. Counted from an answer long ago, the lease would be over before that.
-    pub(super) fn about_to_answer(&mut self, now: Instant) {
+    pub(super) fn assume_renewed_at(&mut self, now: Instant) {
         self.answered_at = self.answered_at.max(now);
     }
 
     /// A heartbeat is answered with 200 under this term.
-    pub(crate) fn note_answer(&mut self, term: Term, now: Instant) {
+    pub(crate) fn record_answer(&mut self, term: Term, now: Instant) {
         self.answered_before = self.answered_at;
         self.answered_at = now;
         self.answered_term = term;
@@ -58,27 +58,27 @@
     /// it took the newest answer or gave it up. So a lower term than that answer's shows that it was
     /// not taken, and renewed no lease: otherwise a machine that no answer reaches would hold up a
     /// failover for as long as its heartbeats come.
-    pub(super) fn note_heartbeat(&mut self, term: Term) {
+    pub(super) fn record_ordered_heartbeat(&mut self, term: Term) {
         if term < self.answered_term {
             self.is_answer_doubtful = false;
             self.answered_at = self.answered_before;
         } else {
-            self.note_term_shown();
+            self.confirm_answer();
         }
     }
 
     /// A heartbeat has come of which nothing tells whether it was written after the newest answer:
     /// one that was held back may be of a process before the one that took it.
-    pub(super) fn note_doubtful_heartbeat(&mut self, term: Term) {
+    pub(super) fn record_unordered_heartbeat(&mut self, term: Term) {
         if term < self.answered_term {
             self.is_answer_doubtful = true;
         } else {
-            self.note_term_shown();
+            self.confirm_answer();
         }
     }
 
     /// The worker knows our term: it drops whatever an earlier leader still answers.
-    fn note_term_shown(&mut self) {
+    fn confirm_answer(&mut self) {
         self.is_answer_doubtful = false;
         if self.answered_term != Term::default() {
             self.earlier_leader_until = None;
@@ -88,12 +88,12 @@
     /// Whether another answer would only lengthen a lease that may never have been renewed. An
     /// earlier leader may have renewed it until a while ago: until then another answer costs
     /// nothing.
-    pub(crate) fn withholds_answer(&self, now: Instant) -> bool {
+    pub(crate) fn should_withhold_answer(&self, now: Instant) -> bool {
         self.is_answer_doubtful && self.earlier_leader_until.is_none_or(|until| now > until)
     }
 
     /// Whether no controller can have renewed it for longer than it lasts (S5).
-    pub(super) fn is_over(&self, now: Instant, expiry_after: Duration) -> bool {
+    pub(super) fn is_expiry_due(&self, now: Instant, expiry_after: Duration) -> bool {
         let until = self.earlier_leader_until;
         let renewed_at = until.map_or(self.answered_at, |until| until.max(self.answered_at));
         !self.expired && now.saturating_duration_since(renewed_at) > expiry_after
@@ -107,10 +107,10 @@
     }
 
     /// If the lease had expired, a fresh heartbeat begins a new one.
-    pub(crate) fn resume(&mut self, now: Instant) {
+    pub(crate) fn restart_if_expired(&mut self, now: Instant) {
         if self.expired {
             self.expired = false;
-            self.about_to_answer(now);
+            self.assume_renewed_at(now);
         }
     }
 
--- a/crates/core/src/machine/messages.rs
+++ b/crates/core/src/machine/message_history.rs
@@ -51,7 +51,7 @@
 
     /// An outdated heartbeat came. If they go on coming, and only they, the worker may have
     /// restarted its numbering.
-    pub(crate) fn note_outdated_heartbeat(&mut self, number: MessageNumber) {
+    pub(crate) fn record_outdated_heartbeat(&mut self, number: MessageNumber) {
         if number > self.newest_outdated {
             self.newest_outdated = number;
             self.outdated_count += 1;
@@ -59,18 +59,18 @@
     }
 
     /// Whether the worker has to be asked if it has restarted its numbering.
-    pub(crate) fn numbering_may_have_restarted(&self) -> bool {
+    pub(crate) fn may_have_restarted_numbering(&self) -> bool {
         self.outdated_count >= OUTDATED_HEARTBEATS
     }
 
     /// Whether a message shows a lower term than an earlier one. The highest term that a worker
     /// has seen never falls, unless the worker has lost its state.
-    pub(crate) fn has_shown_higher_term(&self, term: Term) -> bool {
+    pub(crate) fn has_reported_higher_term(&self, term: Term) -> bool {
         term < self.highest_term
     }
 
     /// Whether a message has shown that term.
-    pub(crate) fn has_shown(&self, term: Term) -> bool {
+    pub(crate) fn has_reported_term(&self, term: Term) -> bool {
         self.highest_term == term
     }
 
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,48 +1,48 @@
 //! A machine and everything that may be on it.
 
-mod doubt;
-mod evidence;
 mod health;
 mod image_cache;
 mod lease;
-mod messages;
+mod message_history;
+mod message_ordering;
+mod message_processing;
 mod origin;
 mod reachability;
-mod receipt;
 mod resources;
 mod state;
+mod task_uncertainty;
 mod tasks;
 mod term_exposure;
 #[cfg(test)]
 mod tests;
 
-pub use origin::{DirectExchange, MessageOrigin};
+pub use origin::{MessageOrigin, PendingDirectRequest};
 pub use reachability::Reachability;
-pub use resources::Need;
-pub use state::{MachineState, Recorded};
+pub use resources::Resources;
+pub use state::{MachineState, RecordState};
 pub use tasks::{MachineTask, MachineTaskState, MachineTasks, TaskAttempt};
 
-pub use messages::MessageNumber;
+pub use message_history::MessageNumber;
 
-pub(crate) use doubt::Doubt;
-pub(crate) use evidence::Evidence;
+pub(crate) use message_ordering::MessageOrdering;
+pub(crate) use task_uncertainty::TaskUncertainty;
 
 use crate::job::Job;
 use corkfield_wire::cloud::{ListedMachine, MachineType};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
 use corkfield_wire::{Attempt, JobSpec, MachineName, TaskId, Term};
-use evidence::Exchanges;
 use health::MachineHealth;
 use image_cache::ImageCache;
 use lease::WorkerLease;
-use messages::MessageHistory;
+use message_history::MessageHistory;
+use message_ordering::OrderingTracker;
 use std::time::{Duration, Instant};
 use tasks::TaskDemand;
 use term_exposure::TermExposure;
 
 /// Whether a job may run on machines of that type, in that zone and of that kind.
-pub(crate) fn allows(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
+pub(crate) fn may_run_on(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.types.as_ref().is_none_or(|names| names.iter().any(|name| name == type_name))
         && spec.zone.as_ref().is_none_or(|only| only == zone)
@@ -62,19 +62,19 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Its type, if the cloud's types are known and it is among them.
-    pub(crate) size: Option<MachineType>,
+    pub(crate) machine_type: Option<MachineType>,
     /// What it is used for.
     state: MachineState,
     /// Whether the key-value store knows that it may hold tasks.
-    pub recorded: Recorded,
+    pub record_state: RecordState,
     /// No order of an earlier leader can act on it any more (S7).
     pub fenced: bool,
     /// The order of its worker's messages.
-    pub(crate) messages: MessageHistory,
+    pub(crate) message_history: MessageHistory,
     /// What is known of its worker's processes and exchanges.
-    pub(crate) exchanges: Exchanges,
+    pub(crate) ordering_tracker: OrderingTracker,
     /// Since when it has to be asked what it holds, as its heartbeats don't prove it.
-    pub(crate) doubt: Option<Doubt>,
+    pub(crate) task_uncertainty: Option<TaskUncertainty>,
     /// Its worker's lease.
     pub(crate) lease: WorkerLease,
     /// Since when it is known to exist.
@@ -82,19 +82,19 @@
     /// When it was rented, as far as is known.
     pub(crate) rented_at: Instant,
     /// When its worker's newest message came.
-    pub(crate) heard_at: Option<Instant>,
+    pub(crate) last_message_at: Option<Instant>,
     /// Whether orders reach its worker.
     reachability: Reachability,
     /// Direct orders in a row that were not answered.
-    unanswered: u32,
+    unanswered_requests: u32,
     /// The cloud has announced that it takes this spot machine back.
-    pub(crate) notice: bool,
+    pub(crate) has_interruption_notice: bool,
     /// Since when nothing is on it, as scale-in found it.
     pub(crate) idle_since: Option<Instant>,
     /// The tasks that are, or may be, on it.
     pub tasks: MachineTasks,
     /// Images that it probably has.
-    pub(crate) images: ImageCache,
+    pub(crate) image_cache: ImageCache,
     /// What its tasks tell about it.
     pub(crate) health: MachineHealth,
 }
@@ -109,30 +109,30 @@
         types: &[MachineType],
         now: Instant,
     ) -> Self {
-        let size = find_size(types, &type_name);
+        let machine_type = find_machine_type(types, &type_name);
         Self {
             name,
             addr: String::new(),
             type_name,
             zone,
             spot,
-            size,
+            machine_type,
             state: MachineState::Booting,
-            recorded: Recorded::No,
+            record_state: RecordState::NotStored,
             fenced: false,
-            messages: MessageHistory::default(),
-            exchanges: Exchanges::default(),
-            doubt: None,
+            message_history: MessageHistory::default(),
+            ordering_tracker: OrderingTracker::default(),
+            task_uncertainty: None,
             lease: WorkerLease::new(now),
             known_since: now,
             rented_at: now,
-            heard_at: None,
+            last_message_at: None,
             reachability: Reachability::Reachable,
-            unanswered: 0,
-            notice: false,
+            unanswered_requests: 0,
+            has_interruption_notice: false,
             idle_since: None,
             tasks: MachineTasks::default(),
-            images: ImageCache::default(),
+            image_cache: ImageCache::default(),
             health: MachineHealth::default(),
         }
     }
@@ -148,7 +148,7 @@
         let MachineRecord { addr, machine_type, zone, spot, .. } = record.clone();
         let mut machine = Self::new(MachineName::from(name), machine_type, zone, spot, types, now);
         machine.addr = addr;
-        machine.recorded = Recorded::Yes;
+        machine.record_state = RecordState::Stored;
         // It existed then, so the first lists may tell already that it is gone.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         machine.enter(MachineState::Up);
@@ -196,7 +196,7 @@
 
     /// The one place where its reachability changes. `delivered` says whether its newest heartbeat
     /// shows the starts sent before; an answer to a direct order proves that orders reach it.
-    pub(crate) fn note_delivery(&mut self, delivered: bool) {
+    pub(crate) fn update_reachability(&mut self, delivered: bool) {
         let next = self.reachability.after_delivery(delivered);
         if (next == Reachability::Unreachable) != (self.reachability == Reachability::Unreachable) {
             tracing::debug!(
@@ -210,31 +210,31 @@
     }
 
     /// Its worker's address as the cloud lists it, if it is not known from a message.
-    pub(crate) fn note_listed_addr(&mut self, addr: &str) {
+    pub(crate) fn set_addr_if_unknown(&mut self, addr: &str) {
         if self.addr.is_empty() {
             addr.clone_into(&mut self.addr);
         }
     }
 
     /// Takes its size from the cloud's machine types.
-    pub(crate) fn update_size(&mut self, types: &[MachineType]) {
-        self.size = find_size(types, &self.type_name);
+    pub(crate) fn update_machine_type(&mut self, types: &[MachineType]) {
+        self.machine_type = find_machine_type(types, &self.type_name);
     }
 
     /// Its worker did not answer direct orders in time.
-    pub(crate) fn note_unanswered(&mut self) {
-        self.unanswered += 1;
+    pub(crate) fn record_unanswered_request(&mut self) {
+        self.unanswered_requests += 1;
     }
 
     /// How many direct orders in a row its worker did not answer.
-    pub(crate) fn unanswered(&self) -> u32 {
-        self.unanswered
+    pub(crate) fn unanswered_requests(&self) -> u32 {
+        self.unanswered_requests
     }
 
     /// S7: only what was sent after the worker took our term is fresh. A machine without a
     /// record was never given a task by anybody. Returns whether the machine is fenced now.
     pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: Term) -> bool {
-        let unused = self.recorded == Recorded::No && heartbeat.tasks.is_empty();
+        let unused = self.record_state == RecordState::NotStored && heartbeat.tasks.is_empty();
         self.fenced = self.fenced || unused || heartbeat.term == our_term;
         self.fenced
     }
@@ -242,16 +242,16 @@
     /// Ends the worker's lease if it is surely over (S5c: no controller can have answered it for
     /// longer than its lease). Returns whether it has just expired.
     pub(crate) fn expire_lease(&mut self, now: Instant, expiry_after: Duration) -> bool {
-        if self.state == MachineState::Booting || !self.lease.is_over(now, expiry_after) {
+        if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_after) {
             return false;
         }
         tracing::debug!(machine = %self.name, "worker lease has expired");
         self.lease.expire();
         self.fenced = false;
-        self.doubt = None;
-        self.messages.end_agent_epoch();
+        self.task_uncertainty = None;
+        self.message_history.end_agent_epoch();
         if self.tasks.values().any(MachineTask::is_ordered) {
-            self.note_delivery(false);
+            self.update_reachability(false);
         }
         true
     }
@@ -262,11 +262,11 @@
     }
 
     /// Begins the write of its record, if it has none: returns the record to store.
-    pub(crate) fn begin_recording(&mut self) -> Option<MachineRecord> {
-        if self.recorded != Recorded::No {
+    pub(crate) fn begin_record_write(&mut self) -> Option<MachineRecord> {
+        if self.record_state != RecordState::NotStored {
             return None;
         }
-        self.recorded = Recorded::Writing;
+        self.record_state = RecordState::Writing;
         Some(MachineRecord {
             addr: self.addr.clone(),
             machine_type: self.type_name.clone(),
@@ -277,18 +277,18 @@
     }
 
     /// The write of its record was answered: it is `stored`, or the write failed.
-    pub(crate) fn finish_recording(&mut self, stored: bool) {
-        self.recorded = if stored { Recorded::Yes } else { Recorded::No };
+    pub(crate) fn finish_record_write(&mut self, stored: bool) {
+        self.record_state = if stored { RecordState::Stored } else { RecordState::NotStored };
     }
 
     /// Capacity that no task takes; none while something of unknown size is there.
-    pub(crate) fn free(&self) -> Option<Need> {
-        let size = self.size.as_ref()?;
+    pub(crate) fn free_resources(&self) -> Option<Resources> {
+        let size = self.machine_type.as_ref()?;
         let totals = self.tasks.totals();
         if totals.has_unknown_tasks {
             return None;
         }
-        let mut free = Need::size_of(size);
+        let mut free = Resources::capacity_of(size);
         free.subtract(&totals.used);
         Some(free)
     }
@@ -308,60 +308,60 @@
         let spec = job.spec();
         let assigned = MachineTask::assigned(TaskDemand::per_task(spec, job.team), now);
         self.tasks.insert(TaskAttempt { task, attempt }, assigned);
-        self.touch_image(&spec.image, spec.image_gb);
+        self.mark_image_used(&spec.image, spec.image_gb);
     }
 
     /// Marks a task to be stopped, and gives the order for it.
-    pub(crate) fn stop(&mut self, key: &TaskAttempt, grace: Duration) -> Option<Order> {
-        self.tasks.get_mut(key)?.stop = Some(grace);
-        Some(stop_order(key, grace))
+    pub(crate) fn stop_task(&mut self, key: &TaskAttempt, grace: Duration) -> Option<Order> {
+        self.tasks.get_mut(key)?.stop_grace = Some(grace);
+        Some(build_stop_order(key, grace))
     }
 
     /// Whether nothing on it takes room.
-    pub(crate) fn is_empty(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.tasks.totals().tasks == 0
     }
 
     /// Whether starts may be assigned to it; `silence` is the longest time since its newest
     /// message.
-    pub(crate) fn accepts_starts(&self, now: Instant, silence: Duration) -> bool {
+    pub(crate) fn can_accept_starts(&self, now: Instant, max_silence: Duration) -> bool {
         self.state == MachineState::Up
             && self.fenced
             && !self.lease_expired()
-            && !self.notice
+            && !self.has_interruption_notice
             && self.reachability != Reachability::Unreachable
-            && self.recorded == Recorded::Yes
-            && self.heard_at.is_some_and(|at| now.duration_since(at) <= silence)
-            && self.health.accepts_starts(now)
+            && self.record_state == RecordState::Stored
+            && self.last_message_at.is_some_and(|at| now.duration_since(at) <= max_silence)
+            && self.health.can_accept_starts(now)
     }
 
     /// Whether a job may run on it.
-    pub(crate) fn allows(&self, spec: &JobSpec) -> bool {
-        allows(spec, &self.type_name, &self.zone, self.spot)
+    pub(crate) fn may_run(&self, spec: &JobSpec) -> bool {
+        may_run_on(spec, &self.type_name, &self.zone, self.spot)
     }
 
     /// Notes an image as the most recently used.
-    pub(crate) fn touch_image(&mut self, image: &str, size_gb: f64) {
-        let capacity_gb = self.size.as_ref().map_or(0.0, |size| size.cache_gb);
-        self.images.touch(image, size_gb, capacity_gb);
+    pub(crate) fn mark_image_used(&mut self, image: &str, size_gb: f64) {
+        let capacity_gb = self.machine_type.as_ref().map_or(0.0, |size| size.cache_gb);
+        self.image_cache.mark_used(image, size_gb, capacity_gb);
     }
 
     /// Stops that have to be sent to the worker, again with every answer.
-    pub(crate) fn stops(&self) -> impl Iterator<Item = Order> + '_ {
+    pub(crate) fn stop_orders(&self) -> impl Iterator<Item = Order> + '_ {
         self.tasks.iter().filter_map(|(key, machine_task)| {
-            let grace = machine_task.stop_to_send()?;
-            Some(stop_order(key, grace))
+            let grace = machine_task.stop_grace_to_send()?;
+            Some(build_stop_order(key, grace))
         })
     }
 }
 
 /// The machine type of that name.
-fn find_size(types: &[MachineType], name: &str) -> Option<MachineType> {
+fn find_machine_type(types: &[MachineType], name: &str) -> Option<MachineType> {
     types.iter().find(|machine_type| machine_type.name == name).cloned()
 }
 
 /// The order to stop a task, with so much time to save.
-fn stop_order(key: &TaskAttempt, grace: Duration) -> Order {
+fn build_stop_order(key: &TaskAttempt, grace: Duration) -> Order {
     let TaskAttempt { task, attempt } = key.clone();
     Order::Stop { task, attempt, grace_s: grace.as_secs_f64() }
 }
--- a/crates/core/src/machine/origin.rs
+++ b/crates/core/src/machine/origin.rs
@@ -15,8 +15,8 @@
     },
     /// It answers a direct question or direct orders.
     DirectAnswer {
-        /// When these were sent, if that is known: the answer was written after that.
-        asked_at: Option<Instant>,
+        /// When these were sent, if that is newest_known: the answer was written after that.
+        request_sent_at: Option<Instant>,
     },
 }
 
@@ -34,26 +34,26 @@
         if own_heartbeat {
             Self::Heartbeat { connection: None }
         } else {
-            Self::DirectAnswer { asked_at: None }
+            Self::DirectAnswer { request_sent_at: None }
         }
     }
 }
 
 /// Direct orders, or a question, on their way to a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct DirectExchange {
+pub struct PendingDirectRequest {
     /// The newest message known of the worker when they were sent.
-    pub(crate) known: MessageNumber,
+    pub(crate) newest_known: MessageNumber,
     /// When they were sent, if that is known.
-    pub(crate) asked_at: Option<Instant>,
+    pub(crate) sent_at: Option<Instant>,
     /// Whether another process than the known one may learn our term from them: orders carry it, a
     /// question does not.
     pub(crate) may_expose_term: bool,
 }
 
 /// Direct orders of which only the newest message known before is known.
-impl From<MessageNumber> for DirectExchange {
-    fn from(known: MessageNumber) -> Self {
-        Self { known, asked_at: None, may_expose_term: true }
+impl From<MessageNumber> for PendingDirectRequest {
+    fn from(newest_known: MessageNumber) -> Self {
+        Self { newest_known, sent_at: None, may_expose_term: true }
     }
 }
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -26,11 +26,11 @@
 
 /// Whether the key-value store knows that the machine may hold tasks (S7).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Recorded {
+pub enum RecordState {
     /// It was never recorded.
-    No,
+    NotStored,
     /// The write is under way.
     Writing,
     /// It is stored.
-    Yes,
+    Stored,
 }
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -1,6 +1,6 @@
 //! The tasks on a machine, and what they come to.
 
-use super::{MessageNumber, Need};
+use super::{MessageNumber, Resources};
 use crate::team::Usage;
 use corkfield_wire::worker::WorkerHeartbeat;
 use corkfield_wire::{AgentEpoch, Attempt, JobId, JobSpec, Priority, TaskId};
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct TaskDemand {
     /// The resources that it takes.
-    pub(crate) need: Need,
+    pub(crate) need: Resources,
     /// Position of its team in the settings.
     pub(crate) team: usize,
     /// Priority of its job.
@@ -83,7 +83,7 @@
 impl TaskDemand {
     /// The demand of one task of a job of that team.
     pub(crate) fn per_task(spec: &JobSpec, team: usize) -> Self {
-        Self { need: Need::per_task(spec), team, priority: spec.priority }
+        Self { need: Resources::per_task(spec), team, priority: spec.priority }
     }
 }
 
@@ -93,13 +93,13 @@
     /// What it is doing.
     pub state: MachineTaskState,
     /// Since when.
-    pub since: Instant,
+    pub state_since: Instant,
     /// What it takes; unknown for tasks of jobs that are not known (any more).
     pub(crate) demand: Option<TaskDemand>,
     /// Started by this leader, so that its run time is known.
-    pub(crate) started_by_us: bool,
+    pub(crate) started_by_this_leader: bool,
     /// The grace to stop it with, once it has to go.
-    pub stop: Option<Duration>,
+    pub stop_grace: Option<Duration>,
 }
 
 impl MachineTask {
@@ -107,38 +107,44 @@
     pub(super) fn assigned(demand: TaskDemand, now: Instant) -> Self {
         Self {
             state: MachineTaskState::Assigned,
-            since: now,
+            state_since: now,
             demand: Some(demand),
-            started_by_us: true,
-            stop: None,
+            started_by_this_leader: true,
+            stop_grace: None,
         }
     }
 
     /// A task that a heartbeat shows, and that this leader did not start.
-    pub(crate) fn found(state: MachineTaskState, now: Instant) -> Self {
-        Self { state, since: now, demand: None, started_by_us: false, stop: None }
+    pub(crate) fn from_heartbeat(state: MachineTaskState, now: Instant) -> Self {
+        Self {
+            state,
+            state_since: now,
+            demand: None,
+            started_by_this_leader: false,
+            stop_grace: None,
+        }
     }
 
     /// The one place where the state of a task on a machine changes.
     pub(crate) fn enter(&mut self, state: MachineTaskState, now: Instant) {
         if self.state != state {
             self.state = state;
-            self.since = now;
+            self.state_since = now;
         }
     }
 
     /// It has to go at once, with no time to save.
-    pub(crate) fn stop_at_once(&mut self) {
-        self.stop = Some(Duration::ZERO);
+    pub(crate) fn stop_without_grace(&mut self) {
+        self.stop_grace = Some(Duration::ZERO);
     }
 
     /// It need not go: its job has been claimed.
-    pub(crate) fn let_run(&mut self) {
-        self.stop = None;
+    pub(crate) fn cancel_stop(&mut self) {
+        self.stop_grace = None;
     }
 
     /// The job that it is of has become known.
-    pub(crate) fn belongs_to(&mut self, spec: &JobSpec, team: usize) {
+    pub(crate) fn set_job(&mut self, spec: &JobSpec, team: usize) {
         self.demand = Some(TaskDemand::per_task(spec, team));
     }
 
@@ -148,7 +154,7 @@
     }
 
     /// Whether the newest message showed it, and not as exited.
-    pub(super) fn was_shown_alive(&self) -> bool {
+    pub(super) fn was_reported_live(&self) -> bool {
         matches!(
             self.state,
             MachineTaskState::Fetching | MachineTaskState::Running | MachineTaskState::Saving
@@ -156,12 +162,12 @@
     }
 
     /// Whether a message has shown it.
-    pub(super) fn was_shown(&self) -> bool {
+    pub(super) fn was_reported(&self) -> bool {
         !matches!(self.state, MachineTaskState::Assigned | MachineTaskState::Ordered { .. })
     }
 
     /// Whether it takes room on the machine and of its team's limit.
-    pub fn takes_room(&self) -> bool {
+    pub fn uses_resources(&self) -> bool {
         !matches!(self.state, MachineTaskState::Done | MachineTaskState::Exited)
     }
 
@@ -171,8 +177,8 @@
     }
 
     /// The grace to stop it with, if the order to stop has to be sent (again).
-    pub(super) fn stop_to_send(&self) -> Option<Duration> {
-        let grace = self.stop?;
+    pub(super) fn stop_grace_to_send(&self) -> Option<Duration> {
+        let grace = self.stop_grace?;
         let send = match self.state {
             MachineTaskState::Ordered { .. }
             | MachineTaskState::Fetching
@@ -196,24 +202,24 @@
 
 /// What the tasks on a machine come to.
 #[derive(Debug, Default)]
-pub(crate) struct Totals {
+pub(crate) struct TaskTotals {
     /// Tasks that take room.
     pub tasks: u32,
     /// What they take, as far as it is known.
-    pub used: Need,
+    pub used: Resources,
     /// A task takes room of which neither the size nor the team is known.
     pub has_unknown_tasks: bool,
     /// What each team's tasks take, by position of the team in the settings.
     pub by_team: Vec<Usage>,
     /// Of jobs that are known, by priority, the highest first.
-    pub by_priority: [Need; 4],
+    pub by_priority: [Resources; 4],
     /// CPUs of what is being stopped.
     pub stopping_cpus: f64,
     /// Tasks that run, by job.
     pub running: Vec<RunningTasks>,
 }
 
-impl Totals {
+impl TaskTotals {
     /// Counts a running task of a job.
     fn add_running(&mut self, job: &JobId) {
         match self.running.iter_mut().find(|running| running.job == *job) {
@@ -231,7 +237,7 @@
         };
         let need = &demand.need;
         self.used.add(need);
-        if machine_task.stop.is_some() {
+        if machine_task.stop_grace.is_some() {
             self.stopping_cpus += need.cpus;
         }
         if self.by_team.len() <= demand.team {
@@ -251,7 +257,7 @@
     /// The tasks, by attempt.
     tasks: BTreeMap<TaskAttempt, MachineTask>,
     /// What they come to, once that was asked for.
-    totals: OnceCell<Totals>,
+    totals: OnceCell<TaskTotals>,
 }
 
 impl Deref for MachineTasks {
@@ -287,14 +293,14 @@
     }
 
     /// What the tasks come to.
-    pub(crate) fn totals(&self) -> &Totals {
+    pub(crate) fn totals(&self) -> &TaskTotals {
         self.totals.get_or_init(|| {
-            let mut totals = Totals::default();
+            let mut totals = TaskTotals::default();
             for (key, machine_task) in &self.tasks {
                 if machine_task.is_running() {
                     totals.add_running(&key.task.job);
                 }
-                if machine_task.takes_room() {
+                if machine_task.uses_resources() {
                     totals.add(machine_task);
                 }
             }
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -3,7 +3,7 @@
 use super::health::MachineHealth;
 use super::image_cache::ImageCache;
 use super::lease::WorkerLease;
-use super::messages::MessageHistory;
+use super::message_history::MessageHistory;
 use super::term_exposure::TermExposure;
 use super::{MessageNumber, Reachability};
 use corkfield_wire::{AgentEpoch, JobId, Term};
@@ -23,27 +23,27 @@
 fn a_worker_lease_is_over_only_after_its_whole_length() {
     let now = Instant::now();
     let mut lease = WorkerLease::new(now);
-    lease.note_answer(Term::new(1), now + seconds(5));
-    assert!(!lease.is_over(now + seconds(15), LEASE));
-    assert!(lease.is_over(now + seconds(16), LEASE));
+    lease.record_answer(Term::new(1), now + seconds(5));
+    assert!(!lease.is_expiry_due(now + seconds(15), LEASE));
+    assert!(lease.is_expiry_due(now + seconds(16), LEASE));
     lease.expire();
-    assert!(!lease.is_over(now + seconds(16), LEASE), "it expires once");
-    lease.resume(now + seconds(20));
+    assert!(!lease.is_expiry_due(now + seconds(16), LEASE), "it expires once");
+    lease.restart_if_expired(now + seconds(20));
     assert!(!lease.is_expired());
-    assert!(!lease.is_over(now + seconds(30), LEASE));
+    assert!(!lease.is_expiry_due(now + seconds(30), LEASE));
 }
 
 #[test]
 fn an_answer_that_was_not_taken_renews_no_lease() {
     let now = Instant::now();
     let mut lease = WorkerLease::new(now);
-    lease.note_answer(Term::new(3), now + seconds(8));
+    lease.record_answer(Term::new(3), now + seconds(8));
     // The worker still shows an earlier term in its next heartbeat.
-    lease.note_heartbeat(Term::new(2));
-    assert!(lease.is_over(now + seconds(11), LEASE));
-    lease.note_answer(Term::new(3), now + seconds(8));
-    lease.note_heartbeat(Term::new(3));
-    assert!(!lease.is_over(now + seconds(11), LEASE));
+    lease.record_ordered_heartbeat(Term::new(2));
+    assert!(lease.is_expiry_due(now + seconds(11), LEASE));
+    lease.record_answer(Term::new(3), now + seconds(8));
+    lease.record_ordered_heartbeat(Term::new(3));
+    assert!(!lease.is_expiry_due(now + seconds(11), LEASE));
 }
 
 #[test]
@@ -54,8 +54,8 @@
     assert!(messages.is_outdated(number(1, 99)));
     assert!(!messages.is_outdated(number(2, 8)));
     assert!(!messages.is_outdated(number(3, 1)));
-    assert!(messages.has_shown_higher_term(Term::new(3)));
-    assert!(!messages.has_shown_higher_term(Term::new(4)));
+    assert!(messages.has_reported_higher_term(Term::new(3)));
+    assert!(!messages.has_reported_higher_term(Term::new(4)));
     messages.end_agent_epoch();
     assert!(messages.is_outdated(number(2, 8)));
     assert!(!messages.is_outdated(number(3, 1)));
@@ -65,13 +65,13 @@
 fn only_outdated_heartbeats_in_order_hint_at_a_restarted_numbering() {
     let mut messages = MessageHistory::default();
     messages.accept(number(1, 50), Term::new(1));
-    messages.note_outdated_heartbeat(number(1, 2));
-    messages.note_outdated_heartbeat(number(1, 1));
-    assert!(!messages.numbering_may_have_restarted());
-    messages.note_outdated_heartbeat(number(1, 3));
-    assert!(messages.numbering_may_have_restarted());
+    messages.record_outdated_heartbeat(number(1, 2));
+    messages.record_outdated_heartbeat(number(1, 1));
+    assert!(!messages.may_have_restarted_numbering());
+    messages.record_outdated_heartbeat(number(1, 3));
+    assert!(messages.may_have_restarted_numbering());
     messages.accept(number(1, 51), Term::new(1));
-    assert!(!messages.numbering_may_have_restarted());
+    assert!(!messages.may_have_restarted_numbering());
 }
 
 #[test]
@@ -89,10 +89,10 @@
 fn the_least_recently_used_images_fall_out_of_the_cache() {
     let mut images = ImageCache::default();
     for (name, size_gb) in [("a", 4.0), ("b", 4.0), ("a", 4.0), ("c", 4.0)] {
-        images.touch(name, size_gb, 10.0);
+        images.mark_used(name, size_gb, 10.0);
     }
     assert_eq!(images.names().collect::<Vec<_>>(), ["a", "c"]);
-    images.touch("huge", 20.0, 10.0);
+    images.mark_used("huge", 20.0, 10.0);
     assert_eq!(images.names().collect::<Vec<_>>(), ["huge"], "the newest always stays");
 }
 
@@ -100,13 +100,13 @@
 fn failures_of_two_jobs_or_of_one_that_completes_elsewhere_prove_a_fault() {
     let job = |id| JobId::parse(id).expect("an id");
     let mut health = MachineHealth::default();
-    health.note_failure(&job("j-000001"));
+    health.record_failure(&job("j-000001"));
     assert!(health.has_failures() && !health.is_faulty(true));
-    health.note_failure(&job("j-000001"));
+    health.record_failure(&job("j-000001"));
     assert!(health.is_faulty(true) && !health.is_faulty(false));
-    health.note_failure(&job("j-000002"));
+    health.record_failure(&job("j-000002"));
     assert!(health.is_faulty(false));
-    health.note_completion();
+    health.record_completion();
     assert!(!health.has_failures() && !health.is_faulty(true));
 }
 
@@ -114,10 +114,10 @@
 fn a_machine_is_slow_only_after_several_long_run_times() {
     let mut health = MachineHealth::default();
     for _ in 0..3 {
-        health.note_run_time(10.0);
+        health.record_run_time(10.0);
         assert!(!health.is_slow());
     }
-    health.note_run_time(10.0);
+    health.record_run_time(10.0);
     assert!(health.is_slow());
 }
 
@@ -127,19 +127,19 @@
 fn a_term_is_known_to_one_process_only_after_a_single_offer() {
     let term = Term::new(3);
     let mut exposure = TermExposure::default();
-    exposure.note_answer(term, number(1, 1));
-    assert!(!exposure.is_single(term), "nothing has shown it");
-    exposure.note_shown(term, number(1, 2));
-    exposure.note_answer(term, number(1, 2));
-    assert!(exposure.is_single(term));
-    assert!(exposure.note_direct_orders(term));
-    assert!(!exposure.is_single(term), "on their way");
+    exposure.record_answer(term, number(1, 1));
+    assert!(!exposure.is_known_to_one_process(term), "nothing has shown it");
+    exposure.record_reported(term, number(1, 2));
+    exposure.record_answer(term, number(1, 2));
+    assert!(exposure.is_known_to_one_process(term));
+    assert!(exposure.record_direct_orders(term));
+    assert!(!exposure.is_known_to_one_process(term), "on their way");
     exposure.end_direct_orders(true);
-    assert!(exposure.is_single(term));
-    assert!(!exposure.is_single(Term::new(4)), "a higher term is known to nobody");
-    exposure.note_direct_orders(term);
+    assert!(exposure.is_known_to_one_process(term));
+    assert!(!exposure.is_known_to_one_process(Term::new(4)), "a higher term is known to nobody");
+    exposure.record_direct_orders(term);
     exposure.end_direct_orders(false);
-    assert!(!exposure.is_single(term));
+    assert!(!exposure.is_known_to_one_process(term));
 }
 
 /// Two answers before the term is shown, or a late answer to a heartbeat that did not show it, may
@@ -148,17 +148,17 @@
 fn a_term_that_was_offered_twice_may_be_known_to_several_processes() {
     let term = Term::new(3);
     let mut twice = TermExposure::default();
-    twice.note_answer(term, number(1, 1));
-    twice.note_answer(term, number(1, 2));
-    twice.note_shown(term, number(1, 3));
-    assert!(!twice.is_single(term));
+    twice.record_answer(term, number(1, 1));
+    twice.record_answer(term, number(1, 2));
+    twice.record_reported(term, number(1, 3));
+    assert!(!twice.is_known_to_one_process(term));
     let mut late = TermExposure::default();
-    late.note_answer(term, number(1, 1));
-    late.note_shown(term, number(1, 3));
-    late.note_answer(term, number(1, 2));
-    assert!(!late.is_single(term));
+    late.record_answer(term, number(1, 1));
+    late.record_reported(term, number(1, 3));
+    late.record_answer(term, number(1, 2));
+    assert!(!late.is_known_to_one_process(term));
     let mut unoffered = TermExposure::default();
-    unoffered.note_shown(term, number(1, 1));
-    unoffered.note_answer(term, number(1, 1));
-    assert!(!unoffered.is_single(term), "it came from elsewhere");
+    unoffered.record_reported(term, number(1, 1));
+    unoffered.record_answer(term, number(1, 1));
+    assert!(!unoffered.is_known_to_one_process(term), "it came from elsewhere");
 }
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -4,7 +4,7 @@
 use super::PlacementScope;
 use crate::cluster::Cluster;
 use crate::job::Job;
-use crate::machine::{Machine, Need};
+use crate::machine::{Machine, Resources};
 use corkfield_wire::{JobSpec, MachineName, Priority};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -15,15 +15,15 @@
     pub(super) zone: String,
     pub(super) spot: bool,
     /// What no task takes.
-    pub(super) free: Need,
+    pub(super) free: Resources,
     /// Failed its last task, or is slow: gets one at a time until one completes well.
     pub(super) probing: bool,
     /// Left to jobs of which nothing runs, where there is no other room for them.
     pub(super) slow: bool,
     /// Kept for tasks of higher priority, whether it is free yet or not.
-    pub(super) reserved: Need,
+    pub(super) reserved: Resources,
     /// What the tasks there take, by priority.
-    pub(super) by_priority: [Need; 4],
+    pub(super) by_priority: [Resources; 4],
 }
 
 impl MachineCapacity {
@@ -35,8 +35,8 @@
         // which nothing runs.
         let slow = machine.is_slow();
         let probing = machine.has_failures() || slow;
-        let free = machine.free()?;
-        if probing && !machine.is_empty() {
+        let free = machine.free_resources()?;
+        if probing && !machine.is_idle() {
             return None;
         }
         Some(Self {
@@ -46,28 +46,28 @@
             free,
             probing,
             slow,
-            reserved: Need::default(),
+            reserved: Resources::default(),
             by_priority: machine.tasks.totals().by_priority,
         })
     }
 
     /// Whether a task of that need fits, in so much of the room as the scope allows.
-    pub(super) fn has_room_for(&self, need: &Need, scope: PlacementScope) -> bool {
+    pub(super) fn has_room_for(&self, need: &Resources, scope: PlacementScope) -> bool {
         match scope {
-            PlacementScope::OneTask => self.free.holds(need),
+            PlacementScope::OneTask => self.free.can_fit(need),
             PlacementScope::Guaranteed | PlacementScope::All => self.fits(need),
         }
     }
 
     /// Whether a task of that need fits beside what is reserved.
-    pub(super) fn fits(&self, need: &Need) -> bool {
+    pub(super) fn fits(&self, need: &Resources) -> bool {
         let mut unreserved = self.free;
         unreserved.subtract(&self.reserved);
-        unreserved.holds(need)
+        unreserved.can_fit(need)
     }
 
     /// The room there would be without what has a lower priority, beyond what is reserved.
-    pub(super) fn room_above(&self, priority: Priority) -> Need {
+    pub(super) fn room_above(&self, priority: Priority) -> Resources {
         let mut room = self.free;
         for lower in &self.by_priority[priority as usize + 1..] {
             room.add(lower);
@@ -77,7 +77,7 @@
     }
 
     /// A task of that need and priority was placed there.
-    pub(super) fn place(&mut self, need: &Need, priority: Priority) {
+    pub(super) fn place(&mut self, need: &Resources, priority: Priority) {
         self.free.subtract(need);
         self.by_priority[priority as usize].add(need);
         if self.probing {
@@ -103,7 +103,7 @@
     /// Positions of those into which it may fit now, or once lower priorities are gone.
     pub(super) reservable: Vec<usize>,
     /// The least that a waiting task takes, of each resource.
-    smallest_need: Need,
+    smallest_need: Resources,
     /// The highest priority of a waiting task.
     highest_priority: Option<Priority>,
     /// Positions of the machines that hold an image that a waiting task needs, in order.
@@ -117,7 +117,7 @@
             machines: Vec::new(),
             open: Vec::new(),
             reservable: Vec::new(),
-            smallest_need: Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX },
+            smallest_need: Resources { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX },
             highest_priority: None,
             image_holders: HashMap::new(),
         };
@@ -125,7 +125,8 @@
             capacity.expect_job(cluster.jobs[&startable.id].spec());
         }
         let overdue_after = cluster.config.heartbeat_overdue_after();
-        for machine in cluster.machines.values().filter(|m| m.accepts_starts(now, overdue_after)) {
+        for machine in cluster.machines.values().filter(|m| m.can_accept_starts(now, overdue_after))
+        {
             capacity.add_machine(machine);
         }
         capacity
@@ -133,7 +134,7 @@
 
     /// Takes a job into account that is to be placed in this pass.
     fn expect_job(&mut self, spec: &JobSpec) {
-        self.smallest_need = self.smallest_need.minimum(&Need::per_task(spec));
+        self.smallest_need = self.smallest_need.minimum(&Resources::per_task(spec));
         let highest = self.highest_priority.map_or(spec.priority, |p| p.min(spec.priority));
         self.highest_priority = Some(highest);
         if !self.image_holders.contains_key(&spec.image) {
@@ -147,7 +148,7 @@
         self.machines.push(capacity);
         self.open.push(position);
         self.reservable.push(position);
-        for image in machine.images.names() {
+        for image in machine.image_cache.names() {
             if let Some(holders) = self.image_holders.get_mut(image) {
                 holders.push(position);
             }
@@ -176,7 +177,7 @@
         machines: &BTreeMap<MachineName, Machine>,
     ) -> Vec<usize> {
         let Self { machines: capacity, open, smallest_need, .. } = self;
-        let need = Need::per_task(job.spec());
+        let need = Resources::per_task(job.spec());
         let eligible = |position: &usize| {
             let machine = &capacity[*position];
             machine.has_room_for(&need, scope) && allows(job, machine, machines)
@@ -199,15 +200,15 @@
         let highest_priority = highest_priority.unwrap_or(spec.priority);
         reservable.retain(|position| {
             let machine = &capacity[*position];
-            !machine.probing && machine.room_above(highest_priority).holds(smallest_need)
+            !machine.probing && machine.room_above(highest_priority).can_fit(smallest_need)
         });
-        let need = Need::per_task(spec);
+        let need = Resources::per_task(spec);
         let slots = reservable.iter().filter_map(|&position| {
             let machine = &capacity[position];
             let count = tasks_that_fit(&machine.room_above(spec.priority), &need);
             let suits = count >= 1.0
                 && (spec.spot || !machine.spot)
-                && machines[&machine.name].allows(spec);
+                && machines[&machine.name].may_run(spec);
             let free_cpus = machine.free.cpus;
             suits.then_some(TaskSlots { position, tasks: count as u32, free_cpus })
         });
@@ -220,12 +221,12 @@
     let spec = job.spec();
     (spec.spot || !machine.spot)
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
-        && (spec.types.is_none() || machines[&machine.name].allows(spec))
+        && (spec.types.is_none() || machines[&machine.name].may_run(spec))
         && !job.has_failed_on(machine.name.as_str())
 }
 
 /// How many tasks of that need, which takes CPUs, have room, as a whole number.
-fn tasks_that_fit(room: &Need, need: &Need) -> f64 {
+fn tasks_that_fit(room: &Resources, need: &Resources) -> f64 {
     let by_cpus = room.cpus / need.cpus;
     let by_memory = if need.memory_gb > 0.0 { room.memory_gb / need.memory_gb } else { by_cpus };
     by_cpus.min(by_memory).floor()
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -20,7 +20,7 @@
         .collect();
     for id in preempting {
         if let Some(job) = cluster.jobs.get_mut(&id) {
-            job.raise_start_watermark();
+            job.request_start_watermark_raise();
         }
     }
 }
@@ -62,8 +62,8 @@
     cluster
         .machines
         .values()
-        .filter(|machine| machine.accepts_starts(now, overdue_after))
-        .filter_map(|machine| machine.free())
+        .filter(|machine| machine.can_accept_starts(now, overdue_after))
+        .filter_map(|machine| machine.free_resources())
         .map(|free| free.cpus.max(0.0))
         .sum()
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -79,7 +79,7 @@
             if self.is_unreconciled(machine.name.as_str())
                 || machine.tasks.totals().has_unknown_tasks
             {
-                let size = machine.size.as_ref()?;
+                let size = machine.machine_type.as_ref()?;
                 let whole_machine = Usage { cpus: size.cpus, gpus: size.gpus };
                 unaccounted_usage = unaccounted_usage.plus(whole_machine);
             }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -7,7 +7,7 @@
 use super::PlacementScope;
 use crate::cluster::Cluster;
 use crate::job::Job;
-use crate::machine::Need;
+use crate::machine::Resources;
 use crate::scheduler::Action;
 use crate::team::{is_limited, within_guarantee, within_limit, Usage};
 use corkfield_wire::{JobId, TaskId};
@@ -115,7 +115,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else { return true };
         let waits = job.needs_first_watermark();
         if waits {
-            job.raise_start_watermark();
+            job.request_start_watermark_raise();
         }
         waits
     }
@@ -123,7 +123,7 @@
     /// Places tasks of a job on eligible machines until tasks, room or the team's share run out.
     fn place_tasks(&mut self, id: &JobId, scope: PlacementScope, eligible: Vec<usize>) {
         let job = &self.cluster.jobs[id];
-        let need = Need::per_task(job.spec());
+        let need = Resources::per_task(job.spec());
         let machines = &self.capacity.machines;
         let image_holders = self.capacity.image_holders(&job.spec().image);
         let mut candidates = Candidates::new(eligible, machines, image_holders, scope);
@@ -152,7 +152,7 @@
     fn place_next_task(&mut self, id: &JobId, candidates: &mut Candidates) -> Option<usize> {
         let sample = self.cluster.config.placement_sample;
         let choice = candidates.choose(&self.capacity.machines, sample, self.rng)?;
-        let index = self.cluster.jobs.get_mut(id)?.take_waiting(!self.reconciled)?;
+        let index = self.cluster.jobs.get_mut(id)?.pop_startable_task(!self.reconciled)?;
         let position = self.take_candidate(id, candidates, choice);
         self.assign(TaskId { job: id.clone(), index }, position)?;
         Some(position)
@@ -181,10 +181,10 @@
         }
         let index = task.index;
         machine.assign(task, attempt, job, self.now);
-        job.place(index, machine.name.as_str(), attempt);
+        job.place_task(index, machine.name.as_str(), attempt);
         let usage = &mut self.usage[job.team];
         *usage = usage.plus(Usage::of_tasks(job.spec(), 1));
-        capacity.place(&Need::per_task(job.spec()), job.spec().priority);
+        capacity.place(&Resources::per_task(job.spec()), job.spec().priority);
         Some(())
     }
 }
--- a/crates/core/src/placement/preemption/loss.rs
+++ b/crates/core/src/placement/preemption/loss.rs
@@ -26,10 +26,10 @@
     ) -> Option<f64> {
         let running = machine_task.state == MachineTaskState::Running;
         let fetching = machine_task.state == MachineTaskState::Fetching;
-        if !(running || fetching) || machine_task.stop.is_some() {
+        if !(running || fetching) || machine_task.stop_grace.is_some() {
             return None;
         }
-        let ran_s = now.saturating_duration_since(machine_task.since).as_secs_f64();
+        let ran_s = now.saturating_duration_since(machine_task.state_since).as_secs_f64();
         // Starts that are soon undone help nobody.
         if !waiting.is_urgent() && ran_s < MIN_TIME_ON_MACHINE_S {
             return None;
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -48,10 +48,10 @@
         let mut machines: Vec<SearchedMachine> = cluster
             .machines
             .values()
-            .filter(|machine| machine.accepts_starts(now, overdue_after))
+            .filter(|machine| machine.can_accept_starts(now, overdue_after))
             .map(|machine| SearchedMachine {
                 name: machine.name.clone(),
-                free_cpus: machine.free().map_or(0.0, |free| free.cpus),
+                free_cpus: machine.free_resources().map_or(0.0, |free| free.cpus),
                 cpus_by_priority: machine.tasks.totals().by_priority.map(|need| need.cpus),
             })
             .collect();
@@ -178,7 +178,7 @@
         for key in tasks {
             let grace =
                 self.cluster.jobs.get(&key.task.job).map_or(Duration::ZERO, Job::stop_grace);
-            orders.extend(machine.stop(&key, grace));
+            orders.extend(machine.stop_task(&key, grace));
         }
         self.actions.push(direct_orders(machine, orders));
     }
--- a/crates/core/src/placement/preemption/victims.rs
+++ b/crates/core/src/placement/preemption/victims.rs
@@ -4,7 +4,7 @@
 use crate::float_order::compare;
 use crate::job::Job;
 use crate::machine::TaskAttempt;
-use crate::machine::{Machine, Need};
+use crate::machine::{Machine, Resources};
 use crate::team::{within_guarantee, within_limit, Usage};
 use corkfield_wire::{JobId, Priority};
 use std::time::Instant;
@@ -39,7 +39,7 @@
 /// gone.
 struct Batch {
     tasks: Vec<TaskAttempt>,
-    free: Need,
+    free: Resources,
     usage: Vec<Usage>,
 }
 
@@ -48,10 +48,10 @@
     cluster: &'a Cluster,
     job: &'a Job,
     /// What a task of the job takes, of the machine and of its team's share.
-    need: Need,
+    need: Resources,
     task_usage: Usage,
     /// What is free on the machine, with what was selected.
-    free: Need,
+    free: Resources,
     /// Tasks not looked at yet, the cheapest loss first.
     candidates: std::vec::IntoIter<Candidate<'a>>,
 }
@@ -68,15 +68,15 @@
     ) -> Option<Self> {
         let (job, machine) = (&cluster.jobs[id], &cluster.machines[name]);
         let has_failed = machine.has_failures() || job.has_failed_on(machine.name.as_str());
-        if !machine.allows(job.spec()) || has_failed {
+        if !machine.may_run(job.spec()) || has_failed {
             return None;
         }
         let mut selection = Self {
             cluster,
             job,
-            need: Need::per_task(job.spec()),
+            need: Resources::per_task(job.spec()),
             task_usage: Usage::of_tasks(job.spec(), 1),
-            free: machine.free()?,
+            free: machine.free_resources()?,
             candidates: Vec::new().into_iter(),
         };
         if !selection.within_limit(usage) {
@@ -107,7 +107,7 @@
     fn next_batch(&mut self, usage: &[Usage]) -> Option<Batch> {
         let standing = self.standing(self.job, usage[self.job.team].plus(self.task_usage));
         let mut batch = Batch { tasks: Vec::new(), free: self.free, usage: usage.to_vec() };
-        while !batch.free.holds(&self.need) {
+        while !batch.free.can_fit(&self.need) {
             let candidate = self.candidates.next()?;
             if self.may_stop_for(&standing, candidate.owner, &batch.usage) {
                 batch.add(&candidate);
@@ -147,7 +147,7 @@
         let spec = candidate.owner.spec();
         let usage = &mut self.usage[candidate.owner.team];
         *usage = usage.minus(Usage::of_tasks(spec, 1));
-        self.free.add(&Need::per_task(spec));
+        self.free.add(&Resources::per_task(spec));
         self.tasks.push(candidate.key.clone());
     }
 }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -93,14 +93,17 @@
     fn startable_jobs(&mut self, reconciled: bool) -> Vec<StartableJob> {
         let mut startable = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.may_start()) {
-            let waiting = job.waiting();
+            let waiting = job.waiting_tasks();
             if waiting == 0 {
                 continue;
             }
             // One whose record allows no start yet is queued all the same: its record is to allow
             // first starts once there is room for it.
-            let tasks =
-                if job.needs_first_watermark() { waiting } else { job.startable(!reconciled) };
+            let tasks = if job.needs_first_watermark() {
+                waiting
+            } else {
+                job.startable_tasks(!reconciled)
+            };
             if tasks > 0 {
                 startable.push(StartableJob { id: id.clone(), tasks });
             }
@@ -113,12 +116,12 @@
         let waited = now.saturating_duration_since(job.accepted_at);
         QueueRank {
             urgent: job.is_urgent(),
-            starved: job.has_not_begun() && waited > STARVED_AFTER,
+            starved: job.has_not_started() && waited > STARVED_AFTER,
             guaranteed: self.next_task_guaranteed(job, usage),
             priority: job.spec().priority,
             late: self.is_late(job, run_s, now),
             run_s,
-            remaining_cpu_s: job.demand().cpus * run_s,
+            remaining_cpu_s: job.remaining_demand().cpus * run_s,
             accepted_at: job.accepted_at,
         }
     }
--- a/crates/core/src/placement/reservation.rs
+++ b/crates/core/src/placement/reservation.rs
@@ -2,7 +2,7 @@
 
 use super::pass::PlacementPass;
 use crate::float_order::compare;
-use crate::machine::Need;
+use crate::machine::Resources;
 use corkfield_wire::JobId;
 
 impl PlacementPass<'_> {
@@ -10,17 +10,17 @@
     /// by itself: otherwise smaller tasks of less important jobs would fill each gap first.
     pub(super) fn reserve_for_urgent(&mut self, id: &JobId) {
         let Some(job) = self.cluster.jobs.get(id) else { return };
-        let mut unreserved_tasks = job.waiting();
+        let mut unreserved_tasks = job.waiting_tasks();
         if !job.is_urgent() || job.spec().cpus <= 0.0 || unreserved_tasks == 0 {
             return;
         }
-        let need = Need::per_task(job.spec());
+        let need = Resources::per_task(job.spec());
         self.steps += self.capacity.reservable.len() as u64;
         let mut slots = self.capacity.task_slots(job.spec(), &self.cluster.machines);
         slots.sort_by(|left, right| compare(right.free_cpus, left.free_cpus));
         for slot in slots {
             let tasks = slot.tasks.min(unreserved_tasks);
-            self.capacity.machines[slot.position].reserved.add(&need.times(tasks));
+            self.capacity.machines[slot.position].reserved.add(&need.multiplied_by(tasks));
             unreserved_tasks -= tasks;
             if unreserved_tasks == 0 {
                 return;
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -4,7 +4,7 @@
 use super::MIN_TASK_CPUS;
 use crate::float_order::compare;
 use crate::job::Job;
-use crate::machine::{Machine, Need};
+use crate::machine::{Machine, Resources};
 use corkfield_wire::{JobSpec, MachineName};
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
             if binds_zones(spec) { zones_in_use(machines, job) } else { BTreeMap::new() };
         let required = spec.one_zone.then(|| match tasks_by_zone.keys().next() {
             Some(zone) => zone.clone(),
-            None => roomiest_zone(capacity, candidates, &Need::per_task(spec)),
+            None => roomiest_zone(capacity, candidates, &Resources::per_task(spec)),
         });
         Self { tasks_by_zone, required, max_tasks_per_zone: spec.zone_cap() }
     }
@@ -61,7 +61,7 @@
 /// How many placed tasks of the job each zone holds.
 fn zones_in_use(machines: &BTreeMap<MachineName, Machine>, job: &Job) -> BTreeMap<String, u32> {
     let mut zones = BTreeMap::new();
-    for placed in job.active().values() {
+    for placed in job.placements().values() {
         if let Some(machine) = machines.get(&placed.machine) {
             *zones.entry(machine.zone.clone()).or_default() += 1;
         }
@@ -73,7 +73,7 @@
 fn roomiest_zone<'a>(
     capacity: &[MachineCapacity],
     candidates: impl Iterator<Item = &'a usize>,
-    need: &Need,
+    need: &Resources,
 ) -> String {
     let mut slots_by_zone: BTreeMap<&str, f64> = BTreeMap::new();
     for &position in candidates {
--- a/crates/core/src/scaling/demand.rs
+++ b/crates/core/src/scaling/demand.rs
@@ -74,14 +74,14 @@
 
 /// Whether some of the job's tasks may start and have no place.
 pub(super) fn waits(job: &Job) -> bool {
-    job.may_start() && job.waiting() > 0
+    job.may_start() && job.waiting_tasks() > 0
 }
 
 /// CPUs that the unfinished tasks of a job could use.
 fn wanted_by(cluster: &Cluster, job: &Job) -> f64 {
     let run_s = cluster.expected_run_s(job);
     // Tasks shorter than the horizon can follow one another on the same machine.
-    let wanted = job.demand().cpus * (run_s / HORIZON_S).min(1.0);
+    let wanted = job.remaining_demand().cpus * (run_s / HORIZON_S).min(1.0);
     wanted.max(job.spec().cpus)
 }
 
@@ -100,7 +100,7 @@
             .jobs
             .values()
             .filter(|job| has_start_objective(cluster, job))
-            .map(|job| job.demand().cpus)
+            .map(|job| job.remaining_demand().cpus)
             .fold(0.0, f64::max);
         let outdated =
             self.asked_at.is_none_or(|at| now.saturating_duration_since(at) > RECENT_DEMAND_KEEP);
--- a/crates/core/src/scaling/offers.rs
+++ b/crates/core/src/scaling/offers.rs
@@ -2,7 +2,7 @@
 
 use super::{RentalFailure, RentalsInFlight};
 use crate::cluster::Cluster;
-use crate::machine::allows;
+use crate::machine::may_run_on;
 use corkfield_wire::cloud::{MachineType, RentRequest};
 use corkfield_wire::JobSpec;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     /// Whether a task of the job may run on such a machine, and fits into an empty one.
     pub(super) fn suits(&self, spec: &JobSpec) -> bool {
         let machine_type = self.machine_type;
-        allows(spec, &machine_type.name, self.zone, self.spot)
+        may_run_on(spec, &machine_type.name, self.zone, self.spot)
             && spec.cpus <= machine_type.cpus
             && spec.gpus <= machine_type.gpus
             && spec.memory_gb <= machine_type.memory_gb
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -74,7 +74,7 @@
 }
 
 fn is_late_boot(machine: &Machine, now: Instant) -> bool {
-    let boot_s = machine.size.as_ref().map_or(DEFAULT_BOOT_S, |size| size.boot_s);
+    let boot_s = machine.machine_type.as_ref().map_or(DEFAULT_BOOT_S, |size| size.boot_s);
     let limit = Duration::from_secs_f64(boot_s * LATE_BOOT_RATIO + LATE_BOOT_MARGIN_S);
     machine.state() == MachineState::Booting
         && now.saturating_duration_since(machine.rented_at) > limit
@@ -94,7 +94,7 @@
     let mut balance = SpotBalance::default();
     let mut expensive = Vec::new();
     for machine in cluster.machines.values().filter(|machine| is_in_use(machine)) {
-        let Some(size) = &machine.size else { continue };
+        let Some(size) = &machine.machine_type else { continue };
         if machine.spot {
             balance.spot_cpus += size.cpus;
         } else if is_expensive(size) {
@@ -113,7 +113,9 @@
 
 /// Whether the machine is up, and is not about to be lost.
 fn is_in_use(machine: &Machine) -> bool {
-    machine.state() == MachineState::Up && !machine.notice && !machine.lease_expired()
+    machine.state() == MachineState::Up
+        && !machine.has_interruption_notice
+        && !machine.lease_expired()
 }
 
 /// Takes idle machines out of use that are not needed, the most expensive ones first.
@@ -144,7 +146,7 @@
     let short_keep = long_keep.mul_f64(SHORT_IDLE_KEEP_FRACTION);
     let mut idle = Vec::new();
     for machine in cluster.machines.values_mut() {
-        let Some(size) = &machine.size else { continue };
+        let Some(size) = &machine.machine_type else { continue };
         if machine.state() != MachineState::Up || !machine.tasks.is_empty() {
             machine.idle_since = None;
             continue;
--- a/crates/core/src/scaling/spot_balance.rs
+++ b/crates/core/src/scaling/spot_balance.rs
@@ -21,7 +21,7 @@
     pub(super) fn from_cluster(cluster: &Cluster) -> Self {
         let mut balance = Self::default();
         for machine in cluster.machines.values().filter(|machine| is_up_or_booting(machine)) {
-            let Some(size) = &machine.size else { continue };
+            let Some(size) = &machine.machine_type else { continue };
             if machine.spot {
                 balance.spot_cpus += size.cpus;
             } else {
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -2,7 +2,7 @@
 
 use super::RentalsInFlight;
 use crate::cluster::Cluster;
-use crate::machine::{allows, Machine, MachineState, Reachability};
+use crate::machine::{may_run_on, Machine, MachineState, Reachability};
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::JobSpec;
 use std::time::{Duration, Instant};
@@ -23,9 +23,10 @@
     rentals_in_flight: &RentalsInFlight,
     now: Instant,
 ) -> f64 {
-    let rental_allowed =
-        |request: &RentRequest| allows(spec, &request.machine_type, &request.zone, request.spot);
-    matching_cpus(cluster, rentals_in_flight, now, |machine| machine.allows(spec), rental_allowed)
+    let rental_allowed = |request: &RentRequest| {
+        may_run_on(spec, &request.machine_type, &request.zone, request.spot)
+    };
+    matching_cpus(cluster, rentals_in_flight, now, |machine| machine.may_run(spec), rental_allowed)
 }
 
 fn matching_cpus(
@@ -40,7 +41,7 @@
         .machines
         .values()
         .filter(|machine| is_supply(machine, overdue_after, now) && matches(machine))
-        .filter_map(|machine| machine.size.as_ref().map(|size| size.cpus))
+        .filter_map(|machine| machine.machine_type.as_ref().map(|size| size.cpus))
         .sum();
     let coming: f64 = rentals_in_flight
         .values()
@@ -53,7 +54,7 @@
 /// Whether the machine takes tasks, or will once it is up.
 fn is_supply(machine: &Machine, overdue_after: Duration, now: Instant) -> bool {
     is_up_or_booting(machine)
-        && !machine.notice
+        && !machine.has_interruption_notice
         && machine.reachability() != Reachability::Unreachable
         && !is_heartbeat_overdue(machine, overdue_after, now)
 }
@@ -66,7 +67,7 @@
 /// A machine whose heartbeat is overdue is probably gone. What that means for its tasks is decided
 /// by S5; another machine may be rented meanwhile.
 fn is_heartbeat_overdue(machine: &Machine, overdue_after: Duration, now: Instant) -> bool {
-    machine.heard_at.is_some_and(|at| now.saturating_duration_since(at) > overdue_after)
+    machine.last_message_at.is_some_and(|at| now.saturating_duration_since(at) > overdue_after)
 }
 
 /// CPUs of the machines that a rental asks for; `None` if their type is not known.
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -59,7 +59,7 @@
     Action::Direct {
         machine: machine.name.clone(),
         addr: machine.addr.clone(),
-        agent_epoch: machine.messages.newest().agent_epoch,
+        agent_epoch: machine.message_history.newest().agent_epoch,
         orders,
     }
 }
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -54,7 +54,7 @@
         let id = record.spec.id.clone();
         if self.cluster.jobs.get(&id).is_some_and(Job::is_live) {
             let dead_lettered = record.dead_lettered;
-            self.change_job(&id, |job| job.reclaimed(record, version, now));
+            self.change_job(&id, |job| job.on_reclaimed(record, version, now));
             if dead_lettered {
                 self.stop_job(&id);
             }
@@ -74,23 +74,23 @@
             let tasks = machine.tasks.iter().filter(|(key, _)| key.task.job == id);
             for (key, machine_task) in tasks {
                 if machine_task.state == MachineTaskState::Done {
-                    job.finish(key.task.index);
+                    job.mark_finished(key.task.index);
                 }
             }
         }
         for machine in self.cluster.machines.values_mut() {
             let tasks = machine.tasks.iter_mut().filter(|(key, _)| key.task.job == id);
             for (key, machine_task) in tasks {
-                machine_task.belongs_to(job.spec(), job.team);
+                machine_task.set_job(job.spec(), job.team);
                 let index = key.task.index;
-                if !machine_task.takes_room() {
+                if !machine_task.uses_resources() {
                     continue;
                 }
-                if job.finished().contains(index) || job.active().contains_key(&index) {
-                    machine_task.stop_at_once();
+                if job.finished().contains(index) || job.placements().contains_key(&index) {
+                    machine_task.stop_without_grace();
                 } else {
-                    machine_task.let_run();
-                    job.place(index, machine.name.as_str(), key.attempt);
+                    machine_task.cancel_stop();
+                    job.place_task(index, machine.name.as_str(), key.attempt);
                 }
             }
         }
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -2,7 +2,7 @@
 
 use super::{direct_orders, Scheduler};
 use crate::cluster::Cluster;
-use crate::job::{JobState, Placed};
+use crate::job::{JobState, TaskPlacement};
 use crate::machine::{Machine, MachineTaskState, TaskAttempt};
 use corkfield_wire::worker::Order;
 use corkfield_wire::{AgentEpoch, JobId, TaskId};
@@ -35,7 +35,9 @@
     pub(super) fn stop_job(&mut self, id: &JobId) {
         for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             let stops = stop_tasks_of(machine, id);
-            if !stops.is_empty() && machine.messages.newest().agent_epoch > AgentEpoch::default() {
+            if !stops.is_empty()
+                && machine.message_history.newest().agent_epoch > AgentEpoch::default()
+            {
                 self.actions.push(direct_orders(machine, stops));
             }
         }
@@ -48,22 +50,22 @@
         let Some(job) = jobs.get_mut(id) else {
             return;
         };
-        let is_known = |index: u32, placed: &Placed| {
+        let is_known = |index: u32, placed: &TaskPlacement| {
             let task = TaskId { job: id.clone(), index };
             let key = TaskAttempt { task, attempt: placed.attempt };
             machines.get(&placed.machine).is_some_and(|m| m.tasks.contains_key(&key))
         };
-        let unknown = job.active().iter().filter(|(index, placed)| !is_known(**index, placed));
-        let unknown: Vec<(u32, Placed)> =
+        let unknown = job.placements().iter().filter(|(index, placed)| !is_known(**index, placed));
+        let unknown: Vec<(u32, TaskPlacement)> =
             unknown.map(|(index, placed)| (*index, placed.clone())).collect();
         for (index, placed) in unknown {
-            job.release(index, placed.machine.as_str(), placed.attempt);
+            job.release_task(index, placed.machine.as_str(), placed.attempt);
         }
     }
 
     /// Forgets a job that is over, or another's, once none of its tasks is on a machine.
     pub(super) fn remove_if_closed(&mut self, id: &JobId) {
-        if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.active().is_empty()) {
+        if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.placements().is_empty()) {
             self.cluster.jobs.remove(id);
         }
     }
@@ -77,8 +79,8 @@
     });
     let mut stops = Vec::new();
     for (key, machine_task) in machine.tasks.iter_mut() {
-        if key.task.job == *id && machine_task.takes_room() {
-            machine_task.stop_at_once();
+        if key.task.job == *id && machine_task.uses_resources() {
+            machine_task.stop_without_grace();
             let TaskAttempt { task, attempt } = key.clone();
             stops.push(Order::Stop { task, attempt, grace_s: 0.0 });
         }
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -48,7 +48,7 @@
                 if storable.chunks.len() >= MAX_CHUNKS {
                     break;
                 }
-                storable.chunks.insert(chunk, job.chunk(chunk));
+                storable.chunks.insert(chunk, job.finished_in_chunk(chunk));
             }
             storable.tasks.push(index);
         }
@@ -68,7 +68,7 @@
     /// [`Self::completion_commit_failed`].
     pub fn due_completion_commits(&mut self, most: usize, now: Instant) -> Vec<CompletionCommit> {
         let due = self.cluster.jobs.values_mut().filter_map(|job| {
-            let urgency = job.commit_due(now)?;
+            let urgency = job.commit_urgency(now)?;
             Some((urgency, job.last_commit_at(), job))
         });
         let mut due: Vec<(CommitUrgency, Option<Instant>, &mut Job)> = due.collect();
@@ -122,7 +122,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.commit_succeeded(record, tasks, version);
+        job.on_commit_succeeded(record, tasks, version);
         if *finishes {
             tracing::debug!(job = %id, tasks = record.done, "job done");
             self.close_job(id);
@@ -138,9 +138,9 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.commit_failed();
+        job.on_commit_failed();
         if let Some((record, finished, version)) = found {
-            job.found_record(record, &finished, version);
+            job.merge_stored_record(record, &finished, version);
         }
     }
 }
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -2,7 +2,7 @@
 
 use super::{DirectOrderTarget, DirectPurpose, Scheduler, Verdict};
 use crate::machine::{
-    DirectExchange, Machine, MachineState, MessageNumber, MessageOrigin, Reachability,
+    Machine, MachineState, MessageNumber, MessageOrigin, PendingDirectRequest, Reachability,
 };
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
@@ -33,7 +33,7 @@
         let types = &self.cluster.machine_types;
         let mut machine = Machine::from_record(name, record, types, age, now);
         // S6: the leader before us may have answered it until its fresh state ran out.
-        machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
+        machine.lease.allow_renewal_by_earlier_leader_until(now + self.cluster.config.answer_limit);
         self.reconciliation.expect(name, now);
         self.cluster.machines.insert(MachineName::from(name), machine);
     }
@@ -45,16 +45,16 @@
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
-                    || machine.messages.numbering_may_have_restarted()
-                    || machine.doubt.is_some_and(|doubt| doubt.is_due)
+                    || machine.message_history.may_have_restarted_numbering()
+                    || machine.task_uncertainty.is_some_and(|doubt| doubt.is_inspection_due)
                     || self.is_unreconciled(machine.name.as_str()))
         });
         asked
             .map(|machine| DirectOrderTarget {
                 machine: machine.name.clone(),
                 addr: machine.addr.clone(),
-                agent_epoch: machine.messages.newest().agent_epoch.max(AgentEpoch::FIRST),
-                purpose: if machine.messages.has_shown(self.term) {
+                agent_epoch: machine.message_history.newest().agent_epoch.max(AgentEpoch::FIRST),
+                purpose: if machine.message_history.has_reported_term(self.term) {
                     DirectPurpose::Inspect
                 } else {
                     DirectPurpose::Order
@@ -67,7 +67,7 @@
     /// this is newer.
     pub fn newest_message(&self, name: &str) -> MessageNumber {
         let machine = self.cluster.machines.get(name);
-        machine.map(|machine| machine.messages.newest()).unwrap_or_default()
+        machine.map(|machine| machine.message_history.newest()).unwrap_or_default()
     }
 
     /// Direct orders, or a question, leave for a machine. It has to be followed by
@@ -77,43 +77,45 @@
         name: &str,
         purpose: DirectPurpose,
         now: Instant,
-    ) -> DirectExchange {
+    ) -> PendingDirectRequest {
         let known = self.newest_message(name);
         let term = self.term;
         let machine = self.cluster.machines.get_mut(name);
         let may_expose_term = purpose == DirectPurpose::Order
-            && machine.is_some_and(|machine| machine.exchanges.exposure.note_direct_orders(term));
-        DirectExchange { known, asked_at: Some(now), may_expose_term }
+            && machine.is_some_and(|machine| {
+                machine.ordering_tracker.term_exposure.record_direct_orders(term)
+            });
+        PendingDirectRequest { newest_known: known, sent_at: Some(now), may_expose_term }
     }
 
     /// A machine's answer to direct orders, or to a question.
     pub fn on_direct_orders_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        exchange: impl Into<DirectExchange>,
+        exchange: impl Into<PendingDirectRequest>,
         now: Instant,
     ) -> Verdict {
         let exchange = exchange.into();
         if let Some(machine) = self.cluster.machines.get_mut(&heartbeat.machine) {
             if exchange.may_expose_term {
-                let by_known_process = machine.is_of_known_process(heartbeat);
-                machine.exchanges.exposure.end_direct_orders(by_known_process);
+                let by_known_process = machine.is_from_known_process(heartbeat);
+                machine.ordering_tracker.term_exposure.end_direct_orders(by_known_process);
             }
         }
-        let origin = MessageOrigin::DirectAnswer { asked_at: exchange.asked_at };
+        let origin = MessageOrigin::DirectAnswer { request_sent_at: exchange.sent_at };
         let verdict = self.on_heartbeat(heartbeat, origin, now);
-        if MessageNumber::from(heartbeat) <= exchange.known {
+        if MessageNumber::from(heartbeat) <= exchange.newest_known {
             self.return_restarted(heartbeat.machine.as_str());
         }
         verdict
     }
 
     /// Direct orders, or a question, have no answer that can be used.
-    pub fn direct_exchange_failed(&mut self, name: &str, exchange: DirectExchange) {
+    pub fn direct_exchange_failed(&mut self, name: &str, exchange: PendingDirectRequest) {
         self.direct_orders_unanswered(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             if exchange.may_expose_term {
-                machine.exchanges.exposure.end_direct_orders(false);
+                machine.ordering_tracker.term_exposure.end_direct_orders(false);
             }
         }
     }
@@ -125,8 +127,8 @@
         let expiry_after = self.cluster.config.lease_expiry_after();
         let mut returned = Vec::new();
         for machine in self.cluster.machines.values_mut() {
-            let Some(doubt) = machine.doubt.as_mut() else { continue };
-            doubt.tick(now);
+            let Some(doubt) = machine.task_uncertainty.as_mut() else { continue };
+            doubt.update_due(now);
             if doubt.is_older_than(expiry_after, now) {
                 returned.push(machine.name.clone());
             }
@@ -184,7 +186,7 @@
     fn silent_unreconciled(&self) -> Vec<MachineName> {
         let is_silent = |name: &&MachineName| {
             let machine = self.cluster.machines.get(*name);
-            machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
+            machine.is_some_and(|machine| machine.unanswered_requests() >= GIVEN_UP_AFTER)
         };
         self.reconciliation.machines().filter(is_silent).cloned().collect()
     }
@@ -192,7 +194,7 @@
     /// A machine did not answer direct orders in time.
     pub fn direct_orders_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.note_unanswered();
+            machine.record_unanswered_request();
         }
     }
 
--- a/crates/core/src/scheduler/heartbeats/absences.rs
+++ b/crates/core/src/scheduler/heartbeats/absences.rs
@@ -1,7 +1,9 @@
 //! Tasks that a heartbeat does not show, and what it proves of them (S5a).
 
 use super::Receipt;
-use crate::machine::{Doubt, Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
+use crate::machine::{
+    Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt, TaskUncertainty,
+};
 use std::time::Instant;
 
 /// What a heartbeat proves of one task that it lacks.
@@ -55,13 +57,19 @@
     }
 
     /// The doubt about the machine after that message, given the one before.
-    pub(super) fn doubt(&self, before: Option<Doubt>, receipt: &Receipt) -> Option<Doubt> {
+    pub(super) fn doubt(
+        &self,
+        before: Option<TaskUncertainty>,
+        receipt: &Receipt,
+    ) -> Option<TaskUncertainty> {
         // An answer to direct orders raises none: a start may just be on its way.
         if before.is_none() && !receipt.origin.is_own_heartbeat() {
             return None;
         }
         let left_at = self.newest_doubtful_start?;
-        Some(Doubt::of_starts(left_at, receipt.now).continuing(before))
+        Some(
+            TaskUncertainty::from_unconfirmed_starts(left_at, receipt.now).keeping_start_of(before),
+        )
     }
 }
 
@@ -80,7 +88,7 @@
         };
         // A start travels only in the answer to a heartbeat, and the worker drops it after a while
         // (S3). What was surely written after that shows whether it was carried out.
-        let left_at = machine_task.since;
+        let left_at = machine_task.state_since;
         if self.number <= answered {
             Absence::Unknown
         } else if newest_start_taken >= Some(answered)
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -28,7 +28,7 @@
             }
             Some(ExitCause::NoRoom | ExitCause::Busy) => {
                 if let Some(machine) = self.cluster.machines.get_mut(name) {
-                    machine.health.note_refusal(now + REFUSAL_PAUSE);
+                    machine.health.record_refusal(now + REFUSAL_PAUSE);
                 }
             }
             Some(ExitCause::Unknown) => {
@@ -47,10 +47,10 @@
         job.failures.add(name);
         // A job that fails everywhere says nothing about the machines it fails on.
         let job_completes = job.run_times.has_any();
-        if job.failures.may_blame_machines() || job_completes {
-            machine.health.note_failure(id);
+        if job.failures.may_be_caused_by_machines() || job_completes {
+            machine.health.record_failure(id);
         }
-        let backs_off = job.failures.call_for_back_off();
+        let backs_off = job.failures.should_back_off();
         if machine.health.is_faulty(job_completes) && machine.state() == MachineState::Up {
             machine.enter(MachineState::Draining);
             self.note_machine_event(name, "machine fails its tasks; drained and returned");
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -8,7 +8,8 @@
 use super::{direct_orders, Action, Scheduler};
 use crate::cluster::Cluster;
 use crate::machine::{
-    Doubt, Evidence, Machine, MachineTaskState, MessageNumber, MessageOrigin, TaskAttempt,
+    Machine, MachineTaskState, MessageNumber, MessageOrdering, MessageOrigin, TaskAttempt,
+    TaskUncertainty,
 };
 use absences::Absences;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
@@ -38,7 +39,7 @@
     /// How it came.
     origin: MessageOrigin,
     /// What proves when it was written.
-    evidence: Evidence,
+    evidence: MessageOrdering,
     /// Tasks known of the machine that it does not show.
     absent: Vec<TaskAttempt>,
     /// The number of the message.
@@ -68,28 +69,30 @@
         let prompt = self.cluster.config.heartbeat_interval.mul_f64(PROMPT_INTERVALS);
         let number = MessageNumber::from(heartbeat);
         let machine = self.machine_of(heartbeat, now);
-        if machine.messages.is_outdated(number) {
+        if machine.message_history.is_outdated(number) {
             if origin.is_own_heartbeat() {
-                machine.messages.note_outdated_heartbeat(number);
+                machine.message_history.record_outdated_heartbeat(number);
             }
             return Verdict::Stale;
         }
         let absent = machine.tasks.absent_from(heartbeat);
-        if machine.messages.has_shown_higher_term(heartbeat.term)
-            || machine.has_lost_one_of(&absent, heartbeat.agent_epoch)
+        if machine.message_history.has_reported_higher_term(heartbeat.term)
+            || machine.is_from_other_process(&absent, heartbeat.agent_epoch)
         {
             self.return_restarted(heartbeat.machine.as_str());
             return Verdict::Stale;
         }
         if heartbeat.term == our_term {
-            machine.exchanges.exposure.note_shown(our_term, number);
+            machine.ordering_tracker.term_exposure.record_reported(our_term, number);
         }
-        let evidence = machine.exchanges.evidence(origin, heartbeat.term, our_term);
-        if machine.may_predate_newest(&absent, &evidence) {
-            machine.doubt = Some(Doubt::of_shown_tasks(now).continuing(machine.doubt));
+        let evidence = machine.ordering_tracker.order_message(origin, heartbeat.term, our_term);
+        if machine.may_predate_newest_message(&absent, &evidence) {
+            machine.task_uncertainty = Some(
+                TaskUncertainty::from_missing_tasks(now).keeping_start_of(machine.task_uncertainty),
+            );
             return Verdict::Stale;
         }
-        let gap = machine.receive(heartbeat, origin, &evidence, now);
+        let gap = machine.apply_message(heartbeat, origin, &evidence, now);
         if machine.update_fence(heartbeat, our_term) {
             let prompt_gap = gap.filter(|gap| *gap <= prompt);
             let receipt = Receipt { origin, evidence, absent, number, prompt_gap, now };
@@ -104,7 +107,7 @@
     /// Whether an answer to the machine would only seem to renew a lease that something rests on.
     fn withholds_answer(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
-            machine.lease.withholds_answer(now)
+            machine.lease.should_withhold_answer(now)
                 && (!machine.tasks.is_empty() || self.is_unreconciled(name))
         })
     }
@@ -121,8 +124,8 @@
     fn on_fresh_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, receipt: &Receipt) {
         let name = &heartbeat.machine;
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.lease.resume(receipt.now);
-            if let Some(record) = machine.begin_recording() {
+            machine.lease.restart_if_expired(receipt.now);
+            if let Some(record) = machine.begin_record_write() {
                 self.actions.push(Action::Record(name.clone(), record));
             }
         }
@@ -145,11 +148,11 @@
             return;
         };
         let absences = Absences::of(machine, receipt, newest_start_taken);
-        machine.doubt = absences.doubt(machine.doubt, receipt);
+        machine.task_uncertainty = absences.doubt(machine.task_uncertainty, receipt);
         let Absences { lost, start_lost, .. } = absences;
         let start_taken = newest_start_taken.is_some();
         if start_taken || start_lost {
-            machine.note_delivery(start_taken);
+            machine.update_reachability(start_taken);
         }
         for key in lost {
             self.release_task(name.as_str(), &key);
@@ -167,12 +170,13 @@
             let Some(job) = jobs.get(&key.task.job).filter(|job| job.saves_checkpoints()) else {
                 continue;
             };
-            if machine_task.state == MachineTaskState::Running && machine_task.stop.is_none() {
+            if machine_task.state == MachineTaskState::Running && machine_task.stop_grace.is_none()
+            {
                 saving.push((key.clone(), job.stop_grace()));
             }
         }
         let stops: Vec<Order> =
-            saving.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
+            saving.iter().filter_map(|(key, grace)| machine.stop_task(key, *grace)).collect();
         if !stops.is_empty() {
             self.actions.push(direct_orders(machine, stops));
         }
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -44,7 +44,7 @@
         // are held up for seconds is not a slow one.
         let shortest = self.ran.saturating_sub(self.gap);
         if let Some(ratio) = job.run_times.ratio_to_mean(shortest) {
-            machine.health.note_run_time(clamp(ratio, &SLOWNESS_RATIO));
+            machine.health.record_run_time(clamp(ratio, &SLOWNESS_RATIO));
         }
         let ran_s = self.ran.as_secs_f64();
         job.run_times.add(ran_s);
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -2,7 +2,7 @@
 
 use super::{Receipt, Scheduler};
 use crate::cluster::Cluster;
-use crate::job::{Job, JobState, Placed};
+use crate::job::{Job, JobState, TaskPlacement};
 use crate::machine::{Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus};
 use corkfield_wire::TaskId;
@@ -35,7 +35,7 @@
         {
             return Self::Unwanted;
         }
-        match job.active().get(&index) {
+        match job.placements().get(&index) {
             None => Self::Found,
             Some(placed) if placed.machine.as_str() == machine && placed.attempt == key.attempt => {
                 Self::Known
@@ -68,14 +68,14 @@
     state: MachineTaskState,
     now: Instant,
 ) -> (Option<KnownTask>, &'a mut MachineTask) {
-    let known = machine.tasks.get(key).map(|t| KnownTask { state: t.state, since: t.since });
+    let known = machine.tasks.get(key).map(|t| KnownTask { state: t.state, since: t.state_since });
     if known.is_none_or(|known| known.state != state) {
         let TaskAttempt { task, attempt } = key;
         let attempt = attempt.get();
         let name = machine.name.as_str();
         tracing::debug!(task = %task, machine = name, attempt, ?state, "task state");
     }
-    let found = || MachineTask::found(state, now);
+    let found = || MachineTask::from_heartbeat(state, now);
     let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
     machine_task.enter(state, now);
     (known, machine_task)
@@ -100,16 +100,16 @@
             // Cancelled, done, or not claimed yet; stopped once all jobs are claimed.
             return start_taken;
         };
-        machine_task.belongs_to(job.spec(), job.team);
+        machine_task.set_job(job.spec(), job.team);
         match state {
             MachineTaskState::Done => {
-                let known = known.filter(|_| machine_task.started_by_us);
-                let other = job.active().get(&key.task.index).filter(|placed| {
+                let known = known.filter(|_| machine_task.started_by_this_leader);
+                let other = job.placements().get(&key.task.index).filter(|placed| {
                     placed.machine.as_str() != name || placed.attempt != key.attempt
                 });
                 let superseded = other.cloned();
-                if job.finish(key.task.index) {
-                    machine.health.note_completion();
+                if job.mark_finished(key.task.index) {
+                    machine.health.record_completion();
                     if let Some(run) = receipt.run_time(known) {
                         run.note(estimate_corrections, job, machine);
                     }
@@ -120,17 +120,17 @@
             }
             MachineTaskState::Exited => {
                 if known.is_none_or(|known| known.state != MachineTaskState::Exited) {
-                    job.release(key.task.index, name, key.attempt);
+                    job.release_task(key.task.index, name, key.attempt);
                     self.on_task_exit(name, status, receipt.now);
                 }
             }
             _ => match LiveTask::classify(job, name, &key) {
                 LiveTask::Known => {}
                 LiveTask::Found => {
-                    job.place(key.task.index, name, key.attempt);
-                    machine.touch_image(&job.record.spec.image, job.record.spec.image_gb);
+                    job.place_task(key.task.index, name, key.attempt);
+                    machine.mark_image_used(&job.record.spec.image, job.record.spec.image_gb);
                 }
-                LiveTask::Unwanted => machine_task.stop_at_once(),
+                LiveTask::Unwanted => machine_task.stop_without_grace(),
             },
         }
         self.remove_if_closed(&key.task.job);
@@ -139,8 +139,8 @@
 
     /// A task was done under another attempt than the placed one: a late message shows it. The
     /// placed attempt has nothing left to do.
-    fn drop_superseded(&mut self, task: &TaskId, placed: &Placed) {
-        let Placed { machine: name, attempt } = placed;
+    fn drop_superseded(&mut self, task: &TaskId, placed: &TaskPlacement) {
+        let TaskPlacement { machine: name, attempt } = placed;
         let key = TaskAttempt { task: task.clone(), attempt: *attempt };
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -151,7 +151,7 @@
         if machine_task.state == MachineTaskState::Assigned {
             self.release_task(name.as_str(), &key);
         } else {
-            machine_task.stop_at_once();
+            machine_task.stop_without_grace();
         }
     }
 }
--- a/crates/core/src/scheduler/job_states.rs
+++ b/crates/core/src/scheduler/job_states.rs
@@ -60,7 +60,7 @@
         let Some(job) = jobs.get(id) else {
             return Vec::new();
         };
-        let placed = job.active().iter().map(|(index, placed)| {
+        let placed = job.placements().iter().map(|(index, placed)| {
             let task = TaskId { job: id.clone(), index: *index };
             let key = TaskAttempt { task, attempt: placed.attempt };
             AssignedTask { machine: placed.machine.clone(), key }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -1,7 +1,7 @@
 //! Machines that come and go: what the cloud lists, and what is deleted.
 
 use super::{Action, Scheduler};
-use crate::machine::{Machine, MachineState, MachineTask, Recorded, TaskAttempt};
+use crate::machine::{Machine, MachineState, MachineTask, RecordState, TaskAttempt};
 use corkfield_wire::cloud::{ListedMachine, ListedState, MachineType, MAX_DELETE};
 use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
     /// Takes over the cloud's machine types, also for machines known already.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         for machine in self.cluster.machines.values_mut() {
-            machine.update_size(&types);
+            machine.update_machine_type(&types);
         }
         self.cluster.machine_types = types;
     }
@@ -27,7 +27,7 @@
     /// The write of the machine's record was answered: it is `stored`, or the write failed.
     pub fn on_machine_record_written(&mut self, name: &str, stored: bool) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.finish_recording(stored);
+            machine.finish_record_write(stored);
         }
     }
 
@@ -48,7 +48,7 @@
             "task released"
         );
         if let Some(job) = self.cluster.jobs.get_mut(&task.job) {
-            job.release(task.index, name, *attempt);
+            job.release_task(task.index, name, *attempt);
         }
         self.remove_if_closed(&task.job);
     }
@@ -70,7 +70,7 @@
         self.release_tasks(name, |_| true);
         if let Some(machine) = self.cluster.machines.remove(name) {
             tracing::debug!(machine = name, "machine gone");
-            if machine.recorded != Recorded::No {
+            if machine.record_state != RecordState::NotStored {
                 self.actions.push(Action::Erase(MachineName::from(name)));
             }
         }
@@ -119,7 +119,7 @@
         let types = &self.cluster.machine_types;
         let listed = || Machine::from_listed(entry, types, now);
         let machine = self.cluster.machines.entry(entry.name.clone()).or_insert_with(listed);
-        machine.note_listed_addr(&entry.addr);
+        machine.set_addr_if_unknown(&entry.addr);
     }
 
     /// Requests the deletion of drained machines that are empty, and, from time to time, once more
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -15,9 +15,9 @@
     /// Whether a placement pass might start something there, now that it has sent a heartbeat.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
-            machine.accepts_starts(now, Duration::MAX)
-                && machine.free().is_some_and(|free| free.cpus > 0.0)
-        }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting() > 0)
+            machine.can_accept_starts(now, Duration::MAX)
+                && machine.free_resources().is_some_and(|free| free.cpus > 0.0)
+        }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting_tasks() > 0)
     }
 
     /// Whether starts wait for that machine's next heartbeat.
@@ -31,7 +31,10 @@
     /// report.
     pub fn may_delay_answer(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
-            m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
+            m.fenced
+                && m.tasks.is_empty()
+                && m.state() == MachineState::Up
+                && !m.has_interruption_notice
         })
     }
 
@@ -49,16 +52,16 @@
             return Vec::new();
         };
         let answered = MessageNumber { agent_epoch, sequence };
-        machine.lease.note_answer(self.term, now);
-        machine.exchanges.exposure.note_answer(self.term, answered);
+        machine.lease.record_answer(self.term, now);
+        machine.ordering_tracker.term_exposure.record_answer(self.term, answered);
         if !machine.fenced {
             return Vec::new();
         }
         let mut orders = forget_or_mark_stopped(machine, &self.cluster.jobs, &self.unclaimed);
-        orders.extend(machine.stops());
+        orders.extend(machine.stop_orders());
         orders.truncate(MAX_ORDERS);
-        let is_newest = machine.messages.newest() == answered;
-        if may_start && is_newest && machine.accepts_starts(now, Duration::MAX) {
+        let is_newest = machine.message_history.newest() == answered;
+        if may_start && is_newest && machine.can_accept_starts(now, Duration::MAX) {
             let most = MAX_ORDERS - orders.len();
             orders.extend(order_starts(machine, &self.cluster.jobs, answered, most, now));
         }
@@ -81,9 +84,9 @@
         }
         if may_forget(machine_task.state, job, key.task.index) {
             orders.push(Order::Forget { task: key.task.clone(), attempt: key.attempt });
-        } else if job.is_none() && machine_task.takes_room() {
+        } else if job.is_none() && machine_task.uses_resources() {
             // S11: nobody's task, so cancelled, done or lost.
-            machine_task.stop_at_once();
+            machine_task.stop_without_grace();
         }
     }
     orders
@@ -118,7 +121,7 @@
         };
         // The order's generation must be that of the job's record.
         debug_assert_eq!(key.attempt.generation(), job.record.generation);
-        let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
+        let waited_ms = now.saturating_duration_since(machine_task.state_since).as_millis();
         machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
         tracing::debug!(
             task = %key.task,
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -57,7 +57,7 @@
     /// Counts jobs and their tasks.
     fn count_jobs(&self, overview: &mut Overview, now: Instant) {
         for (id, job) in &self.cluster.jobs {
-            overview.waiting_tasks += u64::from(job.waiting());
+            overview.waiting_tasks += u64::from(job.waiting_tasks());
             overview.running_tasks += u64::from(job.running);
             overview.most_claims = overview.most_claims.max(job.record.claims);
             if job.state() == JobState::DeadLettered {
@@ -65,7 +65,7 @@
             }
             let age = now.saturating_duration_since(job.accepted_at);
             let older = overview.oldest_waiting.as_ref().is_none_or(|(_, oldest)| age > *oldest);
-            if job.waiting() > 0 && older {
+            if job.waiting_tasks() > 0 && older {
                 overview.oldest_waiting = Some((id.clone(), age));
             }
         }
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -46,7 +46,7 @@
     fn take_back_assigned_tasks(&mut self, now: Instant) {
         let machines = self.cluster.machines.values();
         let waiting_in_vain = machines.filter(|machine| {
-            !machine.accepts_starts(now, ASSIGNED_KEEP) && !machine.tasks.is_empty()
+            !machine.can_accept_starts(now, ASSIGNED_KEEP) && !machine.tasks.is_empty()
         });
         let names: Vec<MachineName> = waiting_in_vain.map(|machine| machine.name.clone()).collect();
         for name in names {
@@ -102,6 +102,6 @@
 /// Whether the job may run on the machine and has not failed there.
 fn is_untried(machine: &Machine, job: &Job) -> bool {
     machine.state() == MachineState::Up
-        && machine.allows(job.spec())
+        && machine.may_run(job.spec())
         && !job.has_failed_on(machine.name.as_str())
 }
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -182,7 +182,7 @@
             now,
         );
         scheduler.run_placement_pass(now);
-        let active = |id: &JobId| scheduler.job(id).expect("claimed").active().len();
+        let active = |id: &JobId| scheduler.job(id).expect("claimed").placements().len();
         assert_eq!(active(&first_job_id()), placed, "S8: a job that nobody can have started");
         assert_eq!(active(&old.spec.id), 0, "S7: its tasks may be on the silent machines");
     }
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -26,10 +26,10 @@
         scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
-        let in_z = job.active().values().filter(|placed| {
+        let in_z = job.placements().values().filter(|placed| {
             scheduler.machine(placed.machine.as_str()).is_some_and(|machine| machine.zone == "z")
         });
-        let (in_z, all) = (in_z.count(), job.active().len());
+        let (in_z, all) = (in_z.count(), job.placements().len());
         if one_zone {
             assert!(in_z == 0 || in_z == all, "one zone: {in_z} of {all}");
             assert_eq!(all, expected);
--- a/crates/core/tests/scheduler/random_faults/invariants.rs
+++ b/crates/core/tests/scheduler/random_faults/invariants.rs
@@ -50,14 +50,14 @@
 
 /// Each place of a task is on a machine.
 fn check_places(driver: &Driver, id: &JobId, job: &Job) -> Result<(), String> {
-    for (index, placed) in job.active() {
+    for (index, placed) in job.placements() {
         let machine = driver.scheduler.machine(placed.machine.as_str());
         let is_there = machine.is_some_and(|machine| {
             machine.tasks.iter().any(|(key, task)| {
                 key.task.job == *id
                     && key.task.index == *index
                     && key.attempt == placed.attempt
-                    && task.takes_room()
+                    && task.uses_resources()
             })
         });
         if !is_there {
@@ -72,13 +72,13 @@
 fn check_machines(driver: &Driver) -> Result<(), String> {
     let machines = driver.workers.keys().chain(driver.store.machines.keys());
     for machine in machines.filter_map(|name| driver.scheduler.machine(name.as_str())) {
-        for (key, machine_task) in machine.tasks.iter().filter(|(_, task)| task.takes_room()) {
+        for (key, machine_task) in machine.tasks.iter().filter(|(_, task)| task.uses_resources()) {
             let Some(job) = driver.scheduler.job(&key.task.job) else { continue };
             let task = &key.task;
-            let placed = job.active().get(&task.index).is_some_and(|placed| {
+            let placed = job.placements().get(&task.index).is_some_and(|placed| {
                 placed.machine == machine.name && placed.attempt == key.attempt
             });
-            if !placed && machine_task.stop.is_none() && job.is_live() {
+            if !placed && machine_task.stop_grace.is_none() && job.is_live() {
                 return Err(format!("{task} takes room on {} without a place", machine.name));
             }
             if machine_task.state != MachineTaskState::Assigned {
@@ -114,7 +114,7 @@
                 "{:?}, version {:?}, {} placed]",
                 job.state(),
                 job.version,
-                job.active().len()
+                job.placements().len()
             ),
             None => write!(text, "nothing]"),
         };
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -297,7 +297,7 @@
         let finished = TaskSet::default();
         scheduler.on_job_claimed(record, finished, Revision::new(5), Duration::ZERO, now);
         assert_eq!(active_task_count(&scheduler), 0, "running on {running_on}");
-        assert_eq!(scheduler.job(&first_job_id()).expect("claimed").waiting(), 1);
+        assert_eq!(scheduler.job(&first_job_id()).expect("claimed").waiting_tasks(), 1);
         let orders = scheduler.orders(running_on, AgentEpoch::FIRST, 1, false, now);
         assert!(matches!(orders[..], [Order::Stop { .. }]), "{orders:?}");
     }
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -120,8 +120,8 @@
     for version in (6..10).map(Revision::new) {
         scheduler.run_placement_pass(now);
         let job = scheduler.job(&first_job_id()).expect("claimed");
-        announced.push((job.active().len(), job.record.start_watermark));
-        assert!(job.active().keys().all(|index| *index < job.record.start_watermark));
+        announced.push((job.placements().len(), job.record.start_watermark));
+        assert!(job.placements().keys().all(|index| *index < job.record.start_watermark));
         for completion_commit in scheduler.due_completion_commits(4, now) {
             scheduler.completion_committed(&completion_commit, version);
         }
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -1,7 +1,7 @@
 //! Builders of configurations, records and heartbeats, and schedulers in the states that tests
 //! begin with.
 
-use corkfield_core::{Config, MessageOrigin, Placed, Scheduler, Verdict};
+use corkfield_core::{Config, MessageOrigin, Scheduler, TaskPlacement, Verdict};
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::settings::Team;
@@ -180,8 +180,8 @@
 }
 
 /// The tasks of the first job that are placed, by index.
-pub fn active_tasks(scheduler: &Scheduler) -> &BTreeMap<u32, Placed> {
-    scheduler.job(&first_job_id()).expect("claimed").active()
+pub fn active_tasks(scheduler: &Scheduler) -> &BTreeMap<u32, TaskPlacement> {
+    scheduler.job(&first_job_id()).expect("claimed").placements()
 }
 
 /// How many tasks of the first job are placed.
