--- a/crates/core/src/machine/health.rs
+++ b/crates/core/src/machine/health.rs
@@ -1,33 +1,33 @@
-//! What the tasks on a machine tell about it: failures, refusals and slowness.
+//! Health of a machine, derived from its tasks: failures, refused starts and slowness.
 
 use corkfield_wire::JobId;
 use std::time::Instant;
 
-/// A machine whose tasks took this many times as long as elsewhere gets no new tasks.
-const SLOW: f64 = 1.6;
-/// Run times that have to be known of a machine before it counts as slow.
-const SLOW_SAMPLES: u32 = 4;
-/// The part of the slowness that a new run time makes up.
-const SLOWNESS_WEIGHT: f64 = 0.3;
-/// The part of the slowness that earlier run times make up.
-const SLOWNESS_MEMORY: f64 = 0.7;
-/// Failed tasks of so many jobs prove that the machine is at fault.
+/// A machine gets no new tasks if its slowness exceeds this value.
+const MAX_SLOWNESS: f64 = 1.6;
+/// Number of run times that must be known before a machine can count as slow.
+const MIN_SLOWNESS_SAMPLES: u32 = 4;
+/// Weight of a new run time in the moving average of the slowness.
+const NEW_SAMPLE_WEIGHT: f64 = 0.3;
+/// Weight of the earlier run times in the moving average of the slowness.
+const PREVIOUS_SAMPLES_WEIGHT: f64 = 0.7;
+/// Failed tasks of this many different jobs prove that the machine is faulty.
 const FAULTY_JOBS: usize = 2;
-/// So many failures of a job that completes elsewhere prove it as well.
+/// This many failures prove that the machine is faulty if the job completes on other machines.
 const FAULTY_FAILURES: u32 = 2;
 
-/// What is known of a machine's health.
+/// Failures, refused starts and slowness of a machine.
 #[derive(Debug)]
 pub(crate) struct MachineHealth {
-    /// Jobs whose tasks failed here since a task last completed here.
+    /// Jobs whose tasks have failed here since a task last completed here.
     failed_jobs: Vec<JobId>,
-    /// Tasks that failed here since a task last completed here.
+    /// Number of tasks that have failed here since a task last completed here.
     failures: u32,
-    /// The worker refused a start: no more are sent to it before this time.
+    /// No starts are sent before this time, because the worker refused one.
     refused_until: Option<Instant>,
-    /// Run times here against the same jobs' run times elsewhere, smoothed.
+    /// Moving average of the run times here, relative to those of the same jobs elsewhere.
     slowness: f64,
-    /// Run times that made it up.
+    /// Number of run times in `slowness`.
     slowness_samples: u32,
 }
 
@@ -44,13 +44,13 @@
 }
 
 impl MachineHealth {
-    /// A task completed here.
+    /// Records that a task completed on the machine.
     pub(crate) fn record_completion(&mut self) {
         self.failures = 0;
         self.failed_jobs.clear();
     }
 
-    /// A task failed here, and its job is not known to be the cause.
+    /// Records that a task failed on the machine and that its job is not known to be the cause.
     pub(crate) fn record_failure(&mut self, job: &JobId) {
         self.failures += 1;
         if !self.failed_jobs.contains(job) {
@@ -58,35 +58,35 @@
         }
     }
 
-    /// Whether the failures prove that the machine is at fault; `job_completes` tells whether a
-    /// task of the job that failed last has ever completed.
+    /// Returns whether the failures prove that the machine is faulty. `job_completes` is true if
+    /// any task of the job that failed last has ever completed.
     pub(crate) fn is_faulty(&self, job_completes: bool) -> bool {
         self.failed_jobs.len() >= FAULTY_JOBS || (self.failures >= FAULTY_FAILURES && job_completes)
     }
 
-    /// The worker refused a start.
+    /// Records that the worker refused a start; no starts are sent to it before `until`.
     pub(crate) fn record_refusal(&mut self, until: Instant) {
         self.refused_until = Some(until);
     }
 
-    /// Whether starts may be sent again after the last refusal.
+    /// Returns whether the pause after the last refused start has passed.
     pub(super) fn can_accept_starts(&self, now: Instant) -> bool {
         self.refused_until.is_none_or(|until| now >= until)
     }
 
-    /// A task took `ratio` times as long here as the same job's tasks elsewhere.
+    /// Records that a task ran `ratio` times as long here as tasks of the same job elsewhere.
     pub(crate) fn record_run_time(&mut self, ratio: f64) {
-        self.slowness = self.slowness * SLOWNESS_MEMORY + ratio * SLOWNESS_WEIGHT;
+        self.slowness = self.slowness * PREVIOUS_SAMPLES_WEIGHT + ratio * NEW_SAMPLE_WEIGHT;
         self.slowness_samples += 1;
     }
 
-    /// Whether a task failed here since one last completed.
+    /// Returns whether a task has failed here since a task last completed here.
     pub(crate) fn has_failures(&self) -> bool {
         self.failures > 0
     }
 
-    /// Its tasks took much longer than the same jobs' tasks elsewhere.
+    /// Returns whether tasks take much longer here than tasks of the same jobs elsewhere.
     pub(super) fn is_slow(&self) -> bool {
-        self.slowness > SLOW && self.slowness_samples >= SLOW_SAMPLES
+        self.slowness > MAX_SLOWNESS && self.slowness_samples >= MIN_SLOWNESS_SAMPLES
     }
 }
--- a/crates/core/src/machine/image_cache.rs
+++ b/crates/core/src/machine/image_cache.rs
@@ -1,26 +1,27 @@
-//! The images that a machine's cache probably holds.
+//! Model of the image cache on a machine.
 
-/// No more images than this are remembered of a machine.
+/// Maximum number of images that are remembered for a machine.
 const MAX_IMAGES: usize = 64;
 
 /// An image in a machine's cache.
 #[derive(Debug)]
 struct CachedImage {
-    /// Its name.
+    /// Name of the image.
     name: String,
-    /// Its size in GB.
+    /// Size of the image in GB.
     size_gb: f64,
 }
 
-/// Images that a machine probably has, the most recently used last.
+/// Images that a machine has probably cached.
 #[derive(Debug, Default)]
 pub(crate) struct ImageCache {
-    /// In the order of their last use.
+    /// The images, ordered from the least to the most recently used.
     images: Vec<CachedImage>,
 }
 
 impl ImageCache {
-    /// Notes an image as the most recently used; older ones fall out of a cache of that size.
+    /// Marks an image as the most recently used and evicts the least recently used images that
+    /// exceed `capacity_gb`.
     pub(super) fn mark_used(&mut self, name: &str, size_gb: f64, capacity_gb: f64) {
         self.images.retain(|image| image.name != name);
         self.images.push(CachedImage { name: name.to_owned(), size_gb });
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Names of the images.
+    /// Returns the names of the images.
     pub(crate) fn names(&self) -> impl Iterator<Item = &str> {
         self.images.iter().map(|image| image.name.as_str())
     }
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -1,121 +1,133 @@
-//! The lease of a worker, as far as this controller can know it.
+//! Tracking of a worker's lease by the controller.
 
 use corkfield_wire::Term;
 use std::time::{Duration, Instant};
 
-/// When a worker's lease can have been renewed last, and whether it has expired since (S5, S6).
+/// Upper bound for the last renewal of a worker's lease, and whether the lease has expired (S5,
+/// S6).
 ///
-/// A worker's lease is renewed by each heartbeat that is answered with 200, by any controller.
+/// A worker renews its lease when a heartbeat is answered with status 200, by any controller. The
+/// controller can't see whether an answer arrived, so it tracks the latest possible renewal.
 #[derive(Debug)]
 pub(crate) struct WorkerLease {
-    /// The last moment at which a heartbeat can have been answered with 200.
-    answered_at: Instant,
-    /// The same before the newest answer, in case that one was not received.
-    answered_before: Instant,
-    /// The term of the newest answer.
+    /// Latest time at which a heartbeat can have been answered with status 200.
+    last_renewal_at: Instant,
+    /// Value of `last_renewal_at` before the newest answer; it applies if the worker did not
+    /// receive that answer.
+    previous_renewal_at: Instant,
+    /// Term of the newest answer.
     answered_term: Term,
-    /// Until when an earlier leader may answer: the worker has not shown that it knows our term.
+    /// Time until which an earlier leader may answer heartbeats; `None` once the worker has
+    /// reported our term.
     earlier_leader_until: Option<Instant>,
-    /// A heartbeat below the newest answer's term has come since, and nothing tells whether it was
-    /// written after that answer: it may have renewed the lease, or not.
-    is_answer_doubtful: bool,
-    /// It has expired, and the worker has sent no fresh heartbeat since.
-    expired: bool,
+    /// Whether it is unknown if the worker received the newest answer: a heartbeat with a lower
+    /// term has arrived, and nothing tells whether it was written after that answer.
+    is_renewal_uncertain: bool,
+    /// Whether the lease has expired and no fresh heartbeat has arrived since.
+    is_expired: bool,
 }
 
 impl WorkerLease {
-    /// A lease that may have been renewed at `now`, but not later.
+    /// Creates a lease that was last renewed at `now` or earlier.
     pub(super) fn new(now: Instant) -> Self {
         Self {
-            answered_at: now,
-            answered_before: now,
+            last_renewal_at: now,
+            previous_renewal_at: now,
             answered_term: Term::default(),
             earlier_leader_until: None,
-            is_answer_doubtful: false,
-            expired: false,
+            is_renewal_uncertain: false,
+            is_expired: false,
         }
     }
 
-    /// An earlier leader may have answered heartbeats until this moment (S6).
+    /// Sets the time until which an earlier leader may have answered heartbeats (S6).
     pub(crate) fn allow_renewal_by_earlier_leader_until(&mut self, at: Instant) {
         self.earlier_leader_until = Some(at);
     }
 
-    /// The first heartbeat, or the first after an expiry, is going to be answered, perhaps not
-    /// at once. Counted from an answer long ago, the lease would be over before that.
+    /// Treats the lease as renewed at `now`, because the first heartbeat, or the first one after an
+    /// expiry, is about to be answered. The answer may be delayed, and the lease would be over
+    /// before it is sent if its end were computed from a much earlier answer.
     pub(super) fn assume_renewed_at(&mut self, now: Instant) {
-        self.answered_at = self.answered_at.max(now);
+        self.last_renewal_at = self.last_renewal_at.max(now);
     }
 
-    /// A heartbeat is answered with 200 under this term.
+    /// Records that a heartbeat is answered with status 200 under `term`.
     pub(crate) fn record_answer(&mut self, term: Term, now: Instant) {
-        self.answered_before = self.answered_at;
-        self.answered_at = now;
+        self.previous_renewal_at = self.last_renewal_at;
+        self.last_renewal_at = now;
         self.answered_term = term;
     }
 
-    /// The worker's next own heartbeat has come, with the term given, and was surely written after
-    /// it took the newest answer or gave it up. So a lower term than that answer's shows that it was
-    /// not taken, and renewed no lease: otherwise a machine that no answer reaches would hold up a
-    /// failover for as long as its heartbeats come.
+    /// Records a heartbeat that was certainly written after the worker had received the newest
+    /// answer, or had stopped waiting for it.
+    ///
+    /// If the heartbeat reports a lower term than that answer carried, the answer was not received
+    /// and renewed no lease. Otherwise a machine that receives no answers would delay a failover
+    /// for as long as its heartbeats arrive.
     pub(super) fn record_ordered_heartbeat(&mut self, term: Term) {
         if term < self.answered_term {
-            self.is_answer_doubtful = false;
-            self.answered_at = self.answered_before;
+            self.is_renewal_uncertain = false;
+            self.last_renewal_at = self.previous_renewal_at;
         } else {
             self.confirm_answer();
         }
     }
 
-    /// A heartbeat has come of which nothing tells whether it was written after the newest answer:
-    /// one that was held back may be of a process before the one that took it.
+    /// Records a heartbeat that may have been written before the newest answer was received. For
+    /// example, a delayed heartbeat may come from an earlier process than the one that received the
+    /// answer.
     pub(super) fn record_unordered_heartbeat(&mut self, term: Term) {
         if term < self.answered_term {
-            self.is_answer_doubtful = true;
+            self.is_renewal_uncertain = true;
         } else {
             self.confirm_answer();
         }
     }
 
-    /// The worker knows our term: it drops whatever an earlier leader still answers.
+    /// Records that the worker knows the term of the newest answer, so that it ignores answers of
+    /// earlier leaders.
     fn confirm_answer(&mut self) {
-        self.is_answer_doubtful = false;
+        self.is_renewal_uncertain = false;
         if self.answered_term != Term::default() {
             self.earlier_leader_until = None;
         }
     }
 
-    /// Whether another answer would only lengthen a lease that may never have been renewed. An
-    /// earlier leader may have renewed it until a while ago: until then another answer costs
-    /// nothing.
+    /// Returns whether the next heartbeat should stay unanswered: another answer would only extend
+    /// the controller's bound for a lease that the worker may never have renewed.
+    ///
+    /// While an earlier leader may still renew the lease, an answer does not extend that bound.
     pub(crate) fn should_withhold_answer(&self, now: Instant) -> bool {
-        self.is_answer_doubtful && self.earlier_leader_until.is_none_or(|until| now > until)
+        self.is_renewal_uncertain && self.earlier_leader_until.is_none_or(|until| now > until)
     }
 
-    /// Whether no controller can have renewed it for longer than it lasts (S5).
+    /// Returns whether no controller can have renewed the lease within the last `expiry_after`
+    /// (S5). Returns false for a lease that is marked as expired already.
     pub(super) fn is_expiry_due(&self, now: Instant, expiry_after: Duration) -> bool {
         let until = self.earlier_leader_until;
-        let renewed_at = until.map_or(self.answered_at, |until| until.max(self.answered_at));
-        !self.expired && now.saturating_duration_since(renewed_at) > expiry_after
+        let renewed_at =
+            until.map_or(self.last_renewal_at, |until| until.max(self.last_renewal_at));
+        !self.is_expired && now.saturating_duration_since(renewed_at) > expiry_after
     }
 
-    /// The lease has expired: the worker has stopped its tasks.
+    /// Marks the lease as expired: the worker has stopped its tasks.
     pub(super) fn expire(&mut self) {
-        self.expired = true;
-        self.is_answer_doubtful = false;
+        self.is_expired = true;
+        self.is_renewal_uncertain = false;
         self.earlier_leader_until = None;
     }
 
-    /// If the lease had expired, a fresh heartbeat begins a new one.
+    /// Starts a new lease on a fresh heartbeat if the previous lease has expired.
     pub(crate) fn restart_if_expired(&mut self, now: Instant) {
-        if self.expired {
-            self.expired = false;
+        if self.is_expired {
+            self.is_expired = false;
             self.assume_renewed_at(now);
         }
     }
 
-    /// Whether it has expired and the worker has sent no fresh heartbeat since.
+    /// Returns whether the lease has expired and no fresh heartbeat has arrived since.
     pub(super) fn is_expired(&self) -> bool {
-        self.expired
+        self.is_expired
     }
 }
--- a/crates/core/src/machine/message_history.rs
+++ b/crates/core/src/machine/message_history.rs
@@ -1,18 +1,18 @@
-//! The order of a worker's messages, and which of them are outdated (S10).
+//! Order of a worker's messages, and detection of outdated messages (S10).
 
 use corkfield_wire::worker::WorkerHeartbeat;
 use corkfield_wire::{AgentEpoch, Term};
 
-/// So many heartbeats with low numbers, each above the one before, and no others, are a reason
-/// to ask the worker whether it has restarted its numbering.
-const OUTDATED_HEARTBEATS: u32 = 2;
+/// Number of outdated heartbeats with increasing numbers, and no accepted message between them,
+/// after which the worker is asked whether it has restarted its numbering.
+const RESTART_SUSPECTED_AFTER: u32 = 2;
 
-/// The number of a worker's message: later messages of a worker compare greater.
+/// Number of a worker's message. Later messages of a worker compare greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageNumber {
-    /// The agent epoch in which it was sent.
+    /// Agent epoch in which the message was sent.
     pub agent_epoch: AgentEpoch,
-    /// Its number in that epoch.
+    /// Number of the message in that epoch.
     pub sequence: u64,
 }
 
@@ -22,35 +22,35 @@
     }
 }
 
-/// What a worker's messages have shown so far.
+/// Numbers and terms of the messages that a worker has sent.
 #[derive(Debug, Default)]
 pub(crate) struct MessageHistory {
-    /// The newest message that was accepted.
+    /// Number of the newest accepted message.
     newest: MessageNumber,
-    /// Agent epochs up to this one are known to have ended.
-    ended_agent_epochs: AgentEpoch,
-    /// The highest term that the messages have shown.
+    /// Newest agent epoch that is known to have ended; all earlier epochs have ended too.
+    newest_ended_epoch: AgentEpoch,
+    /// Highest term that an accepted message has reported.
     highest_term: Term,
-    /// The newest heartbeat of those that were outdated since the last accepted message.
+    /// Highest number of an outdated heartbeat since the last accepted message.
     newest_outdated: MessageNumber,
-    /// How many outdated heartbeats came in order since the last accepted message.
+    /// Number of outdated heartbeats that arrived in order since the last accepted message.
     outdated_count: u32,
 }
 
 impl MessageHistory {
-    /// The newest message that was accepted; zeros if there was none.
+    /// Returns the number of the newest accepted message; zeros if none was accepted yet.
     pub(crate) fn newest(&self) -> MessageNumber {
         self.newest
     }
 
-    /// Whether a message is older than what is known, or of an agent epoch that has ended: older
-    /// ones never count (S10), nor do those of agent epochs that are known to have ended (S5).
+    /// Returns whether a message must be ignored: it is not newer than the newest accepted message
+    /// (S10), or its agent epoch is known to have ended (S5).
     pub(crate) fn is_outdated(&self, number: MessageNumber) -> bool {
-        number.agent_epoch <= self.ended_agent_epochs || number <= self.newest
+        number.agent_epoch <= self.newest_ended_epoch || number <= self.newest
     }
 
-    /// An outdated heartbeat came. If they go on coming, and only they, the worker may have
-    /// restarted its numbering.
+    /// Records an outdated heartbeat. If several arrive in order and no message is accepted between
+    /// them, the worker may have restarted its numbering.
     pub(crate) fn record_outdated_heartbeat(&mut self, number: MessageNumber) {
         if number > self.newest_outdated {
             self.newest_outdated = number;
@@ -58,23 +58,23 @@
         }
     }
 
-    /// Whether the worker has to be asked if it has restarted its numbering.
+    /// Returns whether the worker may have restarted its numbering and has to be asked.
     pub(crate) fn may_have_restarted_numbering(&self) -> bool {
-        self.outdated_count >= OUTDATED_HEARTBEATS
+        self.outdated_count >= RESTART_SUSPECTED_AFTER
     }
 
-    /// Whether a message shows a lower term than an earlier one. The highest term that a worker
-    /// has seen never falls, unless the worker has lost its state.
+    /// Returns whether an earlier message has reported a term above `term`. The highest term that a
+    /// worker knows never falls unless the worker has lost its state.
     pub(crate) fn has_reported_higher_term(&self, term: Term) -> bool {
         term < self.highest_term
     }
 
-    /// Whether a message has shown that term.
+    /// Returns whether `term` is the highest term that a message has reported.
     pub(crate) fn has_reported_term(&self, term: Term) -> bool {
         self.highest_term == term
     }
 
-    /// Takes a message that is not outdated.
+    /// Records a message that is not outdated.
     pub(super) fn accept(&mut self, number: MessageNumber, term: Term) {
         self.newest = number;
         self.highest_term = term;
@@ -82,8 +82,8 @@
         self.outdated_count = 0;
     }
 
-    /// The worker's lease has expired, and its agent epoch with it.
+    /// Ends the agent epoch of the newest message, because the worker's lease has expired.
     pub(super) fn end_agent_epoch(&mut self) {
-        self.ended_agent_epochs = self.newest.agent_epoch;
+        self.newest_ended_epoch = self.newest.agent_epoch;
     }
 }
--- a/crates/core/src/machine/message_ordering.rs
+++ b/crates/core/src/machine/message_ordering.rs
@@ -1,47 +1,51 @@
-//! What proves that a worker's message was written after another, or after an answer (S5a).
+//! Proofs that a worker wrote a message after another message, or after it received an answer
+//! (S5a).
 
 use super::{MessageNumber, MessageOrigin, TermExposure};
 use corkfield_wire::worker::ConnectionId;
 use corkfield_wire::Term;
 use std::time::{Duration, Instant};
 
-/// A worker drops an answer 4 s after it sent the heartbeat; the rest is for its clock and for the
+/// Time after which a worker no longer accepts an answer. A worker drops answers that arrive more
+/// than 4 s after it sent the heartbeat; the rest allows for the error of its clock and for the
 /// time that an answer waits to be read.
 pub(crate) const ANSWER_LIFETIME: Duration = Duration::from_millis(4500);
 
-/// The newest of a worker's own heartbeats, and the connection that it came over.
+/// A heartbeat that was accepted, with the connection over which it arrived.
 #[derive(Debug, Clone, Copy)]
 struct ReceivedHeartbeat {
     connection: ConnectionId,
     number: MessageNumber,
 }
 
-/// What is known of a worker's processes and exchanges.
+/// State that is kept per machine to order the messages of its worker.
 #[derive(Debug, Default)]
 pub(crate) struct OrderingTracker {
-    /// The newest heartbeat that was taken, if its connection is known.
+    /// Newest accepted heartbeat, if its connection is known.
     newest_heartbeat: Option<ReceivedHeartbeat>,
-    /// Which of the worker's processes may know our term.
+    /// How many processes of the worker may know our term.
     pub(crate) term_exposure: TermExposure,
 }
 
-/// What proves when a message was written.
+/// What is proved about the time at which a message was written.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MessageOrdering {
-    /// It was written after the exchange of that heartbeat was over: it came over the same
-    /// connection. So it is of the process that sent that heartbeat, or of a later one.
+    /// Number of the previous heartbeat on the same connection. The worker wrote the message after
+    /// it had received the answer to that heartbeat, or had stopped waiting for it. So the message
+    /// comes from the process that sent that heartbeat, or from a later one.
     previous_on_connection: Option<MessageNumber>,
-    /// It was written after that moment, in which a direct question was sent.
+    /// When the direct request that the message answers was sent: the message was written later.
     request_sent_at: Option<Instant>,
-    /// It is of the only process that can know our term, or of a later one: numbers tell which of
-    /// two messages is the newer one.
+    /// Whether the numbers of two messages tell which one was written later. This holds if the
+    /// message comes from the only process that can know our term, or from a later one.
     is_ordered_by_number: bool,
-    /// It is one of the worker's own heartbeats.
+    /// Whether the message is a heartbeat that the worker sent by itself.
     is_own_heartbeat: bool,
 }
 
 impl OrderingTracker {
-    /// What proves when a message was written that shows that term and came that way.
+    /// Returns what is proved about the time at which a message was written. The message arrived
+    /// as `origin` says and reports `reported_term`.
     pub(crate) fn order_message(
         &self,
         origin: MessageOrigin,
@@ -63,7 +67,7 @@
         }
     }
 
-    /// A message that is not outdated was taken.
+    /// Records that a message was accepted.
     pub(super) fn record_accepted(&mut self, origin: MessageOrigin, number: MessageNumber) {
         if let MessageOrigin::Heartbeat { connection } = origin {
             self.newest_heartbeat =
@@ -73,29 +77,30 @@
 }
 
 impl MessageOrdering {
-    /// Whether the message was surely written after the worker took the answer to that heartbeat,
-    /// which left at `answer_sent_at`, or gave it up, and by the same process or a later one.
+    /// Returns whether the message was certainly written by the same process or a later one, after
+    /// the worker had received the answer to the heartbeat `answered` or had stopped waiting for
+    /// it. The answer was sent at `answer_sent_at`.
     ///
-    /// A worker has one heartbeat under way at a time, so its own next one comes after that. A
-    /// direct answer may be written while the answer to a heartbeat is on its way, and proves it
-    /// only once that one is no longer taken.
+    /// A worker has at most one heartbeat in flight, so its next heartbeat always follows the
+    /// answer. It may write a direct answer while the answer to a heartbeat is still in flight. So
+    /// a direct answer is proof only if the worker would already drop the answer to the heartbeat.
     pub(crate) fn is_after_answer_to(
         &self,
         answered: MessageNumber,
         answer_sent_at: Instant,
     ) -> bool {
-        let asked_late =
+        let is_sent_late_enough =
             |request_sent_at: Instant| request_sent_at >= answer_sent_at + ANSWER_LIFETIME;
         if self.is_own_heartbeat {
             self.is_ordered_by_number
                 || self.previous_on_connection.is_some_and(|previous| previous >= answered)
         } else {
-            self.request_sent_at.is_some_and(asked_late)
+            self.request_sent_at.is_some_and(is_sent_late_enough)
         }
     }
 
-    /// Whether the message was surely written after that one, which came at `received_at`, and by the
-    /// same process or a later one.
+    /// Returns whether the message was certainly written by the same process or a later one, after
+    /// the message `newest`, which arrived at `received_at`.
     pub(crate) fn is_after_message(
         &self,
         newest: MessageNumber,
@@ -108,7 +113,8 @@
             })
     }
 
-    /// Whether the message was surely written after the exchange of the newest heartbeat was over.
+    /// Returns whether the message was certainly written after the worker had received the answer
+    /// to its newest known heartbeat, or had stopped waiting for it.
     pub(crate) fn is_after_newest_answer(&self) -> bool {
         self.is_ordered_by_number || self.previous_on_connection.is_some()
     }
--- a/crates/core/src/machine/message_processing.rs
+++ b/crates/core/src/machine/message_processing.rs
@@ -1,4 +1,5 @@
-//! What a worker's message shows of its machine, against what was known.
+//! Checks of a worker's message against what earlier messages reported, and its effect on the
+//! machine.
 
 use super::{
     Machine, MachineState, MachineTask, MessageNumber, MessageOrdering, MessageOrigin, TaskAttempt,
@@ -8,11 +9,15 @@
 use std::time::{Duration, Instant};
 
 impl Machine {
-    /// Whether one of the tasks that a message lacks was shown by an earlier one of its agent
-    /// epoch, not exited. A task stays in the heartbeats until its worker was ordered to forget
-    /// it, which is done only once it has exited. So the message is of another process than the
-    /// earlier one: the worker was back within an instant and counts anew, or the message is of the
-    /// process before that, and was held back. It says nothing of what the machine holds.
+    /// Returns whether a message with the given agent epoch comes from another process than the
+    /// newest accepted message, although both have the same epoch. `absent` are the known tasks
+    /// that the message does not report.
+    ///
+    /// A worker reports a task until it is ordered to forget it, which happens only after the task
+    /// has exited. So a message of the same process can't lack a task that the newest message of
+    /// its epoch reported as not exited. Either the worker restarted at once and restarted its
+    /// numbering, or the message was delayed and comes from the process before. In both cases it
+    /// proves nothing about the tasks on the machine.
     pub(crate) fn is_from_other_process(
         &self,
         absent: &[TaskAttempt],
@@ -22,13 +27,15 @@
             && self.has_reported_live_task_of(absent)
     }
 
-    /// Whether one of these tasks was shown by the newest message, not exited.
+    /// Returns whether the newest message reported any of these tasks as not exited.
     fn has_reported_live_task_of(&self, tasks: &[TaskAttempt]) -> bool {
         tasks.iter().any(|key| self.tasks.get(key).is_some_and(MachineTask::was_reported_live))
     }
 
-    /// Whether a message lacks tasks that an earlier agent epoch showed, and nothing proves that it
-    /// was written after those messages: it may be of a process before the one that runs them.
+    /// Returns whether a message may have been written before the newest accepted message. It lacks
+    /// the tasks `absent`, some of which the newest message reported as not exited, and nothing
+    /// proves that it was written later. It may come from a process before the one that runs these
+    /// tasks.
     pub(crate) fn may_predate_newest_message(
         &self,
         absent: &[TaskAttempt],
@@ -38,8 +45,8 @@
             && !ordering.is_after_message(self.message_history.newest(), self.last_message_at)
     }
 
-    /// Whether a message shows an attempt that an earlier one has shown: an attempt is started
-    /// once, so the message is of the same process.
+    /// Returns whether a message comes from the same process as an earlier one: it reports an
+    /// attempt that an earlier message reported, and an attempt is started only once.
     pub(crate) fn is_from_known_process(&self, heartbeat: &WorkerHeartbeat) -> bool {
         heartbeat.tasks.iter().any(|status| {
             let key = TaskAttempt { task: status.task.clone(), attempt: status.attempt };
@@ -47,8 +54,8 @@
         })
     }
 
-    /// Takes what a message that is not outdated says of the machine itself, given what proves when
-    /// it was written. Returns the time since the message before.
+    /// Updates the machine from a message that is not outdated; the tasks in it are processed
+    /// separately. Returns the time since the previous message.
     pub(crate) fn apply_message(
         &mut self,
         heartbeat: &WorkerHeartbeat,
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,4 +1,7 @@
-//! A machine and everything that may be on it.
+//! State of one machine: its worker, the tasks on it, and how far this leader can trust both.
+//!
+//! All knowledge about a machine comes from the messages of its worker, from the cloud's list of
+//! machines, and from the record that an earlier leader stored.
 
 mod health;
 mod image_cache;
@@ -41,66 +44,67 @@
 use tasks::TaskDemand;
 use term_exposure::TermExposure;
 
-/// Whether a job may run on machines of that type, in that zone and of that kind.
+/// Returns whether a job may run on machines with the given type and zone that are spot machines
+/// or not, as given by `spot`.
 pub(crate) fn may_run_on(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.types.as_ref().is_none_or(|names| names.iter().any(|name| name == type_name))
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
-/// A machine, and what this leader knows of it.
+/// A machine, with everything that this leader knows about it.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name in the cloud.
+    /// Name of the machine in the cloud.
     pub name: MachineName,
-    /// Where its worker takes direct orders.
+    /// Address at which the worker accepts direct orders; empty if it is not known yet.
     pub addr: String,
-    /// Name of its type.
+    /// Name of the machine type.
     pub type_name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether this is a spot machine.
     pub spot: bool,
-    /// Its type, if the cloud's types are known and it is among them.
+    /// The machine type; `None` if the cloud's types are not known or don't contain it.
     pub(crate) machine_type: Option<MachineType>,
-    /// What it is used for.
+    /// Current phase of the machine's life.
     state: MachineState,
-    /// Whether the key-value store knows that it may hold tasks.
+    /// Whether the key-value store has a record that the machine may hold tasks.
     pub record_state: RecordState,
-    /// No order of an earlier leader can act on it any more (S7).
+    /// Whether the worker no longer accepts orders of earlier leaders (S7).
     pub fenced: bool,
-    /// The order of its worker's messages.
+    /// Numbers and terms of the messages that the worker has sent so far.
     pub(crate) message_history: MessageHistory,
-    /// What is known of its worker's processes and exchanges.
+    /// What is needed to order the worker's messages across restarts of the worker's process.
     pub(crate) ordering_tracker: OrderingTracker,
-    /// Since when it has to be asked what it holds, as its heartbeats don't prove it.
+    /// Set while the heartbeats don't prove which tasks are on the machine.
     pub(crate) task_uncertainty: Option<TaskUncertainty>,
-    /// Its worker's lease.
+    /// The worker's lease.
     pub(crate) lease: WorkerLease,
-    /// Since when it is known to exist.
+    /// Time since which the machine is known to exist.
     pub(crate) known_since: Instant,
-    /// When it was rented, as far as is known.
+    /// When the machine was rented; the time of its discovery if the cloud has not listed it.
     pub(crate) rented_at: Instant,
-    /// When its worker's newest message came.
+    /// When the worker's newest message arrived.
     pub(crate) last_message_at: Option<Instant>,
-    /// Whether orders reach its worker.
+    /// Whether orders reach the worker.
     reachability: Reachability,
-    /// Direct orders in a row that were not answered.
+    /// Number of consecutive direct requests that the worker did not answer.
     unanswered_requests: u32,
-    /// The cloud has announced that it takes this spot machine back.
+    /// Whether the cloud has announced that it will reclaim this spot machine.
     pub(crate) has_interruption_notice: bool,
-    /// Since when nothing is on it, as scale-in found it.
+    /// Time since which scale-in has seen no task on the machine.
     pub(crate) idle_since: Option<Instant>,
-    /// The tasks that are, or may be, on it.
+    /// Tasks that are, or may be, on the machine.
     pub tasks: MachineTasks,
-    /// Images that it probably has.
+    /// Images that the machine has probably cached.
     pub(crate) image_cache: ImageCache,
-    /// What its tasks tell about it.
+    /// Failures, refused starts and slowness observed on the machine.
     pub(crate) health: MachineHealth,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but that it exists.
+    /// Creates a booting machine from its description; its worker has sent nothing yet.
     pub(crate) fn new(
         name: MachineName,
         type_name: String,
@@ -137,7 +141,7 @@
         }
     }
 
-    /// A machine that an earlier leader recorded, `age` ago at the least (S7).
+    /// Creates a machine from the record of an earlier leader, stored at least `age` ago (S7).
     pub(crate) fn from_record(
         name: &str,
         record: &MachineRecord,
@@ -149,24 +153,25 @@
         let mut machine = Self::new(MachineName::from(name), machine_type, zone, spot, types, now);
         machine.addr = addr;
         machine.record_state = RecordState::Stored;
-        // It existed then, so the first lists may tell already that it is gone.
+        // The machine existed when the record was stored. So a list of the cloud requested shortly
+        // after the failover already proves that the machine is gone if it is missing there.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         machine.enter(MachineState::Up);
         machine
     }
 
-    /// A machine that was not known before its worker sent a heartbeat.
+    /// Creates a machine that became known by a heartbeat of its worker.
     pub(crate) fn from_heartbeat(
         heartbeat: &WorkerHeartbeat,
         types: &[MachineType],
         now: Instant,
     ) -> Self {
         let WorkerHeartbeat { machine, machine_type, zone, spot, .. } = heartbeat;
-        tracing::debug!(machine = machine.as_str(), machine_type, "new machine");
+        tracing::debug!(machine = machine.as_str(), machine_type, "machine found by a heartbeat");
         Self::new(machine.clone(), machine_type.clone(), zone.clone(), *spot, types, now)
     }
 
-    /// A machine that was not known before the cloud listed it.
+    /// Creates a machine that became known by the cloud's list of machines.
     pub(crate) fn from_listed(entry: &ListedMachine, types: &[MachineType], now: Instant) -> Self {
         let ListedMachine { name, machine_type, zone, spot, .. } = entry.clone();
         let mut machine = Self::new(name, machine_type, zone, spot, types, now);
@@ -175,27 +180,29 @@
         machine
     }
 
-    /// What it is used for.
+    /// Returns the current phase of the machine's life.
     pub fn state(&self) -> MachineState {
         self.state
     }
 
-    /// The one place where a machine's state changes; it never comes back from deletion.
+    /// Changes the machine's state. All changes go through this method, and a machine never leaves
+    /// `Deleting`.
     pub(crate) fn enter(&mut self, state: MachineState) {
         if self.state == state || self.state == MachineState::Deleting {
             return;
         }
-        tracing::debug!(machine = %self.name, from = ?self.state, to = ?state, "machine state");
+        tracing::debug!(machine = %self.name, from = ?self.state, to = ?state, "machine state changed");
         self.state = state;
     }
 
-    /// Whether orders reach its worker.
+    /// Returns whether orders reach the worker.
     pub fn reachability(&self) -> Reachability {
         self.reachability
     }
 
-    /// The one place where its reachability changes. `delivered` says whether its newest heartbeat
-    /// shows the starts sent before; an answer to a direct order proves that orders reach it.
+    /// Updates the reachability; all changes go through this method. `delivered` is true if the
+    /// newest heartbeat reports the starts sent before it, or if the worker answered a direct
+    /// request.
     pub(crate) fn update_reachability(&mut self, delivered: bool) {
         let next = self.reachability.after_delivery(delivered);
         if (next == Reachability::Unreachable) != (self.reachability == Reachability::Unreachable) {
@@ -203,44 +210,46 @@
                 machine = %self.name,
                 from = ?self.reachability,
                 to = ?next,
-                "machine reachability"
+                "machine reachability changed"
             );
         }
         self.reachability = next;
     }
 
-    /// Its worker's address as the cloud lists it, if it is not known from a message.
+    /// Sets the worker's address from the cloud's list, unless a message has already reported one.
     pub(crate) fn set_addr_if_unknown(&mut self, addr: &str) {
         if self.addr.is_empty() {
             addr.clone_into(&mut self.addr);
         }
     }
 
-    /// Takes its size from the cloud's machine types.
+    /// Looks up the machine's type in the cloud's machine types.
     pub(crate) fn update_machine_type(&mut self, types: &[MachineType]) {
         self.machine_type = find_machine_type(types, &self.type_name);
     }
 
-    /// Its worker did not answer direct orders in time.
+    /// Counts a direct request that the worker did not answer in time.
     pub(crate) fn record_unanswered_request(&mut self) {
         self.unanswered_requests += 1;
     }
 
-    /// How many direct orders in a row its worker did not answer.
+    /// Returns how many consecutive direct requests the worker did not answer.
     pub(crate) fn unanswered_requests(&self) -> u32 {
         self.unanswered_requests
     }
 
-    /// S7: only what was sent after the worker took our term is fresh. A machine without a
-    /// record was never given a task by anybody. Returns whether the machine is fenced now.
+    /// Fences the machine if the heartbeat permits it, and returns whether it is fenced now (S7).
+    ///
+    /// A heartbeat under our term proves that the worker drops orders of earlier leaders. A machine
+    /// without a record and without tasks needs no such proof: no leader ever gave it a task.
     pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: Term) -> bool {
         let unused = self.record_state == RecordState::NotStored && heartbeat.tasks.is_empty();
         self.fenced = self.fenced || unused || heartbeat.term == our_term;
         self.fenced
     }
 
-    /// Ends the worker's lease if it is surely over (S5c: no controller can have answered it for
-    /// longer than its lease). Returns whether it has just expired.
+    /// Expires the worker's lease if no controller can have renewed it within the last
+    /// `expiry_after` (S5c). Returns whether the lease expired in this call.
     pub(crate) fn expire_lease(&mut self, now: Instant, expiry_after: Duration) -> bool {
         if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_after) {
             return false;
@@ -256,12 +265,13 @@
         true
     }
 
-    /// Whether its worker's lease has expired, with no fresh heartbeat since.
+    /// Returns whether the worker's lease has expired and no fresh heartbeat has arrived since.
     pub(crate) fn lease_expired(&self) -> bool {
         self.lease.is_expired()
     }
 
-    /// Begins the write of its record, if it has none: returns the record to store.
+    /// Marks the machine's record as being written and returns the record to store; `None` if the
+    /// record is stored or being written already.
     pub(crate) fn begin_record_write(&mut self) -> Option<MachineRecord> {
         if self.record_state != RecordState::NotStored {
             return None;
@@ -276,12 +286,13 @@
         })
     }
 
-    /// The write of its record was answered: it is `stored`, or the write failed.
+    /// Records the result of the write of the machine's record.
     pub(crate) fn finish_record_write(&mut self, stored: bool) {
         self.record_state = if stored { RecordState::Stored } else { RecordState::NotStored };
     }
 
-    /// Capacity that no task takes; none while something of unknown size is there.
+    /// Returns the resources that no task uses; `None` if the machine type is unknown or a task
+    /// with unknown resources is on the machine.
     pub(crate) fn free_resources(&self) -> Option<Resources> {
         let size = self.machine_type.as_ref()?;
         let totals = self.tasks.totals();
@@ -293,37 +304,38 @@
         Some(free)
     }
 
-    /// Its tasks took much longer than the same jobs' tasks elsewhere.
+    /// Returns whether tasks take much longer here than tasks of the same jobs elsewhere.
     pub(crate) fn is_slow(&self) -> bool {
         self.health.is_slow()
     }
 
-    /// Whether a task failed here since one last completed.
+    /// Returns whether a task has failed here since a task last completed here.
     pub(crate) fn has_failures(&self) -> bool {
         self.health.has_failures()
     }
 
-    /// Takes a task of the job that was chosen for it; no order has left yet.
-    pub(crate) fn assign(&mut self, task: TaskId, attempt: Attempt, job: &Job, now: Instant) {
+    /// Assigns a task of the job to the machine; its start has not been ordered yet.
+    pub(crate) fn assign_task(&mut self, task: TaskId, attempt: Attempt, job: &Job, now: Instant) {
         let spec = job.spec();
         let assigned = MachineTask::assigned(TaskDemand::per_task(spec, job.team), now);
         self.tasks.insert(TaskAttempt { task, attempt }, assigned);
         self.mark_image_used(&spec.image, spec.image_gb);
     }
 
-    /// Marks a task to be stopped, and gives the order for it.
+    /// Marks a task to be stopped and returns the order to stop it; `None` if the task is not on
+    /// the machine.
     pub(crate) fn stop_task(&mut self, key: &TaskAttempt, grace: Duration) -> Option<Order> {
         self.tasks.get_mut(key)?.stop_grace = Some(grace);
         Some(build_stop_order(key, grace))
     }
 
-    /// Whether nothing on it takes room.
+    /// Returns whether no task on the machine uses resources.
     pub(crate) fn is_idle(&self) -> bool {
         self.tasks.totals().tasks == 0
     }
 
-    /// Whether starts may be assigned to it; `silence` is the longest time since its newest
-    /// message.
+    /// Returns whether starts may be assigned to the machine. Its newest message must not be older
+    /// than `max_silence`.
     pub(crate) fn can_accept_starts(&self, now: Instant, max_silence: Duration) -> bool {
         self.state == MachineState::Up
             && self.fenced
@@ -335,18 +347,19 @@
             && self.health.can_accept_starts(now)
     }
 
-    /// Whether a job may run on it.
+    /// Returns whether a job may run on the machine.
     pub(crate) fn may_run(&self, spec: &JobSpec) -> bool {
         may_run_on(spec, &self.type_name, &self.zone, self.spot)
     }
 
-    /// Notes an image as the most recently used.
+    /// Marks an image as the most recently used one in the machine's cache.
     pub(crate) fn mark_image_used(&mut self, image: &str, size_gb: f64) {
         let capacity_gb = self.machine_type.as_ref().map_or(0.0, |size| size.cache_gb);
         self.image_cache.mark_used(image, size_gb, capacity_gb);
     }
 
-    /// Stops that have to be sent to the worker, again with every answer.
+    /// Returns the orders to stop tasks. They are repeated with every answer until they take
+    /// effect.
     pub(crate) fn stop_orders(&self) -> impl Iterator<Item = Order> + '_ {
         self.tasks.iter().filter_map(|(key, machine_task)| {
             let grace = machine_task.stop_grace_to_send()?;
@@ -355,12 +368,12 @@
     }
 }
 
-/// The machine type of that name.
+/// Returns the machine type with the given name.
 fn find_machine_type(types: &[MachineType], name: &str) -> Option<MachineType> {
     types.iter().find(|machine_type| machine_type.name == name).cloned()
 }
 
-/// The order to stop a task, with so much time to save.
+/// Builds the order to stop a task within `grace`, the time that it has to save a checkpoint.
 fn build_stop_order(key: &TaskAttempt, grace: Duration) -> Order {
     let TaskAttempt { task, attempt } = key.clone();
     Order::Stop { task, attempt, grace_s: grace.as_secs_f64() }
--- a/crates/core/src/machine/origin.rs
+++ b/crates/core/src/machine/origin.rs
@@ -1,37 +1,37 @@
-//! How a worker's message came, which says when it was written.
+//! The way in which a worker's message reached the controller, which limits when it was written.
 
 use super::MessageNumber;
 use corkfield_wire::worker::ConnectionId;
 use std::time::Instant;
 
-/// How a worker's message came.
+/// The way in which a worker's message reached the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageOrigin {
-    /// It is one of the worker's own heartbeats.
+    /// A heartbeat that the worker sent by itself.
     Heartbeat {
-        /// The connection that it came over, if that is known. The worker sends its next heartbeat
-        /// over the same one only once it has the answer to the one before.
+        /// Connection over which the heartbeat arrived, if known. The worker sends the next
+        /// heartbeat over the same connection only after it has the answer to the previous one.
         connection: Option<ConnectionId>,
     },
-    /// It answers a direct question or direct orders.
+    /// An answer to a direct request: direct orders or an inspection.
     DirectAnswer {
-        /// When these were sent, if that is newest_known: the answer was written after that.
+        /// When the request was sent, if known. The answer was written later.
         request_sent_at: Option<Instant>,
     },
 }
 
 impl MessageOrigin {
-    /// Whether it is one of the worker's own heartbeats.
+    /// Returns whether the message is a heartbeat that the worker sent by itself.
     pub(crate) fn is_own_heartbeat(self) -> bool {
         matches!(self, Self::Heartbeat { .. })
     }
 }
 
-/// True for one of the worker's own heartbeats, false for an answer to direct orders, with nothing
-/// known of when it was written.
+/// Converts true to a heartbeat over an unknown connection, and false to an answer to a direct
+/// request that was sent at an unknown time.
 impl From<bool> for MessageOrigin {
-    fn from(own_heartbeat: bool) -> Self {
-        if own_heartbeat {
+    fn from(is_own_heartbeat: bool) -> Self {
+        if is_own_heartbeat {
             Self::Heartbeat { connection: None }
         } else {
             Self::DirectAnswer { request_sent_at: None }
@@ -39,19 +39,19 @@
     }
 }
 
-/// Direct orders, or a question, on their way to a worker.
+/// A direct request to a worker, either direct orders or an inspection, that awaits its answer.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingDirectRequest {
-    /// The newest message known of the worker when they were sent.
+    /// Number of the worker's newest known message when the request was sent.
     pub(crate) newest_known: MessageNumber,
-    /// When they were sent, if that is known.
+    /// When the request was sent, if known.
     pub(crate) sent_at: Option<Instant>,
-    /// Whether another process than the known one may learn our term from them: orders carry it, a
-    /// question does not.
+    /// Whether the request may tell our term to another process than the known one: direct orders
+    /// carry the term, an inspection does not.
     pub(crate) may_expose_term: bool,
 }
 
-/// Direct orders of which only the newest message known before is known.
+/// Creates a request with direct orders that was sent at an unknown time.
 impl From<MessageNumber> for PendingDirectRequest {
     fn from(newest_known: MessageNumber) -> Self {
         Self { newest_known, sent_at: None, may_expose_term: true }
--- a/crates/core/src/machine/reachability.rs
+++ b/crates/core/src/machine/reachability.rs
@@ -1,28 +1,30 @@
-//! Whether orders reach a worker whose heartbeats come.
+//! Whether orders reach a worker that sends heartbeats.
 
-/// So many heartbeats in a row without the starts that were sent before them.
+/// Number of consecutive heartbeats without the starts sent before them, after which a worker
+/// counts as unreachable.
 const UNREACHABLE_AFTER: u32 = 2;
 
-/// Whether what is ordered reaches the worker.
+/// Whether orders reach the worker.
 ///
-/// | from                      | event                                        | to            |
-/// |---------------------------|----------------------------------------------|---------------|
-/// | any                       | a start was taken, or direct orders answered | `Reachable`   |
-/// | `Reachable`               | a heartbeat without the starts sent before   | `Doubtful(1)` |
-/// | `Doubtful`                | the same again, two in a row in all          | `Unreachable` |
-/// | `Unreachable`             | the same again                               | `Unreachable` |
+/// | from          | event                                                     | to            |
+/// |---------------|-----------------------------------------------------------|---------------|
+/// | any           | a start was accepted, or a direct request was answered    | `Reachable`   |
+/// | `Reachable`   | a heartbeat lacks the starts sent before it               | `Doubtful(1)` |
+/// | `Doubtful`    | another one does, two consecutive heartbeats in all       | `Unreachable` |
+/// | `Unreachable` | another one does                                          | `Unreachable` |
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// Orders reach it, as far as is known.
+    /// No order is known to have been lost.
     Reachable,
-    /// Starts were not taken, this many heartbeats in a row.
+    /// This many consecutive heartbeats lacked the starts sent before them.
     Doubtful(u32),
-    /// Its heartbeats come, but no orders reach it: no supply until it answers.
+    /// The worker sends heartbeats, but no orders reach it. The machine does not count as supply
+    /// until the worker answers a request.
     Unreachable,
 }
 
 impl Reachability {
-    /// The state after orders did, or did not, reach the worker.
+    /// Returns the state after orders were delivered to the worker, or were lost.
     #[must_use]
     pub(super) fn after_delivery(self, delivered: bool) -> Self {
         match (delivered, self) {
--- a/crates/core/src/machine/resources.rs
+++ b/crates/core/src/machine/resources.rs
@@ -4,24 +4,24 @@
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::JobSpec;
 
-/// An amount of resources: what a task needs, or what a machine has free.
+/// An amount of resources, for example the need of a task or the free capacity of a machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
-    /// Memory, in GB.
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// What one task of a job needs.
+    /// Returns the resources that one task of a job needs.
     pub fn per_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// All that a machine of that type has.
+    /// Returns the total resources of a machine of the given type.
     pub(super) fn capacity_of(machine_type: &MachineType) -> Self {
         Self { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
@@ -33,14 +33,14 @@
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes another amount off this one; the result may be negative.
+    /// Subtracts another amount from this one; the result may be negative.
     pub(crate) fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// What that many tasks need.
+    /// Returns this amount multiplied by `count`.
     pub(crate) fn multiplied_by(&self, count: u32) -> Resources {
         let count = f64::from(count);
         Resources {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The smaller amount of each resource.
+    /// Returns the smaller amount of each resource.
     pub(crate) fn minimum(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether `need` fits into this amount, with a tolerance for sums of decimal numbers.
+    /// Returns whether `need` fits into this amount, with a tolerance for rounding errors of sums.
     pub(crate) fn can_fit(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + EPSILON
             && need.gpus <= self.gpus + EPSILON
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -1,36 +1,36 @@
-//! What a machine is used for, and whether the key-value store has a record of it.
+//! Phases of a machine's life, and the state of its record in the key-value store.
 
-/// What a machine is used for.
+/// Phase of a machine's life.
 ///
 /// | from                  | event                                                   | to         |
 /// |-----------------------|---------------------------------------------------------|------------|
 /// | (new)                 | rented, listed, or first seen in a heartbeat            | `Booting`  |
 /// | `Booting`             | first heartbeat, or recorded by an earlier leader       | `Up`       |
 /// | `Booting`, `Up`       | not needed, faulty, or late to boot                     | `Draining` |
-/// | `Draining`            | nothing is on it any more                               | `Deleting` |
-/// | any                   | its worker lost its state, or is silent at a failover   | `Deleting` |
+/// | `Draining`            | no task is left on the machine                          | `Deleting` |
+/// | any                   | worker lost its state, or is silent after a failover    | `Deleting` |
 ///
-/// `Deleting` is final: the machine is forgotten once its deletion was answered or a list of the
-/// cloud shows that it is gone. Every change goes through `Machine::enter`.
+/// `Deleting` is final: the machine is removed once the cloud answered its deletion or no longer
+/// lists it. Every change goes through `Machine::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented; its worker has sent no heartbeat yet.
+    /// The machine is rented; its worker has sent no heartbeat yet.
     Booting,
-    /// Takes tasks.
+    /// The machine accepts tasks.
     Up,
-    /// Takes no new tasks; those that run may go on or are being stopped.
+    /// The machine accepts no new tasks. Running tasks may continue or are being stopped.
     Draining,
-    /// Its deletion was requested.
+    /// The deletion of the machine was requested.
     Deleting,
 }
 
-/// Whether the key-value store knows that the machine may hold tasks (S7).
+/// State of the record in the key-value store which says that the machine may hold tasks (S7).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordState {
-    /// It was never recorded.
+    /// The record is not stored and is not being written.
     NotStored,
-    /// The write is under way.
+    /// The record is being written.
     Writing,
-    /// It is stored.
+    /// The record is stored.
     Stored,
 }
--- a/crates/core/src/machine/task_uncertainty.rs
+++ b/crates/core/src/machine/task_uncertainty.rs
@@ -1,45 +1,47 @@
-//! Machines whose heartbeats don't prove what they hold, and have to be asked.
+//! Machines that must be inspected, because their heartbeats don't prove which tasks they hold.
 
 use super::message_ordering::ANSWER_LIFETIME;
 use std::time::{Duration, Instant};
 
-/// A doubt about what a machine holds: a heartbeat lacks a start that was sent, or tasks that were
-/// shown, and nothing proves that it was written after that.
+/// Uncertainty about the tasks on a machine: a heartbeat lacks a start that was sent, or a task
+/// that an earlier message reported, and nothing proves that the heartbeat was written later.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskUncertainty {
-    /// Since when there is one.
+    /// When the uncertainty began.
     since: Instant,
-    /// From when on an answer to a question settles it.
+    /// Earliest time at which an inspection can end the uncertainty.
     inspect_from: Instant,
-    /// Whether that moment has come.
+    /// Whether `inspect_from` has been reached.
     pub(crate) is_inspection_due: bool,
 }
 
 impl TaskUncertainty {
-    /// A doubt about starts, the newest of which left at `start_sent_at`: the answer to a question settles
-    /// it once the worker no longer takes the answer that carried the start.
+    /// Creates an uncertainty about unconfirmed starts, the newest of which was sent at
+    /// `start_sent_at`. An inspection ends it only once the worker would drop the answer that
+    /// carried this start.
     pub(crate) fn from_unconfirmed_starts(start_sent_at: Instant, now: Instant) -> Self {
         let inspect_from = start_sent_at + ANSWER_LIFETIME;
         Self { since: now, inspect_from, is_inspection_due: now >= inspect_from }
     }
 
-    /// A doubt about tasks that were shown: the answer to a question settles it at once.
+    /// Creates an uncertainty about tasks that an earlier message reported and a later one lacks.
+    /// An inspection ends it at any time.
     pub(crate) fn from_missing_tasks(now: Instant) -> Self {
         Self { since: now, inspect_from: now, is_inspection_due: true }
     }
 
-    /// Time has passed.
+    /// Updates whether an inspection is due at `now`.
     pub(crate) fn update_due(&mut self, now: Instant) {
         self.is_inspection_due = self.is_inspection_due || now >= self.inspect_from;
     }
 
-    /// Whether it has lasted for longer than that.
+    /// Returns whether the uncertainty has lasted longer than `age` at `now`.
     pub(crate) fn is_older_than(&self, age: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.since) > age
     }
 
-    /// The same doubt, known since when the one before began.
-    pub(crate) fn keeping_start_of(self, before: Option<Self>) -> Self {
-        Self { since: before.map_or(self.since, |before| before.since), ..self }
+    /// Returns this uncertainty with the beginning of the previous one, if there was one.
+    pub(crate) fn keeping_start_of(self, previous: Option<Self>) -> Self {
+        Self { since: previous.map_or(self.since, |previous| previous.since), ..self }
     }
 }
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks on a machine, and what they come to.
+//! The tasks on a machine, and the sums over them.
 
 use super::{MessageNumber, Resources};
 use crate::team::Usage;
@@ -9,47 +9,48 @@
 use std::ops::{Deref, DerefMut};
 use std::time::{Duration, Instant};
 
-/// What a task on a machine is doing.
+/// State of a task on a machine.
 ///
 /// | from                     | event                                             | to          |
 /// |--------------------------|---------------------------------------------------|-------------|
-/// | (new)                    | chosen in a placement pass                        | `Assigned`  |
-/// | `Assigned`               | its start leaves with the answer to a heartbeat   | `Ordered`   |
-/// | (new), any but `Assigned`| a heartbeat shows that its image is being fetched | `Fetching`  |
-/// | (new), any but `Assigned`| a heartbeat shows that it runs                    | `Running`   |
-/// | (new), any but `Assigned`| a heartbeat shows that it saves                   | `Saving`    |
-/// | (new), any but `Assigned`| a heartbeat shows that it exited as done          | `Done`      |
-/// | (new), any but `Assigned`| a heartbeat shows that it exited otherwise        | `Exited`    |
+/// | (new)                    | a placement pass chooses the machine              | `Assigned`  |
+/// | `Assigned`               | the answer to a heartbeat carries the start       | `Ordered`   |
+/// | (new), any but `Assigned`| a heartbeat reports that the image is fetched     | `Fetching`  |
+/// | (new), any but `Assigned`| a heartbeat reports that the task runs            | `Running`   |
+/// | (new), any but `Assigned`| a heartbeat reports that the task saves           | `Saving`    |
+/// | (new), any but `Assigned`| a heartbeat reports that the task exited as done  | `Done`      |
+/// | (new), any but `Assigned`| a heartbeat reports that the task exited otherwise| `Exited`    |
 ///
-/// A task is removed once it is surely not on the machine (S5): a later heartbeat lacks it, the
-/// machine is gone, or the worker's lease has expired. An `Assigned` one is removed when its
-/// machine takes no more starts or its job is stopped. Every change goes through
+/// A task is removed once it is certainly not on the machine (S5): a later heartbeat lacks it, the
+/// machine is gone, or the worker's lease has expired. An `Assigned` task is removed when the
+/// machine accepts no more starts or its job is stopped. Every change goes through
 /// `MachineTask::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineTaskState {
-    /// Chosen, but no order has left yet.
+    /// The machine was chosen for the task, but its start was not ordered yet.
     Assigned,
-    /// The start was sent as the answer to the heartbeat with this agent epoch and number (S3).
+    /// The start was sent with the answer to the heartbeat with this agent epoch and number (S3).
     Ordered {
-        /// Agent epoch of the heartbeat that was answered.
+        /// Agent epoch of the answered heartbeat.
         agent_epoch: AgentEpoch,
-        /// Number of that heartbeat.
+        /// Number of the answered heartbeat.
         sequence: u64,
     },
-    /// Its image is being fetched.
+    /// The worker fetches the image of the task.
     Fetching,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It saves a checkpoint, as it was ordered to stop.
+    /// The task saves a checkpoint because it was ordered to stop.
     Saving,
-    /// Exited as done; kept on the machine until the result is stored (S9).
+    /// The task exited as done; it stays on the machine until its result is stored (S9).
     Done,
-    /// Exited otherwise.
+    /// The task exited for another reason.
     Exited,
 }
 
 impl MachineTaskState {
-    /// The heartbeat whose answer carried the start, if nothing was heard of the task since.
+    /// Returns the number of the heartbeat whose answer carried the start, if no message has
+    /// reported the task since.
     pub(crate) fn answered_heartbeat(self) -> Option<MessageNumber> {
         match self {
             Self::Ordered { agent_epoch, sequence } => {
@@ -60,28 +61,28 @@
     }
 }
 
-/// One attempt at a task; what a task on a machine is known by.
+/// One attempt at a task; identifies a task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskAttempt {
     /// The task.
     pub task: TaskId,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
 }
 
-/// What a task takes, and on whose account.
+/// Resources that a task uses, with the team and priority that they are accounted to.
 #[derive(Debug, Clone)]
 pub(crate) struct TaskDemand {
-    /// The resources that it takes.
+    /// Resources that the task uses.
     pub(crate) need: Resources,
-    /// Position of its team in the settings.
+    /// Position of the job's team in the settings.
     pub(crate) team: usize,
-    /// Priority of its job.
+    /// Priority of the job.
     pub(crate) priority: Priority,
 }
 
 impl TaskDemand {
-    /// The demand of one task of a job of that team.
+    /// Returns the demand of one task of a job that belongs to `team`.
     pub(crate) fn per_task(spec: &JobSpec, team: usize) -> Self {
         Self { need: Resources::per_task(spec), team, priority: spec.priority }
     }
@@ -90,20 +91,20 @@
 /// A task that is, or may be, on a machine.
 #[derive(Debug, Clone)]
 pub struct MachineTask {
-    /// What it is doing.
+    /// Current state of the task.
     pub state: MachineTaskState,
-    /// Since when.
+    /// When the task entered `state`.
     pub state_since: Instant,
-    /// What it takes; unknown for tasks of jobs that are not known (any more).
+    /// Demand of the task; `None` if its job is not known to this leader.
     pub(crate) demand: Option<TaskDemand>,
-    /// Started by this leader, so that its run time is known.
+    /// Whether this leader started the task, so that its run time is known.
     pub(crate) started_by_this_leader: bool,
-    /// The grace to stop it with, once it has to go.
+    /// Time that the task has to save a checkpoint when it is stopped; `None` if it need not stop.
     pub stop_grace: Option<Duration>,
 }
 
 impl MachineTask {
-    /// A task that was chosen for the machine; no order has left yet.
+    /// Creates a task whose machine was chosen, but whose start was not ordered yet.
     pub(super) fn assigned(demand: TaskDemand, now: Instant) -> Self {
         Self {
             state: MachineTaskState::Assigned,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// A task that a heartbeat shows, and that this leader did not start.
+    /// Creates a task that a heartbeat reports and that this leader did not start.
     pub(crate) fn from_heartbeat(state: MachineTaskState, now: Instant) -> Self {
         Self {
             state,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The one place where the state of a task on a machine changes.
+    /// Changes the state of the task. All changes go through this method.
     pub(crate) fn enter(&mut self, state: MachineTaskState, now: Instant) {
         if self.state != state {
             self.state = state;
@@ -133,27 +134,27 @@
         }
     }
 
-    /// It has to go at once, with no time to save.
+    /// Marks the task to be stopped at once, with no time to save a checkpoint.
     pub(crate) fn stop_without_grace(&mut self) {
         self.stop_grace = Some(Duration::ZERO);
     }
 
-    /// It need not go: its job has been claimed.
+    /// Cancels the stop of the task, because its job has been claimed.
     pub(crate) fn cancel_stop(&mut self) {
         self.stop_grace = None;
     }
 
-    /// The job that it is of has become known.
+    /// Sets the demand of the task from its job, which has become known.
     pub(crate) fn set_job(&mut self, spec: &JobSpec, team: usize) {
         self.demand = Some(TaskDemand::per_task(spec, team));
     }
 
-    /// Whether its start was sent, and nothing was heard of it since.
+    /// Returns whether the start was sent and no message has reported the task since.
     pub(crate) fn is_ordered(&self) -> bool {
         matches!(self.state, MachineTaskState::Ordered { .. })
     }
 
-    /// Whether the newest message showed it, and not as exited.
+    /// Returns whether the newest message reported the task as not exited.
     pub(super) fn was_reported_live(&self) -> bool {
         matches!(
             self.state,
@@ -161,29 +162,30 @@
         )
     }
 
-    /// Whether a message has shown it.
+    /// Returns whether any message has reported the task.
     pub(super) fn was_reported(&self) -> bool {
         !matches!(self.state, MachineTaskState::Assigned | MachineTaskState::Ordered { .. })
     }
 
-    /// Whether it takes room on the machine and of its team's limit.
+    /// Returns whether the task uses resources of the machine and of its team's limit.
     pub fn uses_resources(&self) -> bool {
         !matches!(self.state, MachineTaskState::Done | MachineTaskState::Exited)
     }
 
-    /// Whether it runs, or saves before it stops.
+    /// Returns whether the task runs, or saves a checkpoint before it stops.
     fn is_running(&self) -> bool {
         matches!(self.state, MachineTaskState::Running | MachineTaskState::Saving)
     }
 
-    /// The grace to stop it with, if the order to stop has to be sent (again).
+    /// Returns the time to save a checkpoint for the order to stop the task; `None` if no order has
+    /// to be sent.
     pub(super) fn stop_grace_to_send(&self) -> Option<Duration> {
         let grace = self.stop_grace?;
         let send = match self.state {
             MachineTaskState::Ordered { .. }
             | MachineTaskState::Fetching
             | MachineTaskState::Running => true,
-            // A task that saves is let be, unless it has to go at once.
+            // A task that is saving already is not disturbed, unless it has to stop at once.
             MachineTaskState::Saving => grace.is_zero(),
             MachineTaskState::Assigned | MachineTaskState::Done | MachineTaskState::Exited => false,
         };
@@ -191,31 +193,31 @@
     }
 }
 
-/// How many tasks of a job run on a machine.
+/// Number of tasks of one job that run on a machine.
 #[derive(Debug)]
 pub(crate) struct RunningTasks {
     /// The job.
     pub(crate) job: JobId,
-    /// How many of its tasks run.
+    /// Number of its tasks that run.
     pub(crate) count: u32,
 }
 
-/// What the tasks on a machine come to.
+/// Sums over the tasks on a machine.
 #[derive(Debug, Default)]
 pub(crate) struct TaskTotals {
-    /// Tasks that take room.
+    /// Number of tasks that use resources.
     pub tasks: u32,
-    /// What they take, as far as it is known.
+    /// Resources that the tasks of known jobs use.
     pub used: Resources,
-    /// A task takes room of which neither the size nor the team is known.
+    /// Whether any task that uses resources has an unknown demand and team.
     pub has_unknown_tasks: bool,
-    /// What each team's tasks take, by position of the team in the settings.
+    /// Usage of each team, indexed by the team's position in the settings.
     pub by_team: Vec<Usage>,
-    /// Of jobs that are known, by priority, the highest first.
+    /// Resources that the tasks of known jobs use, by priority, highest first.
     pub by_priority: [Resources; 4],
-    /// CPUs of what is being stopped.
+    /// CPUs of tasks that are being stopped.
     pub stopping_cpus: f64,
-    /// Tasks that run, by job.
+    /// Number of running tasks of each job.
     pub running: Vec<RunningTasks>,
 }
 
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Counts a task that takes room.
+    /// Adds a task that uses resources.
     fn add(&mut self, machine_task: &MachineTask) {
         self.tasks += 1;
         let Some(demand) = &machine_task.demand else {
@@ -249,14 +251,15 @@
     }
 }
 
-/// The tasks on a machine, with their totals. A look at every task of hundreds of machines in
-/// each placement pass costs more than a controller's processor share, so totals are kept until
-/// the tasks may have changed: any mutable access drops them.
+/// The tasks on a machine, with cached sums over them.
+///
+/// To sum over the tasks of hundreds of machines in each placement pass would exceed the processor
+/// share of a controller. So the sums are cached until the next mutable access to the tasks.
 #[derive(Debug, Default)]
 pub struct MachineTasks {
     /// The tasks, by attempt.
     tasks: BTreeMap<TaskAttempt, MachineTask>,
-    /// What they come to, once that was asked for.
+    /// Cached sums over the tasks.
     totals: OnceCell<TaskTotals>,
 }
 
@@ -275,7 +278,7 @@
 }
 
 impl MachineTasks {
-    /// Whether any task of the job is, or may be, here.
+    /// Returns whether any task of the job is, or may be, on the machine.
     pub(crate) fn has_tasks_of(&self, job: &JobId) -> bool {
         let first = TaskAttempt {
             task: TaskId { job: job.clone(), index: 0 },
@@ -284,15 +287,15 @@
         self.tasks.range(first..).next().is_some_and(|(key, _)| key.task.job == *job)
     }
 
-    /// The tasks that a heartbeat does not show.
+    /// Returns the tasks that a heartbeat does not report.
     pub(crate) fn absent_from(&self, heartbeat: &WorkerHeartbeat) -> Vec<TaskAttempt> {
-        let shown = heartbeat.tasks.iter().map(|status| (&status.task, status.attempt));
-        let shown: BTreeSet<(&TaskId, Attempt)> = shown.collect();
+        let reported = heartbeat.tasks.iter().map(|status| (&status.task, status.attempt));
+        let reported: BTreeSet<(&TaskId, Attempt)> = reported.collect();
         let keys = self.tasks.keys();
-        keys.filter(|key| !shown.contains(&(&key.task, key.attempt))).cloned().collect()
+        keys.filter(|key| !reported.contains(&(&key.task, key.attempt))).cloned().collect()
     }
 
-    /// What the tasks come to.
+    /// Returns the sums over the tasks.
     pub(crate) fn totals(&self) -> &TaskTotals {
         self.totals.get_or_init(|| {
             let mut totals = TaskTotals::default();
--- a/crates/core/src/machine/term_exposure.rs
+++ b/crates/core/src/machine/term_exposure.rs
@@ -1,42 +1,44 @@
-//! How many processes of a worker may know our term.
+//! How many processes of a worker may know the leader's term.
 //!
-//! A worker that is back within an instant counts its messages anew, and has forgotten the term. As
-//! long as only one of its processes can ever have known our term, each message that shows it is of
-//! that process, and its numbers tell which of two was written later (S5a, S10).
+//! A worker that restarts at once numbers its messages from the beginning and forgets the term that
+//! it knew. While only one of its processes can ever have known our term, every message that
+//! reports the term comes from that process, so the message numbers tell which of two such messages
+//! was written later (S5a, S10).
 
 use super::MessageNumber;
 use corkfield_wire::Term;
 
-/// Which of a worker's processes may know a term.
+/// How many of a worker's processes may know a term.
 ///
 /// | from | event | to |
 /// | --- | --- | --- |
-/// | `NotSent` | an answer or direct orders leave under the term | `SentOnce` |
-/// | `NotSent` | a message shows the term | `MaybeSeveral` |
-/// | `SentOnce` | another answer, or other direct orders, leave under it | `MaybeSeveral` |
-/// | `SentOnce` | a message shows it | `OneProcess` |
-/// | `OneProcess` | an answer to a heartbeat that did not show the term | `MaybeSeveral` |
-/// | `OneProcess` | direct orders leave; the process that is known has answered them | `OneProcess` |
-/// | `OneProcess` | direct orders are not answered, or perhaps by another process | `MaybeSeveral` |
+/// | `NotSent` | an answer or direct orders are sent under the term | `SentOnce` |
+/// | `NotSent` | a message reports the term | `MaybeSeveral` |
+/// | `SentOnce` | another answer, or other direct orders, are sent under the term | `MaybeSeveral` |
+/// | `SentOnce` | a message reports the term | `OneProcess` |
+/// | `OneProcess` | an answer is sent to a heartbeat older than the first that reported the term | `MaybeSeveral` |
+/// | `OneProcess` | direct orders are sent, and the known process answers them | `OneProcess` |
+/// | `OneProcess` | direct orders stay unanswered, or another process may have answered | `MaybeSeveral` |
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum TermKnowledge {
-    /// Nothing under the term has left for the worker.
+    /// Nothing was sent to the worker under the term.
     #[default]
     NotSent,
-    /// One answer, or one set of direct orders, has left under it.
+    /// One answer, or one set of direct orders, was sent under the term.
     SentOnce,
-    /// Only one process can know it, as what shows it came after a single offer.
+    /// Only one process can know the term: it was sent once before a message reported it.
     OneProcess {
-        /// The first message that showed it.
+        /// Number of the first message that reported the term.
         first: MessageNumber,
-        /// Direct orders on their way: whoever takes them knows the term as well.
+        /// Number of direct orders that await their answer. Any process that receives them learns
+        /// the term.
         direct_orders: u32,
     },
-    /// More than one process may know it.
+    /// More than one process may know the term.
     MaybeSeveral,
 }
 
-/// Which of a worker's processes may know the leader's present term.
+/// How many of a worker's processes may know the leader's current term.
 #[derive(Debug, Default)]
 pub(crate) struct TermExposure {
     term: Term,
@@ -44,13 +46,15 @@
 }
 
 impl TermExposure {
-    /// Whether only one process of the worker can know the term.
+    /// Returns whether exactly one process of the worker can know the term. Returns false while
+    /// direct orders await their answer.
     pub(crate) fn is_known_to_one_process(&self, term: Term) -> bool {
-        let single = matches!(self.knowledge, TermKnowledge::OneProcess { direct_orders: 0, .. });
-        self.term == term && single
+        let is_known_to_one =
+            matches!(self.knowledge, TermKnowledge::OneProcess { direct_orders: 0, .. });
+        self.term == term && is_known_to_one
     }
 
-    /// The answer to that heartbeat leaves under the term.
+    /// Records that the heartbeat `answered` is answered under the term.
     pub(crate) fn record_answer(&mut self, term: Term, answered: MessageNumber) {
         self.reset_if_new_term(term);
         let next = match self.knowledge {
@@ -61,8 +65,8 @@
         self.enter(next);
     }
 
-    /// Direct orders leave under the term. Returns whether their end has to be noted with
-    /// [`Self::end_direct_orders`].
+    /// Records that direct orders are sent under the term. Returns whether their result has to be
+    /// passed to [`Self::end_direct_orders`].
     pub(crate) fn record_direct_orders(&mut self, term: Term) -> bool {
         self.reset_if_new_term(term);
         let next = match self.knowledge {
@@ -76,8 +80,8 @@
         matches!(next, TermKnowledge::OneProcess { .. })
     }
 
-    /// Direct orders came to an end: answered by the process that is known, or else not at all or
-    /// by one that may be another.
+    /// Records the result of direct orders. `by_known_process` is true if the known process
+    /// answered them; it is false if they stayed unanswered or another process may have answered.
     pub(crate) fn end_direct_orders(&mut self, by_known_process: bool) {
         let TermKnowledge::OneProcess { first, direct_orders } = self.knowledge else {
             return;
@@ -89,7 +93,7 @@
         });
     }
 
-    /// A message that is not outdated shows the term.
+    /// Records that a message which is not outdated reports the term.
     pub(crate) fn record_reported(&mut self, term: Term, number: MessageNumber) {
         self.reset_if_new_term(term);
         let next = match self.knowledge {
@@ -102,14 +106,14 @@
         self.enter(next);
     }
 
-    /// A term that is not the one before is known to nobody yet.
+    /// Starts again from `NotSent` if `term` differs from the current term.
     fn reset_if_new_term(&mut self, term: Term) {
         if self.term != term {
             *self = Self { term, knowledge: TermKnowledge::NotSent };
         }
     }
 
-    /// The one place where the state changes.
+    /// Changes the state. All changes go through this method.
     fn enter(&mut self, knowledge: TermKnowledge) {
         self.knowledge = knowledge;
     }
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -1,4 +1,4 @@
-//! Workers' leases, the order of their messages, reachability, images and health.
+//! Tests of worker leases, message order, reachability, image cache, health and term exposure.
 
 use super::health::MachineHealth;
 use super::image_cache::ImageCache;
@@ -20,25 +20,25 @@
 }
 
 #[test]
-fn a_worker_lease_is_over_only_after_its_whole_length() {
+fn a_worker_lease_expires_only_after_its_full_duration() {
     let now = Instant::now();
     let mut lease = WorkerLease::new(now);
     lease.record_answer(Term::new(1), now + seconds(5));
     assert!(!lease.is_expiry_due(now + seconds(15), LEASE));
     assert!(lease.is_expiry_due(now + seconds(16), LEASE));
     lease.expire();
-    assert!(!lease.is_expiry_due(now + seconds(16), LEASE), "it expires once");
+    assert!(!lease.is_expiry_due(now + seconds(16), LEASE), "a lease expires only once");
     lease.restart_if_expired(now + seconds(20));
     assert!(!lease.is_expired());
     assert!(!lease.is_expiry_due(now + seconds(30), LEASE));
 }
 
 #[test]
-fn an_answer_that_was_not_taken_renews_no_lease() {
+fn an_answer_that_was_not_received_does_not_renew_the_lease() {
     let now = Instant::now();
     let mut lease = WorkerLease::new(now);
     lease.record_answer(Term::new(3), now + seconds(8));
-    // The worker still shows an earlier term in its next heartbeat.
+    // The next heartbeat still reports an earlier term, so the answer was not received.
     lease.record_ordered_heartbeat(Term::new(2));
     assert!(lease.is_expiry_due(now + seconds(11), LEASE));
     lease.record_answer(Term::new(3), now + seconds(8));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn messages_count_in_order_and_never_from_an_ended_agent_epoch() {
+fn old_messages_and_messages_of_an_ended_agent_epoch_are_outdated() {
     let mut messages = MessageHistory::default();
     messages.accept(number(2, 7), Term::new(4));
     assert!(messages.is_outdated(number(2, 7)));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn only_outdated_heartbeats_in_order_hint_at_a_restarted_numbering() {
+fn a_numbering_restart_is_suspected_only_after_outdated_heartbeats_in_order() {
     let mut messages = MessageHistory::default();
     messages.accept(number(1, 50), Term::new(1));
     messages.record_outdated_heartbeat(number(1, 2));
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn the_least_recently_used_images_fall_out_of_the_cache() {
+fn the_least_recently_used_images_are_evicted_from_the_cache() {
     let mut images = ImageCache::default();
     for (name, size_gb) in [("a", 4.0), ("b", 4.0), ("a", 4.0), ("c", 4.0)] {
         images.mark_used(name, size_gb, 10.0);
     }
     assert_eq!(images.names().collect::<Vec<_>>(), ["a", "c"]);
     images.mark_used("huge", 20.0, 10.0);
-    assert_eq!(images.names().collect::<Vec<_>>(), ["huge"], "the newest always stays");
+    assert_eq!(images.names().collect::<Vec<_>>(), ["huge"], "the newest image is never evicted");
 }
 
 #[test]
-fn failures_of_two_jobs_or_of_one_that_completes_elsewhere_prove_a_fault() {
-    let job = |id| JobId::parse(id).expect("an id");
+fn a_machine_is_faulty_after_failures_of_two_jobs_or_of_one_that_completes_elsewhere() {
+    let job = |id| JobId::parse(id).expect("a valid job id");
     let mut health = MachineHealth::default();
     health.record_failure(&job("j-000001"));
     assert!(health.has_failures() && !health.is_faulty(true));
@@ -121,31 +121,36 @@
     assert!(health.is_slow());
 }
 
-/// The states of `TermExposure`: only a single offer, and direct orders that the known process
-/// answered, leave the term with one process.
+/// Guards against treating a term as known to one process although another may have received it: a
+/// term stays with one process if it was sent once before a message reported it, and if the known
+/// process answers all later direct orders.
 #[test]
-fn a_term_is_known_to_one_process_only_after_a_single_offer() {
+fn a_term_that_was_sent_once_is_known_to_one_process() {
     let term = Term::new(3);
     let mut exposure = TermExposure::default();
     exposure.record_answer(term, number(1, 1));
-    assert!(!exposure.is_known_to_one_process(term), "nothing has shown it");
+    assert!(!exposure.is_known_to_one_process(term), "no message has reported the term");
     exposure.record_reported(term, number(1, 2));
     exposure.record_answer(term, number(1, 2));
     assert!(exposure.is_known_to_one_process(term));
     assert!(exposure.record_direct_orders(term));
-    assert!(!exposure.is_known_to_one_process(term), "on their way");
+    assert!(!exposure.is_known_to_one_process(term), "direct orders await their answer");
     exposure.end_direct_orders(true);
     assert!(exposure.is_known_to_one_process(term));
-    assert!(!exposure.is_known_to_one_process(Term::new(4)), "a higher term is known to nobody");
+    assert!(
+        !exposure.is_known_to_one_process(Term::new(4)),
+        "a higher term is known to no process"
+    );
     exposure.record_direct_orders(term);
     exposure.end_direct_orders(false);
     assert!(!exposure.is_known_to_one_process(term));
 }
 
-/// Two answers before the term is shown, or a late answer to a heartbeat that did not show it, may
-/// have told it to two processes.
+/// Guards against trusting message numbers when two processes may know the term: two answers were
+/// sent before a message reported it, an answer to a heartbeat from before the first report was
+/// sent late, or the term was never sent to the worker.
 #[test]
-fn a_term_that_was_offered_twice_may_be_known_to_several_processes() {
+fn a_term_that_was_sent_twice_or_never_may_be_known_to_several_processes() {
     let term = Term::new(3);
     let mut twice = TermExposure::default();
     twice.record_answer(term, number(1, 1));
@@ -157,8 +162,8 @@
     late.record_reported(term, number(1, 3));
     late.record_answer(term, number(1, 2));
     assert!(!late.is_known_to_one_process(term));
-    let mut unoffered = TermExposure::default();
-    unoffered.record_reported(term, number(1, 1));
-    unoffered.record_answer(term, number(1, 1));
-    assert!(!unoffered.is_known_to_one_process(term), "it came from elsewhere");
+    let mut not_sent = TermExposure::default();
+    not_sent.record_reported(term, number(1, 1));
+    not_sent.record_answer(term, number(1, 1));
+    assert!(!not_sent.is_known_to_one_process(term), "the worker learned the term elsewhere");
 }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -180,7 +180,7 @@
             self.actions.push(Action::Answer(machine.name.clone()));
         }
         let index = task.index;
-        machine.assign(task, attempt, job, self.now);
+        machine.assign_task(task, attempt, job, self.now);
         job.place_task(index, machine.name.as_str(), attempt);
         let usage = &mut self.usage[job.team];
         *usage = usage.plus(Usage::of_tasks(job.spec(), 1));
