--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -1,4 +1,5 @@
-//! Writes of a job's record: when one is due, and what follows from it.
+//! Commits of a job's record to the key-value store: when one is due, and how its result is
+//! processed.
 
 use super::Job;
 use corkfield_wire::records::JobRecord;
@@ -6,47 +7,48 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// A claim held this long without a failure is refunded (S12).
+/// A claim that is held this long without a failure is refunded: it no longer counts towards the
+/// claim limit (S12).
 const HEALTHY_CLAIM: Duration = Duration::from_secs(10);
 
-/// How soon a write of a job is wanted; the more urgent compares less.
+/// Urgency of a commit; a more urgent one compares less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CommitUrgency {
-    /// Somebody waits for it: its user, or tasks that may start only once the record says so.
+    /// The job's user, or tasks that may start only after the commit, wait for it.
     Awaited,
-    /// Mere progress.
+    /// The commit only stores progress.
     Progress,
 }
 
 impl Job {
-    /// Whether something of it is to be stored, and how soon. Mere progress is stored less often
-    /// than what somebody waits for.
+    /// Returns the urgency of the commit that is due, or `None` if none is. Commits that only store
+    /// progress are made less often than those that somebody waits for.
     pub(crate) fn commit_urgency(&self, now: Instant) -> Option<CommitUrgency> {
         if self.completion.is_committing() || !self.is_live() {
             return None;
         }
         let unstored = !self.unstored().is_empty();
-        let shown_status_changes = (self.running > 0) != (self.record.running > 0);
+        let reported_status_changes = (self.running > 0) != (self.record.running > 0);
         let completes = unstored && self.finished().len() >= self.spec().tasks;
-        if self.start_queue.is_watermark_raise_due() || shown_status_changes || completes {
+        if self.start_queue.is_watermark_raise_due() || reported_status_changes || completes {
             return Some(CommitUrgency::Awaited);
         }
-        let progress = unstored || self.is_refund_due(now);
-        (progress && !self.completion.was_committed_recently(now))
+        let has_progress = unstored || self.is_refund_due(now);
+        (has_progress && !self.completion.was_committed_recently(now))
             .then_some(CommitUrgency::Progress)
     }
 
-    /// When the newest write of it was begun.
+    /// Returns when the newest commit began.
     pub(crate) fn last_commit_at(&self) -> Option<Instant> {
         self.completion.last_commit_at()
     }
 
-    /// A write of it is under way.
+    /// Records that a commit begins.
     pub(crate) fn begin_commit(&mut self, now: Instant) {
         self.completion.begin_commit(now);
     }
 
-    /// A write of it was carried out: its record is stored at that version, with those tasks done.
+    /// Processes a successful commit, which stored `record` at `version` with `tasks` as done.
     pub(crate) fn on_commit_succeeded(
         &mut self,
         record: &JobRecord,
@@ -58,22 +60,23 @@
         self.replace_record(record.clone(), version);
     }
 
-    /// A write of it failed, or was not answered. It may be tried again.
+    /// Processes a commit that failed or was not answered. It may be retried.
     pub(crate) fn on_commit_failed(&mut self) {
         self.completion.end_commit();
         self.update_refunded();
     }
 
-    /// Whether the claim was refunded, by the record that is known to be stored: a write that
-    /// failed refunded nothing.
+    /// Derives from the newest stored record whether the claim was refunded. A failed commit
+    /// refunds nothing.
     fn update_refunded(&mut self) {
-        self.refunded = self.record.claims < self.claims_when_claimed;
+        self.is_refunded = self.record.claims < self.claims_when_claimed;
     }
 
-    /// Its record was found in the store after a write that was refused or not answered. It is
-    /// taken only if it is of this claim. One that an operator released since has the same
-    /// generation, but no owner: its version must stay unknown, as it is by that that the job is
-    /// found to be due for a claim.
+    /// Merges a record that was read from the store after a commit was refused or not answered.
+    ///
+    /// A newer record is merged only if it belongs to this claim. If an operator has released the
+    /// job since, the record has the same generation but no owner. Its version must not be taken
+    /// over, because the newer version in the store is what shows that the job has to be claimed.
     pub(crate) fn merge_stored_record(
         &mut self,
         record: JobRecord,
@@ -87,14 +90,15 @@
         self.replace_record(record, version);
     }
 
-    /// Whether a record of the job is of the claim that is known.
+    /// Returns whether a record of the job belongs to the claim that this controller holds.
     pub(crate) fn is_of_same_claim(&self, record: &JobRecord) -> bool {
         record.generation == self.record.generation && record.owner == self.record.owner
     }
 
-    /// Takes a record that was stored at that version, unless a later one is known: the answer to
-    /// a write, or a read, may come after that of a later claim. With the version before the claim
-    /// no write of the job would be carried out any more.
+    /// Replaces the record by one that was stored at `version`, unless a newer version is known.
+    ///
+    /// The answer to a commit or a read may arrive after that of a later claim. If it replaced the
+    /// version of that claim, the store would refuse all further commits of the job.
     fn replace_record(&mut self, record: JobRecord, version: Revision) {
         if version > self.version {
             self.record = record;
@@ -103,28 +107,30 @@
         }
     }
 
-    /// A claim that harmed nobody for a while didn't end because of the job (S12).
+    /// Returns whether the claim should be refunded: it has lasted for a while without a failure,
+    /// so if it ends later, the job is not the cause (S12).
     fn is_refund_due(&self, now: Instant) -> bool {
         self.record.claims > 0
-            && !self.refunded
+            && !self.is_refunded
             && self.failures.is_empty()
             && now.saturating_duration_since(self.claimed_at) > HEALTHY_CLAIM
     }
 
-    /// Whether the record that is about to be written has to count a claim less (S12); true once
-    /// for each claim.
+    /// Returns whether the record that is about to be committed has to count one claim less (S12),
+    /// and marks the claim as refunded. Returns true at most once per claim, unless the commit
+    /// fails.
     pub(crate) fn take_refund(&mut self, now: Instant) -> bool {
         let due = self.is_refund_due(now);
-        self.refunded |= due;
+        self.is_refunded |= due;
         due
     }
 
-    /// Tasks reported as done but not yet stored.
+    /// Returns the tasks that are reported as done but not stored yet.
     pub(crate) fn unstored(&self) -> &BTreeSet<u32> {
         self.completion.unstored()
     }
 
-    /// Finished numbers of a chunk.
+    /// Returns the indices of the finished tasks in a chunk.
     pub(crate) fn finished_in_chunk(&self, chunk: u32) -> TaskSet {
         self.completion.finished_in_chunk(chunk)
     }
--- a/crates/core/src/job/completion.rs
+++ b/crates/core/src/job/completion.rs
@@ -1,53 +1,53 @@
-//! Which tasks of a job are finished, and which of them are stored.
+//! Finished tasks of a job, and which of them are stored.
 
 use corkfield_wire::records::CHUNK_TASKS;
 use corkfield_wire::TaskSet;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Between two writes of a job for which nobody waits.
-const PROGRESS_INTERVAL: Duration = Duration::from_millis(700);
+/// Minimum time between two commits of a job that only store progress.
+const MIN_PROGRESS_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Finished tasks of a job, and the writes that store them (S9).
+/// Finished tasks of a job, and the commits that store them (S9).
 #[derive(Debug)]
 pub(super) struct Completion {
-    /// Everything reported as done, stored or not.
+    /// Tasks that are reported as done, stored or not.
     finished: TaskSet,
-    /// Reported as done but not yet stored.
+    /// Tasks that are reported as done but not stored yet.
     unstored: BTreeSet<u32>,
-    /// A write is under way.
-    committing: bool,
-    /// When the newest one was begun.
+    /// Whether a commit is in flight.
+    is_committing: bool,
+    /// When the newest commit began.
     last_commit_at: Option<Instant>,
 }
 
 impl Completion {
-    /// A job with these tasks finished and stored.
+    /// Creates the state of a job whose `finished` tasks are all stored.
     pub(super) fn new(finished: TaskSet) -> Self {
-        Self { finished, unstored: BTreeSet::new(), committing: false, last_commit_at: None }
+        Self { finished, unstored: BTreeSet::new(), is_committing: false, last_commit_at: None }
     }
 
-    /// Tasks reported as done, stored or not.
+    /// Returns the tasks that are reported as done, stored or not.
     pub(super) fn finished(&self) -> &TaskSet {
         &self.finished
     }
 
-    /// Tasks reported as done but not yet stored.
+    /// Returns the tasks that are reported as done but not stored yet.
     pub(super) fn unstored(&self) -> &BTreeSet<u32> {
         &self.unstored
     }
 
-    /// Whether the key-value store holds that the task is done.
+    /// Returns whether the key-value store has the task as done.
     pub(super) fn is_stored(&self, index: u32) -> bool {
         self.finished.contains(index) && !self.unstored.contains(&index)
     }
 
-    /// Finished numbers of a chunk.
+    /// Returns the indices of the finished tasks in a chunk.
     pub(super) fn finished_in_chunk(&self, chunk: u32) -> TaskSet {
         self.finished.slice(chunk * CHUNK_TASKS, (chunk + 1) * CHUNK_TASKS)
     }
 
-    /// A task was reported as done; true if that was not known.
+    /// Marks a task as finished. Returns true if it was not finished before.
     pub(super) fn mark_finished(&mut self, index: u32) -> bool {
         let is_new = self.finished.insert(index);
         if is_new {
@@ -56,43 +56,44 @@
         is_new
     }
 
-    /// These finished tasks were stored.
+    /// Marks finished tasks as stored.
     pub(super) fn mark_stored(&mut self, tasks: &[u32]) {
         for index in tasks {
             self.unstored.remove(index);
         }
     }
 
-    /// Finished tasks found in the store (after a write whose answer was lost, say).
+    /// Merges the finished tasks that were read from the store, for example after the answer to a
+    /// commit was lost.
     pub(super) fn merge_stored(&mut self, stored: &TaskSet) {
         self.unstored.retain(|index| !stored.contains(*index));
         self.finished.extend(stored);
     }
 
-    /// Whether a write is under way.
+    /// Returns whether a commit is in flight.
     pub(super) fn is_committing(&self) -> bool {
-        self.committing
+        self.is_committing
     }
 
-    /// When the newest write was begun.
+    /// Returns when the newest commit began.
     pub(super) fn last_commit_at(&self) -> Option<Instant> {
         self.last_commit_at
     }
 
-    /// Whether the newest write was begun so recently that mere progress waits.
+    /// Returns whether the newest commit began so recently that a commit of progress has to wait.
     pub(super) fn was_committed_recently(&self, now: Instant) -> bool {
-        let recently = |at| now.saturating_duration_since(at) < PROGRESS_INTERVAL;
-        self.last_commit_at.is_some_and(recently)
+        let is_recent = |at| now.saturating_duration_since(at) < MIN_PROGRESS_INTERVAL;
+        self.last_commit_at.is_some_and(is_recent)
     }
 
-    /// A write is under way from now on.
+    /// Records that a commit begins.
     pub(super) fn begin_commit(&mut self, now: Instant) {
-        self.committing = true;
+        self.is_committing = true;
         self.last_commit_at = Some(now);
     }
 
-    /// The write was answered, or failed.
+    /// Records that the commit in flight was answered or failed.
     pub(super) fn end_commit(&mut self) {
-        self.committing = false;
+        self.is_committing = false;
     }
 }
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! A claimed job: which of its tasks wait, are placed, are finished, are stored.
+//! State of a claimed job: which of its tasks wait, are placed, are finished and are stored.
 
 mod commit;
 mod completion;
@@ -23,63 +23,63 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The highest count of claims that still doubles the time of a back-off.
+/// The duration of a back-off doubles with each claim up to this number of claims.
 const MAX_BACK_OFF_CLAIMS: u32 = 6;
-/// The shortest run time that is expected, in seconds, where only estimates are known.
+/// Lower bound in seconds for the expected run time if it is based on an estimate.
 const MIN_ESTIMATE_S: f64 = 1.0;
-/// Given beyond the time to save when a task is stopped, in seconds.
+/// Additional time in seconds that a stopped task has beyond the time to save a checkpoint.
 const SAVE_MARGIN_S: f64 = 1.0;
 
-/// Where a task is, and under which attempt.
+/// Machine and attempt of a placed task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskPlacement {
-    /// Its machine.
+    /// Machine on which the task is placed.
     pub machine: MachineName,
-    /// The attempt under which it was started.
+    /// Attempt under which the task is started.
     pub attempt: Attempt,
 }
 
 /// A claimed job.
 #[derive(Debug)]
 pub struct Job {
-    /// Its record, as stored last.
+    /// The newest stored record of the job.
     pub record: JobRecord,
-    /// Version of the record in the key-value store that this claim rests on.
+    /// Version of `record` in the key-value store; commits are conditional on it.
     pub version: Revision,
-    /// What it is doing.
+    /// Current state of the job.
     state: JobState,
-    /// Position of its team in the settings.
+    /// Position of the job's team in the settings.
     pub(crate) team: usize,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub(crate) accepted_at: Instant,
-    /// When it should be complete, if its user said so.
+    /// When the job should be complete, if its user gave a deadline.
     pub(crate) due_at: Option<Instant>,
-    /// Its finished tasks, and the writes that store them.
+    /// Finished tasks, and the commits that store them.
     completion: Completion,
-    /// Placed tasks and their machines.
+    /// Placed tasks, by task index.
     placements: BTreeMap<u32, TaskPlacement>,
-    /// Which of its tasks is started next.
+    /// Tasks that wait for their start.
     start_queue: StartQueue,
-    /// Attempts made under this generation.
+    /// Number of attempts made so far; a new claim does not reset it.
     attempts: u64,
-    /// How many of its tasks run, as of the last tick.
+    /// Number of running tasks as of the last tick.
     pub(crate) running: u32,
-    /// Since when tasks of it wait and none is placed.
+    /// Time since which tasks wait and none is placed.
     pub(crate) unplaced_since: Option<Instant>,
-    /// When it was claimed last.
+    /// When the job was claimed last.
     claimed_at: Instant,
-    /// The count of claims when it was claimed last.
+    /// Number of claims in the record when the job was claimed last.
     claims_when_claimed: u32,
-    /// This claim was refunded, or a write that does so is under way.
-    refunded: bool,
-    /// Failures of its tasks.
+    /// Whether this claim was refunded, or a commit that refunds it is in flight.
+    is_refunded: bool,
+    /// Failures of the job's tasks.
     pub(crate) failures: JobFailures,
-    /// Run times of its completed tasks.
+    /// Run times of the completed tasks.
     pub(crate) run_times: RunTimes,
 }
 
 impl Job {
-    /// A job that was claimed now, and accepted `age` ago.
+    /// Creates a job that is claimed at `now` and was accepted `age` ago.
     pub(crate) fn new(
         record: JobRecord,
         finished: TaskSet,
@@ -91,7 +91,8 @@
         let accepted_at = now.checked_sub(age).unwrap_or(now);
         let due_at = record.spec.deadline_s.map(|d| accepted_at + Duration::from_secs_f64(d));
         let previous_start_watermark = record.previous_start_watermark;
-        // What an earlier owner began is about to be taken up from heartbeats.
+        // Tasks that an earlier owner started will be found in heartbeats, so the wait of such a
+        // job begins now.
         let unplaced_since = Some(if previous_start_watermark == 0 { accepted_at } else { now });
         Self {
             state: JobState::after_claim(record.dead_lettered),
@@ -108,82 +109,87 @@
             running: 0,
             unplaced_since,
             claimed_at: now,
-            refunded: false,
+            is_refunded: false,
             failures: JobFailures::default(),
             run_times: RunTimes::default(),
         }
     }
 
-    /// What its user submitted.
+    /// Returns the specification that the user submitted.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
 
-    /// Its state.
+    /// Returns the current state.
     pub fn state(&self) -> JobState {
         self.state
     }
 
-    /// The one place where a job's state changes.
+    /// Changes the state, unless the job is closing. All changes go through this method.
     pub(crate) fn enter(&mut self, state: JobState) {
         if self.state == state || self.state == JobState::Closing {
             return;
         }
-        tracing::debug!(job = %self.record.spec.id, from = ?self.state, to = ?state, "job state");
+        tracing::debug!(
+            job = %self.record.spec.id,
+            from = ?self.state,
+            to = ?state,
+            "job state changed"
+        );
         self.state = state;
     }
 
-    /// Whether it is neither over nor another's.
+    /// Returns whether the job is unfinished and still claimed by this controller.
     pub fn is_live(&self) -> bool {
         self.state != JobState::Closing
     }
 
-    /// Whether its tasks may be started.
+    /// Returns whether tasks of the job may be started.
     pub(crate) fn may_start(&self) -> bool {
         self.state == JobState::Active
     }
 
-    /// The generation under which its tasks may be started now, if they may.
+    /// Returns the generation under which tasks may be started; `None` if none may be started.
     pub(crate) fn start_generation(&self) -> Option<Generation> {
         self.may_start().then_some(self.record.generation)
     }
 
-    /// Tasks reported as done, stored or not.
+    /// Returns the tasks that are reported as done, stored or not.
     pub fn finished(&self) -> &TaskSet {
         self.completion.finished()
     }
 
-    /// Whether the key-value store holds that the task is done.
+    /// Returns whether the key-value store has the task as done.
     pub fn is_stored(&self, index: u32) -> bool {
         self.completion.is_stored(index)
     }
 
-    /// Its placed tasks.
+    /// Returns the placed tasks, by task index.
     pub fn placements(&self) -> &BTreeMap<u32, TaskPlacement> {
         &self.placements
     }
 
-    /// How many of its tasks are placed.
+    /// Returns the number of placed tasks.
     fn placed_count(&self) -> u32 {
         u32::try_from(self.placements.len()).unwrap_or(u32::MAX)
     }
 
-    /// How many of its tasks have no place and are not done.
+    /// Returns the number of tasks that are neither placed nor finished.
     pub fn waiting_tasks(&self) -> u32 {
         self.spec().tasks.saturating_sub(self.finished().len() + self.placed_count())
     }
 
-    /// How many of its tasks are not done.
+    /// Returns the number of unfinished tasks.
     pub fn remaining_tasks(&self) -> u32 {
         self.spec().tasks.saturating_sub(self.finished().len())
     }
 
-    /// Whether it comes before all that is not urgent.
+    /// Returns whether the job is placed before all jobs that are not urgent.
     pub(crate) fn is_urgent(&self) -> bool {
         self.spec().priority <= Priority::High
     }
 
-    /// Notes since when nothing of it is placed, though something waits.
+    /// Updates the time since which tasks wait and none is placed.
     pub(crate) fn update_unplaced_since(&mut self, now: Instant) {
         if !self.placements.is_empty() || self.waiting_tasks() == 0 {
             self.unplaced_since = None;
@@ -192,24 +198,25 @@
         }
     }
 
-    /// None of its tasks was ever placed, as far as is known.
+    /// Returns whether no task is placed or finished.
     pub(crate) fn has_not_started(&self) -> bool {
         self.placements.is_empty() && self.finished().is_empty()
     }
 
-    /// Whether its tasks failed on that machine since it was claimed last, or something of it last
-    /// completed.
+    /// Returns whether tasks of the job have failed on the machine since the last claim and since a
+    /// task last completed.
     pub(crate) fn has_failed_on(&self, machine: &str) -> bool {
         self.failures.contains_machine(machine)
     }
 
-    /// Whether its tasks failed on any machine since then.
+    /// Returns whether tasks of the job have failed on any machine since the last claim and since a
+    /// task last completed.
     pub(crate) fn has_failed(&self) -> bool {
         self.failures.has_any_machine()
     }
 
-    /// The next task to place; the caller places it. With `only_never_started`, only one that no
-    /// earlier owner can have started (S7).
+    /// Removes the next task to place from the queue and returns it; the caller has to place it.
+    /// With `only_never_started`, returns only a task that no earlier owner can have started (S7).
     pub(crate) fn pop_startable_task(&mut self, only_never_started: bool) -> Option<u32> {
         let constraints = StartConstraints {
             record: &self.record,
@@ -219,9 +226,12 @@
         self.start_queue.pop(&constraints, only_never_started)
     }
 
-    /// How many tasks [`Self::pop_startable_task`] would give, at the most; 0 only if there are none.
-    /// Jobs whose other tasks wait for their record to allow more first starts would otherwise
-    /// be looked at on every machine in every pass, and others stopped for what can't start.
+    /// Returns an upper bound for the number of tasks that [`Self::pop_startable_task`] would
+    /// return; 0 only if it would return none.
+    ///
+    /// Tasks above the start watermark are not counted. Otherwise every pass would try to place
+    /// them on every machine, and tasks of other jobs would be preempted for tasks that can't
+    /// start.
     pub(crate) fn startable_tasks(&mut self, only_never_started: bool) -> u32 {
         let constraints = StartConstraints {
             record: &self.record,
@@ -231,37 +241,41 @@
         self.start_queue.len(&constraints, only_never_started).min(self.waiting_tasks())
     }
 
-    /// Has its record allow (more) first starts with the next write.
+    /// Requests that the next commit raises the start watermark.
     pub(crate) fn request_start_watermark_raise(&mut self) {
         self.start_queue.request_watermark_raise();
     }
 
-    /// Whether the record that is about to be written has to allow more first starts.
+    /// Returns whether the commit that is being built has to raise the start watermark, and clears
+    /// the request.
     pub(crate) fn take_watermark_raise(&mut self) -> bool {
         self.start_queue.take_watermark_raise()
     }
 
-    /// Its record allows no start at all yet, nor is that about to change.
+    /// Returns whether tasks may be started but the start watermark is 0 and no raise is requested.
     pub(crate) fn needs_first_watermark(&self) -> bool {
         self.may_start()
             && self.record.start_watermark == 0
             && !self.start_queue.is_watermark_raise_due()
     }
 
-    /// Tasks that wait and may be started, at the least.
+    /// Returns a lower bound for the number of waiting tasks below the start watermark.
     pub(crate) fn waiting_below_watermark(&self) -> u32 {
         let allowed = self.spec().tasks.min(self.record.start_watermark);
         allowed.saturating_sub(self.finished().len()).saturating_sub(self.placed_count())
     }
 
-    /// The task is, or is about to be, on that machine.
+    /// Records that a task is on the machine, or is about to be started on it.
     pub(crate) fn place_task(&mut self, index: u32, machine: &str, attempt: Attempt) {
         self.placements
             .insert(index, TaskPlacement { machine: MachineName::from(machine), attempt });
     }
 
-    /// That attempt is surely no longer on that machine. An earlier attempt that its worker
-    /// only now forgets says nothing about a later one, even on the same machine.
+    /// Removes the placement of an attempt that is certainly no longer on the machine; the task
+    /// waits again if it is unfinished.
+    ///
+    /// Does nothing if the task is placed under another attempt: when a worker forgets an earlier
+    /// attempt, the later one may still be on the same machine.
     pub(crate) fn release_task(&mut self, index: u32, machine: &str, attempt: Attempt) {
         let same = |p: &TaskPlacement| p.machine.as_str() == machine && p.attempt == attempt;
         if self.placements.get(&index).is_some_and(same) {
@@ -272,13 +286,13 @@
         }
     }
 
-    /// The number of a new attempt.
+    /// Returns the number for a new attempt.
     pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.attempts += 1;
         Attempt::in_generation(self.record.generation, self.attempts)
     }
 
-    /// A task was reported as done; true if that was not known.
+    /// Marks a task as finished. Returns true if it was not finished before.
     pub(crate) fn mark_finished(&mut self, index: u32) -> bool {
         let is_new = index < self.spec().tasks && self.completion.mark_finished(index);
         if is_new {
@@ -288,7 +302,8 @@
         is_new
     }
 
-    /// The job failed wherever it was tried: it waits, the longer the more often it was claimed.
+    /// Makes the job back off, because its tasks failed on several machines or on every machine
+    /// where they may run. The duration doubles with each claim, up to a limit.
     pub(crate) fn back_off(&mut self, now: Instant) {
         if self.may_start() {
             let wait_s = 2f64.powi(self.record.claims.clamp(1, MAX_BACK_OFF_CLAIMS) as i32);
@@ -297,37 +312,38 @@
         }
     }
 
-    /// Claimed once more, after a back-off for example.
+    /// Processes a new claim of the job, for example after a back-off.
     pub(crate) fn on_reclaimed(&mut self, record: JobRecord, version: Revision, now: Instant) {
         let state = JobState::after_claim(record.dead_lettered);
         self.claims_when_claimed = record.claims;
         self.record = record;
         self.version = version;
         self.claimed_at = now;
-        self.refunded = false;
+        self.is_refunded = false;
         self.failures.clear_machines();
         self.enter(state);
     }
 
-    /// The time that a running task is given when it is stopped: enough to save, if it can.
+    /// Returns the time that a running task has when it is stopped: enough to save a checkpoint, or
+    /// zero if it saves none.
     pub(crate) fn stop_grace(&self) -> Duration {
         let grace_s =
             if self.saves_checkpoints() { self.spec().save_s + SAVE_MARGIN_S } else { 0.0 };
         Duration::try_from_secs_f64(grace_s).unwrap_or_default()
     }
 
-    /// Whether its tasks save checkpoints.
+    /// Returns whether tasks of the job save checkpoints.
     pub(crate) fn saves_checkpoints(&self) -> bool {
         self.spec().checkpoint_s > 0.0
     }
 
-    /// What all of its tasks that are not done take together.
+    /// Returns the resources that all unfinished tasks use together.
     pub(crate) fn remaining_demand(&self) -> Usage {
         Usage::of_tasks(self.spec(), self.remaining_tasks())
     }
 
-    /// Expected run time of a task: what was seen, else the owner's guess corrected by what
-    /// was seen of the class.
+    /// Returns the expected run time of a task in seconds: the mean of the known run times, or else
+    /// the user's estimate times the correction for the job's class.
     pub(crate) fn expected_run_s(&self, correction: f64) -> f64 {
         self.run_times
             .mean_s()
--- a/crates/core/src/job/start_queue.rs
+++ b/crates/core/src/job/start_queue.rs
@@ -1,47 +1,52 @@
-//! Which task of a job is started next, and when its record has to allow more first starts.
+//! Order in which a job's tasks are started, and requests to raise its start watermark.
+//!
+//! The start watermark in a job's record is the index of the first task that must not be started
+//! yet. A failover treats all tasks below the watermark as possibly started.
 
 use super::TaskPlacement;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::TaskSet;
 use std::collections::BTreeMap;
 
-/// What of a job decides which of its tasks may be started.
+/// The parts of a job that decide which of its tasks may be started.
 pub(super) struct StartConstraints<'a> {
-    /// The job's record: how many tasks it has, and how many of them may be started.
+    /// The job's record, with its number of tasks and its start watermark.
     pub(super) record: &'a JobRecord,
-    /// Tasks that are done.
+    /// Finished tasks.
     pub(super) finished: &'a TaskSet,
-    /// Tasks that are placed.
+    /// Placed tasks.
     pub(super) placements: &'a BTreeMap<u32, TaskPlacement>,
 }
 
 impl StartConstraints<'_> {
-    /// Whether the task is finished or placed.
+    /// Returns whether the task is finished or placed.
     fn is_finished_or_placed(&self, index: u32) -> bool {
         self.finished.contains(index) || self.placements.contains_key(&index)
     }
 
-    /// No task from this index on may be started yet.
+    /// Returns the index from which on no task may be started yet.
     fn startable_end(&self) -> u32 {
         self.record.spec.tasks.min(self.record.start_watermark)
     }
 }
 
-/// The order in which a job's tasks are started.
+/// Queue of the tasks of a job that wait for their start.
 #[derive(Debug)]
 pub(super) struct StartQueue {
-    /// Tasks that came off their machines, the last of them first.
+    /// Tasks that were removed from their machines and have to be started again; the last one is
+    /// started first.
     retries: Vec<u32>,
-    /// The next task that was never placed.
+    /// Index of the next task that was never placed.
     next_unplaced: u32,
-    /// The next of those that no earlier owner can have started (S7).
+    /// Index of the next task that no earlier owner of the job can have started (S7).
     next_never_started: u32,
-    /// The record should allow more first starts.
+    /// Whether the next commit should raise the start watermark.
     is_watermark_raise_due: bool,
 }
 
 impl StartQueue {
-    /// The queue of a job of which earlier owners can have started only tasks below the index.
+    /// Creates the queue of a job whose earlier owners can have started only the tasks below
+    /// `previous_start_watermark`.
     pub(super) fn new(previous_start_watermark: u32) -> Self {
         Self {
             retries: Vec::new(),
@@ -51,8 +56,8 @@
         }
     }
 
-    /// The next task to place. With `only_never_started`, only one that no earlier owner can have
-    /// started (S7).
+    /// Removes and returns the next task to place. With `only_never_started`, returns only a task
+    /// that no earlier owner can have started (S7).
     pub(super) fn pop(
         &mut self,
         constraints: &StartConstraints,
@@ -75,7 +80,8 @@
         index
     }
 
-    /// How many tasks [`Self::pop`] would give, at the most; 0 only if there are none.
+    /// Returns an upper bound for the number of tasks that [`Self::pop`] would return; 0 only if it
+    /// would return none.
     pub(super) fn len(&mut self, constraints: &StartConstraints, only_never_started: bool) -> u32 {
         let next = *self.skip_finished_or_placed(constraints, only_never_started);
         self.request_watermark_raise_if_low(constraints, next);
@@ -87,13 +93,13 @@
         count
     }
 
-    /// The task came off its machine, and is to be tried again.
+    /// Adds a task that was removed from its machine and has to be started again.
     pub(super) fn push_retry(&mut self, index: u32) {
         self.retries.push(index);
     }
 
-    /// Passes over what is finished or placed: if it comes off its machine, it is tried again
-    /// from another list. Returns the position reached.
+    /// Advances to the next task that is neither finished nor placed, and returns its position. A
+    /// placed task that is removed from its machine later is added to `retries`.
     fn skip_finished_or_placed(
         &mut self,
         constraints: &StartConstraints,
@@ -108,8 +114,9 @@
         next
     }
 
-    /// Has the record allow more first starts before they run out: that takes a write, and while
-    /// the key-value store is away there is none.
+    /// Requests a higher start watermark when three quarters of the tasks below it have been
+    /// passed. The raise needs a commit, which is impossible while the key-value store is
+    /// unavailable, so it is requested before the startable tasks run out.
     fn request_watermark_raise_if_low(&mut self, constraints: &StartConstraints, next: u32) {
         let watermark = constraints.record.start_watermark;
         self.is_watermark_raise_due |= watermark > 0
@@ -117,17 +124,18 @@
             && next >= watermark - watermark / 4;
     }
 
-    /// Whether the record should allow more first starts.
+    /// Returns whether the next commit should raise the start watermark.
     pub(super) fn is_watermark_raise_due(&self) -> bool {
         self.is_watermark_raise_due
     }
 
-    /// The record should allow more first starts with its next write.
+    /// Requests that the next commit raises the start watermark.
     pub(super) fn request_watermark_raise(&mut self) {
         self.is_watermark_raise_due = true;
     }
 
-    /// Whether the record should allow more first starts; the write that is being built does so.
+    /// Returns whether the commit that is being built has to raise the start watermark, and clears
+    /// the request.
     pub(super) fn take_watermark_raise(&mut self) -> bool {
         std::mem::take(&mut self.is_watermark_raise_due)
     }
--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -1,8 +1,8 @@
-//! What a claimed job is doing.
+//! States of a claimed job.
 
 use std::time::Instant;
 
-/// What a claimed job is doing.
+/// State of a claimed job.
 ///
 /// | from            | event                                                   | to             |
 /// |-----------------|---------------------------------------------------------|----------------|
@@ -10,32 +10,33 @@
 /// | (new)           | claimed at the claim limit                              | `DeadLettered` |
 /// | `Active`        | failed on several machines, or wherever it may run      | `BackingOff`   |
 /// | `Active`        | a worker refused a start: no such job or task           | `BackingOff`   |
-/// | `BackingOff`    | its time is over                                        | `NeedsReclaim` |
-/// | any but Closing | claimed once more                                       | `Active`       |
-/// | any but Closing | claimed once more, at the claim limit                   | `DeadLettered` |
-/// | any             | cancelled, done, or claimed by another                  | `Closing`      |
+/// | `BackingOff`    | the back-off has ended                                  | `NeedsReclaim` |
+/// | any but Closing | claimed again                                           | `Active`       |
+/// | any but Closing | claimed again, at the claim limit                       | `DeadLettered` |
+/// | any             | cancelled, done, or claimed by another controller       | `Closing`      |
 ///
-/// `Closing` is final: the job is forgotten once none of its tasks is on a machine. Every change
-/// goes through `Job::enter`. When a job leaves `Active`, and when it is claimed once more while
-/// `Active`, its assigned tasks are taken off their machines and wait again
-/// (`Scheduler::change_job`, or `stop_job` when it is closed); tasks whose start was ordered go on,
-/// or are stopped.
+/// `Closing` is final: the job is removed once none of its tasks is on a machine. Every change goes
+/// through `Job::enter`. When a job leaves `Active`, or is claimed again while `Active`, its
+/// assigned tasks are taken off their machines and wait again (`Scheduler::change_job`, or
+/// `stop_job` when the job is closed). Tasks whose start was ordered continue or are stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// Its tasks may be started.
+    /// Tasks of the job may be started.
     Active,
-    /// It failed on several machines: nothing is started before the time given.
+    /// Tasks of the job failed on several machines, or a worker refused one: no task is started
+    /// before the given time.
     BackingOff(Instant),
-    /// It waited long enough and has to be claimed once more, which counts as a claim (S12).
+    /// The back-off has ended. The job has to be claimed again, which counts as a claim (S12).
     NeedsReclaim,
-    /// It reached the claim limit; its tasks are stopped.
+    /// The job has reached the claim limit; its tasks are stopped.
     DeadLettered,
-    /// Over, or another's: its tasks are stopped and nothing is started any more.
+    /// The job is finished, cancelled or claimed by another controller: its tasks are stopped and
+    /// no more are started.
     Closing,
 }
 
 impl JobState {
-    /// The state of a job that has just been claimed.
+    /// Returns the state of a job that has just been claimed.
     pub(super) fn after_claim(dead_lettered: bool) -> Self {
         if dead_lettered {
             Self::DeadLettered
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -1,4 +1,4 @@
-//! Attempt numbers, the order of starts, back-off and refunds of a job.
+//! Tests of attempt numbers, the order of starts, the start watermark, job states and refunds.
 
 use super::{CommitUrgency, Job, JobState};
 use corkfield_wire::records::JobRecord;
@@ -22,39 +22,39 @@
 }
 
 #[test]
-fn an_attempt_number_carries_its_generation() {
+fn an_attempt_number_contains_its_generation() {
     let attempt = Attempt::in_generation(Generation::new(7), 3);
     assert_eq!(attempt.get(), (7 << 24) | 3);
     assert_eq!(Attempt::new(attempt.get()).generation(), Generation::new(7));
 }
 
 #[test]
-fn attempts_of_a_later_claim_are_higher() {
+fn attempt_numbers_of_a_later_claim_are_higher() {
     let now = Instant::now();
     let mut job = claimed_job(record(4), now);
     let first = job.next_attempt();
     let second = job.next_attempt();
-    let mut again = job.record.clone();
-    again.claim("owner".into());
-    job.on_reclaimed(again, Revision::new(2), now);
+    let mut reclaimed = job.record.clone();
+    reclaimed.claim("owner".into());
+    job.on_reclaimed(reclaimed, Revision::new(2), now);
     assert!(first < second && second < job.next_attempt());
 }
 
 #[test]
-fn a_task_that_came_off_its_machine_is_started_before_new_ones() {
+fn a_task_released_from_its_machine_is_started_before_new_tasks() {
     let mut job = claimed_job(record(4), Instant::now());
     let first = job.pop_startable_task(false).expect("a waiting task");
     job.place_task(first, "host-1", Attempt::new(1));
     assert_eq!(job.startable_tasks(false), 3);
     job.release_task(first, "host-1", Attempt::new(2));
-    assert_eq!(job.startable_tasks(false), 3, "another attempt says nothing about this one");
+    assert_eq!(job.startable_tasks(false), 3, "the release of another attempt has no effect");
     job.release_task(first, "host-1", Attempt::new(1));
     assert_eq!(job.startable_tasks(false), 4);
     assert_eq!(job.pop_startable_task(false), Some(first));
 }
 
 #[test]
-fn only_tasks_from_the_start_watermark_on_were_never_started() {
+fn only_tasks_at_or_above_the_previous_start_watermark_count_as_never_started() {
     let mut record = record(6);
     record.previous_start_watermark = 4;
     let mut job = claimed_job(record, Instant::now());
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn the_start_watermark_is_raised_before_first_starts_run_out() {
+fn a_raise_of_the_start_watermark_is_requested_before_startable_tasks_run_out() {
     let now = Instant::now();
     let mut job = claimed_job(record(1000), now);
     let watermark = job.record.start_watermark;
     for index in 0..watermark - watermark / 4 {
-        assert_eq!(job.commit_urgency(now), None, "at {index}");
+        assert_eq!(job.commit_urgency(now), None, "before task {index}");
         assert_eq!(job.pop_startable_task(false), Some(index));
     }
     assert_eq!(job.commit_urgency(now), Some(CommitUrgency::Awaited));
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -191,7 +191,12 @@
         if self.state == state || self.state == MachineState::Deleting {
             return;
         }
-        tracing::debug!(machine = %self.name, from = ?self.state, to = ?state, "machine state changed");
+        tracing::debug!(
+            machine = %self.name,
+            from = ?self.state,
+            to = ?state,
+            "machine state changed"
+        );
         self.state = state;
     }
 
