--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -9,7 +9,7 @@
 
 /// A claim that is held this long without a failure is refunded: it no longer counts towards the
 /// claim limit (S12).
-const HEALTHY_CLAIM: Duration = Duration::from_secs(10);
+const CLAIM_REFUND_AFTER: Duration = Duration::from_secs(10);
 
 /// Urgency of a commit; a more urgent one compares less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,9 +28,9 @@
             return None;
         }
         let unstored = !self.unstored().is_empty();
-        let reported_status_changes = (self.running > 0) != (self.record.running > 0);
+        let visible_status_changes = (self.running > 0) != (self.record.running > 0);
         let completes = unstored && self.finished().len() >= self.spec().tasks;
-        if self.start_queue.is_watermark_raise_due() || reported_status_changes || completes {
+        if self.start_queue.is_watermark_raise_due() || visible_status_changes || completes {
             return Some(CommitUrgency::Awaited);
         }
         let has_progress = unstored || self.is_refund_due(now);
@@ -113,7 +113,7 @@
         self.record.claims > 0
             && !self.is_refunded
             && self.failures.is_empty()
-            && now.saturating_duration_since(self.claimed_at) > HEALTHY_CLAIM
+            && now.saturating_duration_since(self.claimed_at) > CLAIM_REFUND_AFTER
     }
 
     /// Returns whether the record that is about to be committed has to count one claim less (S12),
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -39,7 +39,7 @@
     pub attempt: Attempt,
 }
 
-/// A claimed job.
+/// A job that this controller has claimed.
 #[derive(Debug)]
 pub struct Job {
     /// The newest stored record of the job.
@@ -89,7 +89,10 @@
         now: Instant,
     ) -> Self {
         let accepted_at = now.checked_sub(age).unwrap_or(now);
-        let due_at = record.spec.deadline_s.map(|d| accepted_at + Duration::from_secs_f64(d));
+        let due_at = record
+            .spec
+            .deadline_s
+            .map(|deadline_s| accepted_at + Duration::from_secs_f64(deadline_s));
         let previous_start_watermark = record.previous_start_watermark;
         // Tasks that an earlier owner started will be found in heartbeats, so the wait of such a
         // job begins now.
@@ -277,8 +280,10 @@
     /// Does nothing if the task is placed under another attempt: when a worker forgets an earlier
     /// attempt, the later one may still be on the same machine.
     pub(crate) fn release_task(&mut self, index: u32, machine: &str, attempt: Attempt) {
-        let same = |p: &TaskPlacement| p.machine.as_str() == machine && p.attempt == attempt;
-        if self.placements.get(&index).is_some_and(same) {
+        let is_same_attempt = |placement: &TaskPlacement| {
+            placement.machine.as_str() == machine && placement.attempt == attempt
+        };
+        if self.placements.get(&index).is_some_and(is_same_attempt) {
             self.placements.remove(&index);
             if !self.finished().contains(index) {
                 self.start_queue.push_retry(index);
@@ -328,12 +333,12 @@
     /// zero if it saves none.
     pub(crate) fn stop_grace(&self) -> Duration {
         let grace_s =
-            if self.saves_checkpoints() { self.spec().save_s + SAVE_MARGIN_S } else { 0.0 };
+            if self.can_save_checkpoints() { self.spec().save_s + SAVE_MARGIN_S } else { 0.0 };
         Duration::try_from_secs_f64(grace_s).unwrap_or_default()
     }
 
     /// Returns whether tasks of the job save checkpoints.
-    pub(crate) fn saves_checkpoints(&self) -> bool {
+    pub(crate) fn can_save_checkpoints(&self) -> bool {
         self.spec().checkpoint_s > 0.0
     }
 
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -72,7 +72,7 @@
     /// Whether the key-value store has a record that the machine may hold tasks.
     pub record_state: RecordState,
     /// Whether the worker no longer accepts orders of earlier leaders (S7).
-    pub fenced: bool,
+    pub is_fenced: bool,
     /// Numbers and terms of the messages that the worker has sent so far.
     pub(crate) message_history: MessageHistory,
     /// What is needed to order the worker's messages across restarts of the worker's process.
@@ -83,7 +83,8 @@
     pub(crate) lease: WorkerLease,
     /// Time since which the machine is known to exist.
     pub(crate) known_since: Instant,
-    /// When the machine was rented; the time of its discovery if the cloud has not listed it.
+    /// When the machine was rented; if a heartbeat or a record reported it first, when it became
+    /// known to this leader.
     pub(crate) rented_at: Instant,
     /// When the worker's newest message arrived.
     pub(crate) last_message_at: Option<Instant>,
@@ -123,7 +124,7 @@
             machine_type,
             state: MachineState::Booting,
             record_state: RecordState::NotStored,
-            fenced: false,
+            is_fenced: false,
             message_history: MessageHistory::default(),
             ordering_tracker: OrderingTracker::default(),
             task_uncertainty: None,
@@ -248,20 +249,20 @@
     /// A heartbeat under our term proves that the worker drops orders of earlier leaders. A machine
     /// without a record and without tasks needs no such proof: no leader ever gave it a task.
     pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: Term) -> bool {
-        let unused = self.record_state == RecordState::NotStored && heartbeat.tasks.is_empty();
-        self.fenced = self.fenced || unused || heartbeat.term == our_term;
-        self.fenced
+        let is_unused = self.record_state == RecordState::NotStored && heartbeat.tasks.is_empty();
+        self.is_fenced = self.is_fenced || is_unused || heartbeat.term == our_term;
+        self.is_fenced
     }
 
     /// Expires the worker's lease if no controller can have renewed it within the last
     /// `expiry_after` (S5c). Returns whether the lease expired in this call.
-    pub(crate) fn expire_lease(&mut self, now: Instant, expiry_after: Duration) -> bool {
+    pub(crate) fn expire_lease_if_due(&mut self, now: Instant, expiry_after: Duration) -> bool {
         if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_after) {
             return false;
         }
         tracing::debug!(machine = %self.name, "worker lease has expired");
         self.lease.expire();
-        self.fenced = false;
+        self.is_fenced = false;
         self.task_uncertainty = None;
         self.message_history.end_agent_epoch();
         if self.tasks.values().any(MachineTask::is_ordered) {
@@ -271,7 +272,7 @@
     }
 
     /// Returns whether the worker's lease has expired and no fresh heartbeat has arrived since.
-    pub(crate) fn lease_expired(&self) -> bool {
+    pub(crate) fn is_lease_expired(&self) -> bool {
         self.lease.is_expired()
     }
 
@@ -299,12 +300,12 @@
     /// Returns the resources that no task uses; `None` if the machine type is unknown or a task
     /// with unknown resources is on the machine.
     pub(crate) fn free_resources(&self) -> Option<Resources> {
-        let size = self.machine_type.as_ref()?;
+        let machine_type = self.machine_type.as_ref()?;
         let totals = self.tasks.totals();
         if totals.has_unknown_tasks {
             return None;
         }
-        let mut free = Resources::capacity_of(size);
+        let mut free = Resources::capacity_of(machine_type);
         free.subtract(&totals.used);
         Some(free)
     }
@@ -343,8 +344,8 @@
     /// than `max_silence`.
     pub(crate) fn can_accept_starts(&self, now: Instant, max_silence: Duration) -> bool {
         self.state == MachineState::Up
-            && self.fenced
-            && !self.lease_expired()
+            && self.is_fenced
+            && !self.is_lease_expired()
             && !self.has_interruption_notice
             && self.reachability != Reachability::Unreachable
             && self.record_state == RecordState::Stored
@@ -359,7 +360,8 @@
 
     /// Marks an image as the most recently used one in the machine's cache.
     pub(crate) fn mark_image_used(&mut self, image: &str, size_gb: f64) {
-        let capacity_gb = self.machine_type.as_ref().map_or(0.0, |size| size.cache_gb);
+        let capacity_gb =
+            self.machine_type.as_ref().map_or(0.0, |machine_type| machine_type.cache_gb);
         self.image_cache.mark_used(image, size_gb, capacity_gb);
     }
 
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -98,7 +98,7 @@
     /// Demand of the task; `None` if its job is not known to this leader.
     pub(crate) demand: Option<TaskDemand>,
     /// Whether this leader started the task, so that its run time is known.
-    pub(crate) started_by_this_leader: bool,
+    pub(crate) was_started_by_this_leader: bool,
     /// Time that the task has to save a checkpoint when it is stopped; `None` if it need not stop.
     pub stop_grace: Option<Duration>,
 }
@@ -110,7 +110,7 @@
             state: MachineTaskState::Assigned,
             state_since: now,
             demand: Some(demand),
-            started_by_this_leader: true,
+            was_started_by_this_leader: true,
             stop_grace: None,
         }
     }
@@ -121,7 +121,7 @@
             state,
             state_since: now,
             demand: None,
-            started_by_this_leader: false,
+            was_started_by_this_leader: false,
             stop_grace: None,
         }
     }
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -115,7 +115,7 @@
 fn is_in_use(machine: &Machine) -> bool {
     machine.state() == MachineState::Up
         && !machine.has_interruption_notice
-        && !machine.lease_expired()
+        && !machine.is_lease_expired()
 }
 
 /// Takes idle machines out of use that are not needed, the most expensive ones first.
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -61,7 +61,8 @@
 
 /// Whether the machine is in use or on its way, and its worker's lease has not expired.
 pub(super) fn is_up_or_booting(machine: &Machine) -> bool {
-    matches!(machine.state(), MachineState::Up | MachineState::Booting) && !machine.lease_expired()
+    matches!(machine.state(), MachineState::Up | MachineState::Booting)
+        && !machine.is_lease_expired()
 }
 
 /// A machine whose heartbeat is overdue is probably gone. What that means for its tasks is decided
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -167,7 +167,7 @@
         };
         let mut saving: Vec<(TaskAttempt, Duration)> = Vec::new();
         for (key, machine_task) in machine.tasks.iter() {
-            let Some(job) = jobs.get(&key.task.job).filter(|job| job.saves_checkpoints()) else {
+            let Some(job) = jobs.get(&key.task.job).filter(|job| job.can_save_checkpoints()) else {
                 continue;
             };
             if machine_task.state == MachineTaskState::Running && machine_task.stop_grace.is_none()
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -103,7 +103,7 @@
         machine_task.set_job(job.spec(), job.team);
         match state {
             MachineTaskState::Done => {
-                let known = known.filter(|_| machine_task.started_by_this_leader);
+                let known = known.filter(|_| machine_task.was_started_by_this_leader);
                 let other = job.placements().get(&key.task.index).filter(|placed| {
                     placed.machine.as_str() != name || placed.attempt != key.attempt
                 });
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -31,7 +31,7 @@
     /// report.
     pub fn may_delay_answer(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
-            m.fenced
+            m.is_fenced
                 && m.tasks.is_empty()
                 && m.state() == MachineState::Up
                 && !m.has_interruption_notice
@@ -54,7 +54,7 @@
         let answered = MessageNumber { agent_epoch, sequence };
         machine.lease.record_answer(self.term, now);
         machine.ordering_tracker.term_exposure.record_answer(self.term, answered);
-        if !machine.fenced {
+        if !machine.is_fenced {
             return Vec::new();
         }
         let mut orders = forget_or_mark_stopped(machine, &self.cluster.jobs, &self.unclaimed);
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -31,7 +31,7 @@
         let machines = self.cluster.machines.values_mut();
         let expired: Vec<MachineName> = machines
             .filter_map(|machine| {
-                machine.expire_lease(now, expiry_after).then(|| machine.name.clone())
+                machine.expire_lease_if_due(now, expiry_after).then(|| machine.name.clone())
             })
             .collect();
         for name in expired {
