--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -70,7 +70,7 @@
     pub attempt: Attempt,
 }
 
-/// Resources that a task uses, with the team and priority that they are accounted to.
+/// Resources that a task uses, with the team and the priority under which they are counted.
 #[derive(Debug, Clone)]
 pub(crate) struct TaskDemand {
     /// Resources that the task uses.
@@ -99,7 +99,8 @@
     pub(crate) demand: Option<TaskDemand>,
     /// Whether this leader started the task, so that its run time is known.
     pub(crate) was_started_by_this_leader: bool,
-    /// Time that the task has to save a checkpoint when it is stopped; `None` if it need not stop.
+    /// Grace period, in which a stopped task may save a checkpoint; `None` if the task is not to be
+    /// stopped.
     pub stop_grace: Option<Duration>,
 }
 
@@ -167,7 +168,7 @@
         !matches!(self.state, MachineTaskState::Assigned | MachineTaskState::Ordered { .. })
     }
 
-    /// Returns whether the task uses resources of the machine and of its team's limit.
+    /// Returns whether the task uses resources of the machine and counts towards its team's limit.
     pub fn uses_resources(&self) -> bool {
         !matches!(self.state, MachineTaskState::Done | MachineTaskState::Exited)
     }
@@ -177,11 +178,10 @@
         matches!(self.state, MachineTaskState::Running | MachineTaskState::Saving)
     }
 
-    /// Returns the time to save a checkpoint for the order to stop the task; `None` if no order has
-    /// to be sent.
+    /// Returns the grace period for the order to stop the task; `None` if no order has to be sent.
     pub(super) fn stop_grace_to_send(&self) -> Option<Duration> {
         let grace = self.stop_grace?;
-        let send = match self.state {
+        let is_stop_needed = match self.state {
             MachineTaskState::Ordered { .. }
             | MachineTaskState::Fetching
             | MachineTaskState::Running => true,
@@ -189,7 +189,7 @@
             MachineTaskState::Saving => grace.is_zero(),
             MachineTaskState::Assigned | MachineTaskState::Done | MachineTaskState::Exited => false,
         };
-        send.then_some(grace)
+        is_stop_needed.then_some(grace)
     }
 }
 
@@ -253,7 +253,7 @@
 
 /// The tasks on a machine, with cached sums over them.
 ///
-/// To sum over the tasks of hundreds of machines in each placement pass would exceed the processor
+/// Summing over the tasks of hundreds of machines in each placement pass would exceed the processor
 /// share of a controller. So the sums are cached until the next mutable access to the tasks.
 #[derive(Debug, Default)]
 pub struct MachineTasks {
