--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -4,7 +4,7 @@
 use super::PlacementScope;
 use crate::cluster::Cluster;
 use crate::job::Job;
-use crate::machine::{Machine, Need};
+use crate::machine::{Machine, Resources};
 use corkfield_wire::{JobSpec, MachineName, Priority};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -15,7 +15,7 @@
     pub(super) zone: String,
     pub(super) spot: bool,
     /// Resources that no task uses.
-    pub(super) free: Need,
+    pub(super) free: Resources,
     /// Whether the machine gets only one task at a time, because its last task failed or because it
     /// is slow.
     pub(super) is_limited_to_one_task: bool,
@@ -23,9 +23,9 @@
     /// which no other machine has room.
     pub(super) is_slow: bool,
     /// Resources reserved for urgent tasks. They may still be in use by tasks of lower priority.
-    pub(super) reserved: Need,
+    pub(super) reserved: Resources,
     /// Resources used by the machine's tasks, by priority.
-    pub(super) used_by_priority: [Need; 4],
+    pub(super) used_by_priority: [Resources; 4],
 }
 
 impl MachineCapacity {
@@ -37,8 +37,8 @@
         // idle. Slow machines are therefore left to jobs that have no placed task.
         let is_slow = machine.is_slow();
         let is_limited_to_one_task = machine.has_failures() || is_slow;
-        let free = machine.free()?;
-        if is_limited_to_one_task && !machine.is_empty() {
+        let free = machine.free_resources()?;
+        if is_limited_to_one_task && !machine.is_idle() {
             return None;
         }
         Some(Self {
@@ -48,31 +48,31 @@
             free,
             is_limited_to_one_task,
             is_slow,
-            reserved: Need::default(),
+            reserved: Resources::default(),
             used_by_priority: machine.tasks.totals().by_priority,
         })
     }
 
     /// Returns whether a task with this need fits. [`PlacementScope::OneTask`] may use reserved
     /// resources.
-    pub(super) fn has_room_for(&self, need: &Need, scope: PlacementScope) -> bool {
+    pub(super) fn has_room_for(&self, need: &Resources, scope: PlacementScope) -> bool {
         match scope {
-            PlacementScope::OneTask => self.free.holds(need),
+            PlacementScope::OneTask => self.free.can_fit(need),
             PlacementScope::Guaranteed | PlacementScope::All => self.fits_unreserved(need),
         }
     }
 
     /// Returns whether a task with this need fits into the resources that are free and not
     /// reserved.
-    pub(super) fn fits_unreserved(&self, need: &Need) -> bool {
+    pub(super) fn fits_unreserved(&self, need: &Resources) -> bool {
         let mut unreserved = self.free;
         unreserved.subtract(&self.reserved);
-        unreserved.holds(need)
+        unreserved.can_fit(need)
     }
 
     /// Returns the unreserved resources that would be free if no task of a lower priority than
     /// `priority` ran on the machine.
-    pub(super) fn room_for_priority(&self, priority: Priority) -> Need {
+    pub(super) fn room_for_priority(&self, priority: Priority) -> Resources {
         let mut room = self.free;
         for lower in &self.used_by_priority[priority as usize + 1..] {
             room.add(lower);
@@ -82,7 +82,7 @@
     }
 
     /// Accounts for a task with this need and priority that was placed on the machine.
-    pub(super) fn allocate(&mut self, need: &Need, priority: Priority) {
+    pub(super) fn allocate(&mut self, need: &Resources, priority: Priority) {
         self.free.subtract(need);
         self.used_by_priority[priority as usize].add(need);
         if self.is_limited_to_one_task {
@@ -112,7 +112,7 @@
     /// priority have ended.
     pub(super) reservable: Vec<usize>,
     /// Smallest amount of each resource that any waiting task needs.
-    smallest_need: Need,
+    smallest_need: Resources,
     /// Highest priority of any waiting task.
     highest_priority: Option<Priority>,
     /// For each image that a waiting task needs, the sorted positions of the machines that hold it.
@@ -126,7 +126,7 @@
             machines: Vec::new(),
             with_room: Vec::new(),
             reservable: Vec::new(),
-            smallest_need: Need { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX },
+            smallest_need: Resources { cpus: f64::MAX, gpus: f64::MAX, memory_gb: f64::MAX },
             highest_priority: None,
             image_holders: HashMap::new(),
         };
@@ -135,7 +135,7 @@
         }
         let heartbeat_timeout = cluster.config.heartbeat_timeout();
         for machine in
-            cluster.machines.values().filter(|m| m.accepts_starts(now, heartbeat_timeout))
+            cluster.machines.values().filter(|m| m.can_accept_starts(now, heartbeat_timeout))
         {
             capacity.add_machine(machine);
         }
@@ -145,7 +145,7 @@
     /// Accounts for a job of the queue in the smallest need, the highest priority and the needed
     /// images.
     fn add_waiting_job(&mut self, spec: &JobSpec) {
-        self.smallest_need = self.smallest_need.minimum(&Need::per_task(spec));
+        self.smallest_need = self.smallest_need.minimum(&Resources::per_task(spec));
         let highest = self.highest_priority.map_or(spec.priority, |p| p.min(spec.priority));
         self.highest_priority = Some(highest);
         if !self.image_holders.contains_key(&spec.image) {
@@ -159,7 +159,7 @@
         self.machines.push(capacity);
         self.with_room.push(position);
         self.reservable.push(position);
-        for image in machine.images.names() {
+        for image in machine.image_cache.names() {
             if let Some(holders) = self.image_holders.get_mut(image) {
                 holders.push(position);
             }
@@ -188,7 +188,7 @@
         machines: &BTreeMap<MachineName, Machine>,
     ) -> Vec<usize> {
         let Self { machines: capacity, with_room, smallest_need, .. } = self;
-        let need = Need::per_task(job.spec());
+        let need = Resources::per_task(job.spec());
         let eligible = |position: &usize| {
             let machine = &capacity[*position];
             machine.has_room_for(&need, scope) && may_use_machine(job, machine, machines)
@@ -213,15 +213,15 @@
         reservable.retain(|position| {
             let machine = &capacity[*position];
             !machine.is_limited_to_one_task
-                && machine.room_for_priority(highest_priority).holds(smallest_need)
+                && machine.room_for_priority(highest_priority).can_fit(smallest_need)
         });
-        let need = Need::per_task(spec);
+        let need = Resources::per_task(spec);
         let slots = reservable.iter().filter_map(|&position| {
             let machine = &capacity[position];
             let count = count_fitting_tasks(&machine.room_for_priority(spec.priority), &need);
             let is_suitable = count >= 1.0
                 && (spec.spot || !machine.spot)
-                && machines[&machine.name].allows(spec);
+                && machines[&machine.name].may_run(spec);
             let free_cpus = machine.free.cpus;
             is_suitable.then_some(TaskSlots { position, tasks: count as u32, free_cpus })
         });
@@ -238,13 +238,13 @@
     let spec = job.spec();
     (spec.spot || !machine.spot)
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
-        && (spec.types.is_none() || machines[&machine.name].allows(spec))
+        && (spec.types.is_none() || machines[&machine.name].may_run(spec))
         && !job.has_failed_on(machine.name.as_str())
 }
 
 /// Returns how many tasks with this need fit into `room`, as a whole number. `need.cpus` must not
 /// be 0.
-fn count_fitting_tasks(room: &Need, need: &Need) -> f64 {
+fn count_fitting_tasks(room: &Resources, need: &Resources) -> f64 {
     let by_cpus = room.cpus / need.cpus;
     let by_memory = if need.memory_gb > 0.0 { room.memory_gb / need.memory_gb } else { by_cpus };
     by_cpus.min(by_memory).floor()
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -22,7 +22,7 @@
         .collect();
     for id in preempting_jobs {
         if let Some(job) = cluster.jobs.get_mut(&id) {
-            job.raise_start_watermark();
+            job.request_start_watermark_raise();
         }
     }
 }
@@ -65,8 +65,8 @@
     cluster
         .machines
         .values()
-        .filter(|machine| machine.accepts_starts(now, heartbeat_timeout))
-        .filter_map(|machine| machine.free())
+        .filter(|machine| machine.can_accept_starts(now, heartbeat_timeout))
+        .filter_map(|machine| machine.free_resources())
         .map(|free| free.cpus.max(0.0))
         .sum()
 }
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -50,10 +50,10 @@
         let mut machines: Vec<MachineSnapshot> = cluster
             .machines
             .values()
-            .filter(|machine| machine.accepts_starts(now, heartbeat_timeout))
+            .filter(|machine| machine.can_accept_starts(now, heartbeat_timeout))
             .map(|machine| MachineSnapshot {
                 name: machine.name.clone(),
-                free_cpus: machine.free().map_or(0.0, |free| free.cpus),
+                free_cpus: machine.free_resources().map_or(0.0, |free| free.cpus),
                 cpus_by_priority: machine.tasks.totals().by_priority.map(|need| need.cpus),
             })
             .collect();
@@ -187,7 +187,7 @@
         for key in tasks {
             let grace =
                 self.cluster.jobs.get(&key.task.job).map_or(Duration::ZERO, Job::stop_grace);
-            orders.extend(machine.stop(&key, grace));
+            orders.extend(machine.stop_task(&key, grace));
         }
         self.actions.push(direct_orders_action(machine, orders));
     }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -96,14 +96,17 @@
     fn startable_jobs(&mut self, is_reconciled: bool) -> Vec<StartableJob> {
         let mut startable = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.may_start()) {
-            let waiting = job.waiting();
+            let waiting = job.waiting_tasks();
             if waiting == 0 {
                 continue;
             }
             // A job without a start watermark is queued as well: its watermark is requested once
             // there is room for one of its tasks.
-            let tasks =
-                if job.needs_first_watermark() { waiting } else { job.startable(!is_reconciled) };
+            let tasks = if job.needs_first_watermark() {
+                waiting
+            } else {
+                job.startable_tasks(!is_reconciled)
+            };
             if tasks > 0 {
                 startable.push(StartableJob { id: id.clone(), tasks });
             }
@@ -116,12 +119,12 @@
         let waited = now.saturating_duration_since(job.accepted_at);
         QueueRank {
             is_urgent: job.is_urgent(),
-            is_starved: job.has_not_begun() && waited > STARVATION_TIMEOUT,
+            is_starved: job.has_not_started() && waited > STARVATION_TIMEOUT,
             is_guaranteed: self.is_next_task_guaranteed(job, usage),
             priority: job.spec().priority,
             is_late: self.is_late(job, expected_run_s, now),
             expected_run_s,
-            remaining_cpu_s: job.demand().cpus * expected_run_s,
+            remaining_cpu_s: job.remaining_demand().cpus * expected_run_s,
             accepted_at: job.accepted_at,
         }
     }
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -75,7 +75,7 @@
 }
 
 fn has_boot_timed_out(machine: &Machine, now: Instant) -> bool {
-    let boot_s = machine.size.as_ref().map_or(DEFAULT_BOOT_S, |size| size.boot_s);
+    let boot_s = machine.machine_type.as_ref().map_or(DEFAULT_BOOT_S, |size| size.boot_s);
     let limit = Duration::from_secs_f64(boot_s * BOOT_TIMEOUT_RATIO + BOOT_TIMEOUT_MARGIN_S);
     machine.state() == MachineState::Booting
         && now.saturating_duration_since(machine.rented_at) > limit
@@ -95,7 +95,7 @@
     let mut balance = SpotBalance::default();
     let mut expensive = Vec::new();
     for machine in cluster.machines.values().filter(|machine| is_usable(machine)) {
-        let Some(size) = &machine.size else { continue };
+        let Some(size) = &machine.machine_type else { continue };
         if machine.spot {
             balance.spot_cpus += size.cpus;
         } else if is_expensive(size) {
@@ -115,7 +115,9 @@
 /// Returns whether the machine is up, with neither a notice from the cloud nor an expired worker
 /// lease.
 fn is_usable(machine: &Machine) -> bool {
-    machine.state() == MachineState::Up && !machine.notice && !machine.lease_expired()
+    machine.state() == MachineState::Up
+        && !machine.has_interruption_notice
+        && !machine.is_lease_expired()
 }
 
 /// Drains idle machines that are not needed, the most expensive ones first.
@@ -147,7 +149,7 @@
     let short_keep = long_keep.mul_f64(SHORT_IDLE_KEEP_FRACTION);
     let mut idle = Vec::new();
     for machine in cluster.machines.values_mut() {
-        let Some(size) = &machine.size else { continue };
+        let Some(size) = &machine.machine_type else { continue };
         if machine.state() != MachineState::Up || !machine.tasks.is_empty() {
             machine.idle_since = None;
             continue;
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -61,7 +61,7 @@
     Action::SendDirectOrders {
         machine: machine.name.clone(),
         addr: machine.addr.clone(),
-        agent_epoch: machine.messages.newest().agent_epoch,
+        agent_epoch: machine.message_history.newest().agent_epoch,
         orders,
     }
 }
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -50,7 +50,7 @@
                 if storable.chunks.len() >= MAX_CHUNKS_PER_COMMIT {
                     break;
                 }
-                storable.chunks.insert(chunk, job.chunk(chunk));
+                storable.chunks.insert(chunk, job.finished_in_chunk(chunk));
             }
             storable.tasks.push(index);
         }
@@ -76,7 +76,7 @@
         now: Instant,
     ) -> Vec<CompletionCommit> {
         let due = self.cluster.jobs.values_mut().filter_map(|job| {
-            let urgency = job.commit_due(now)?;
+            let urgency = job.commit_urgency(now)?;
             Some((urgency, job.last_commit_at(), job))
         });
         let mut due: Vec<(CommitUrgency, Option<Instant>, &mut Job)> = due.collect();
@@ -130,7 +130,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.commit_succeeded(record, tasks, version);
+        job.on_commit_succeeded(record, tasks, version);
         if *completes_job {
             tracing::debug!(job = %id, tasks = record.done, "job done");
             self.close_job(id);
@@ -149,9 +149,9 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        job.commit_failed();
+        job.on_commit_failed();
         if let Some((record, finished, version)) = found {
-            job.found_record(record, &finished, version);
+            job.merge_stored_record(record, &finished, version);
         }
     }
 }
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -50,7 +50,7 @@
         // as slow.
         let shortest = self.measured.saturating_sub(self.gap);
         if let Some(ratio) = job.run_times.ratio_to_mean(shortest) {
-            machine.health.note_run_time(clamp(ratio, &SLOWNESS_RATIO_BOUNDS));
+            machine.health.record_run_time(clamp(ratio, &SLOWNESS_RATIO_BOUNDS));
         }
         let measured_s = self.measured.as_secs_f64();
         job.run_times.add(measured_s);
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -17,9 +17,9 @@
     /// heartbeat.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
-            machine.accepts_starts(now, Duration::MAX)
-                && machine.free().is_some_and(|free| free.cpus > 0.0)
-        }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting() > 0)
+            machine.can_accept_starts(now, Duration::MAX)
+                && machine.free_resources().is_some_and(|free| free.cpus > 0.0)
+        }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting_tasks() > 0)
     }
 
     /// Returns whether tasks are assigned to the machine whose starts were not sent yet.
@@ -37,7 +37,10 @@
     /// taken away by the cloud.
     pub fn may_delay_answer(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
-            m.fenced && m.tasks.is_empty() && m.state() == MachineState::Up && !m.notice
+            m.is_fenced
+                && m.tasks.is_empty()
+                && m.state() == MachineState::Up
+                && !m.has_interruption_notice
         })
     }
 
@@ -58,17 +61,17 @@
             return Vec::new();
         };
         let answered = MessageNumber { agent_epoch, sequence };
-        machine.lease.note_answer(self.term, now);
-        machine.exchanges.exposure.note_answer(self.term, answered);
-        if !machine.fenced {
+        machine.lease.record_answer(self.term, now);
+        machine.ordering_tracker.term_exposure.record_answer(self.term, answered);
+        if !machine.is_fenced {
             return Vec::new();
         }
         let mut orders =
             forget_exited_or_stop_orphaned(machine, &self.cluster.jobs, &self.unclaimed_jobs);
-        orders.extend(machine.stops());
+        orders.extend(machine.stop_orders());
         orders.truncate(MAX_ORDERS);
-        let is_newest = machine.messages.newest() == answered;
-        if may_start && is_newest && machine.accepts_starts(now, Duration::MAX) {
+        let is_newest = machine.message_history.newest() == answered;
+        if may_start && is_newest && machine.can_accept_starts(now, Duration::MAX) {
             let max_starts = MAX_ORDERS - orders.len();
             orders.extend(order_starts(machine, &self.cluster.jobs, answered, max_starts, now));
         }
@@ -91,9 +94,9 @@
         }
         if may_forget(machine_task.state, job, key.task.index) {
             orders.push(Order::Forget { task: key.task.clone(), attempt: key.attempt });
-        } else if job.is_none() && machine_task.takes_room() {
+        } else if job.is_none() && machine_task.uses_resources() {
             // S11: the task is orphaned, because its job is cancelled, done or lost.
-            machine_task.stop_at_once();
+            machine_task.stop_without_grace();
         }
     }
     orders
@@ -130,7 +133,7 @@
         };
         // A start must carry the generation of its job's record.
         debug_assert_eq!(key.attempt.generation(), job.record.generation);
-        let waited_ms = now.saturating_duration_since(machine_task.since).as_millis();
+        let waited_ms = now.saturating_duration_since(machine_task.state_since).as_millis();
         machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
         tracing::debug!(
             task = %key.task,
