--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,106 +1,111 @@
-//! A machine and everything that may be on it.
+//! State of one machine: its worker, the tasks on it, and how far this leader can trust both.
+//!
+//! All knowledge about a machine comes from the messages of its worker, from the cloud's list of
+//! machines, and from the record that an earlier leader stored.
 
-mod doubt;
-mod evidence;
 mod health;
 mod image_cache;
 mod lease;
-mod messages;
+mod message_history;
+mod message_ordering;
+mod message_processing;
 mod origin;
 mod reachability;
-mod receipt;
 mod resources;
 mod state;
+mod task_uncertainty;
 mod tasks;
 mod term_exposure;
 #[cfg(test)]
 mod tests;
 
-pub use origin::{DirectExchange, MessageOrigin};
+pub use origin::{MessageOrigin, PendingDirectRequest};
 pub use reachability::Reachability;
-pub use resources::Need;
-pub use state::{MachineState, Recorded};
+pub use resources::Resources;
+pub use state::{MachineState, RecordState};
 pub use tasks::{MachineTask, MachineTaskState, MachineTasks, TaskAttempt};
 
-pub use messages::MessageNumber;
+pub use message_history::MessageNumber;
 
-pub(crate) use doubt::Doubt;
-pub(crate) use evidence::Evidence;
+pub(crate) use message_ordering::MessageOrdering;
+pub(crate) use task_uncertainty::TaskUncertainty;
 
 use crate::job::Job;
 use corkfield_wire::cloud::{ListedMachine, MachineType};
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
 use corkfield_wire::{Attempt, JobSpec, MachineName, TaskId, Term};
-use evidence::Exchanges;
 use health::MachineHealth;
 use image_cache::ImageCache;
 use lease::WorkerLease;
-use messages::MessageHistory;
+use message_history::MessageHistory;
+use message_ordering::OrderingTracker;
 use std::time::{Duration, Instant};
 use tasks::TaskDemand;
 use term_exposure::TermExposure;
 
-/// Whether a job may run on machines of that type, in that zone and of that kind.
-pub(crate) fn allows(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
+/// Returns whether a job may run on machines with the given type and zone that are spot machines
+/// or not, as given by `spot`.
+pub(crate) fn may_run_on(spec: &JobSpec, type_name: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.types.as_ref().is_none_or(|names| names.iter().any(|name| name == type_name))
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
-/// A machine, and what this leader knows of it.
+/// A machine, with everything that this leader knows about it.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name in the cloud.
+    /// Name of the machine in the cloud.
     pub name: MachineName,
-    /// Where its worker takes direct orders.
+    /// Address at which the worker accepts direct orders; empty if it is not known yet.
     pub addr: String,
-    /// Name of its type.
+    /// Name of the machine type.
     pub type_name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether this is a spot machine.
     pub spot: bool,
-    /// Its type, if the cloud's types are known and it is among them.
-    pub(crate) size: Option<MachineType>,
-    /// What it is used for.
+    /// The machine type; `None` if the cloud's types are not known or don't contain it.
+    pub(crate) machine_type: Option<MachineType>,
+    /// Current phase of the machine's life.
     state: MachineState,
-    /// Whether the key-value store knows that it may hold tasks.
-    pub recorded: Recorded,
-    /// No order of an earlier leader can act on it any more (S7).
-    pub fenced: bool,
-    /// The order of its worker's messages.
-    pub(crate) messages: MessageHistory,
-    /// What is known of its worker's processes and exchanges.
-    pub(crate) exchanges: Exchanges,
-    /// Since when it has to be asked what it holds, as its heartbeats don't prove it.
-    pub(crate) doubt: Option<Doubt>,
-    /// Its worker's lease.
+    /// Whether the key-value store has a record that the machine may hold tasks.
+    pub record_state: RecordState,
+    /// Whether the worker no longer accepts orders of earlier leaders (S7).
+    pub is_fenced: bool,
+    /// Numbers and terms of the messages that the worker has sent so far.
+    pub(crate) message_history: MessageHistory,
+    /// What is needed to order the worker's messages across restarts of the worker's process.
+    pub(crate) ordering_tracker: OrderingTracker,
+    /// Set while the heartbeats don't prove which tasks are on the machine.
+    pub(crate) task_uncertainty: Option<TaskUncertainty>,
+    /// The worker's lease.
     pub(crate) lease: WorkerLease,
-    /// Since when it is known to exist.
+    /// Time since which the machine is known to exist.
     pub(crate) known_since: Instant,
-    /// When it was rented, as far as is known.
+    /// When the machine was rented; if a heartbeat or a record reported it first, when it became
+    /// known to this leader.
     pub(crate) rented_at: Instant,
-    /// When its worker's newest message came.
-    pub(crate) heard_at: Option<Instant>,
-    /// Whether orders reach its worker.
+    /// When the worker's newest message arrived.
+    pub(crate) last_message_at: Option<Instant>,
+    /// Whether orders reach the worker.
     reachability: Reachability,
-    /// Direct orders in a row that were not answered.
-    unanswered: u32,
-    /// The cloud has announced that it takes this spot machine back.
-    pub(crate) notice: bool,
-    /// Since when nothing is on it, as scale-in found it.
+    /// Number of consecutive direct requests that the worker did not answer.
+    unanswered_requests: u32,
+    /// Whether the cloud has announced that it will reclaim this spot machine.
+    pub(crate) has_interruption_notice: bool,
+    /// Time since which scale-in has seen no task on the machine.
     pub(crate) idle_since: Option<Instant>,
-    /// The tasks that are, or may be, on it.
+    /// Tasks that are, or may be, on the machine.
     pub tasks: MachineTasks,
-    /// Images that it probably has.
-    pub(crate) images: ImageCache,
-    /// What its tasks tell about it.
+    /// Images that the machine has probably cached.
+    pub(crate) image_cache: ImageCache,
+    /// Failures, refused starts and slowness observed on the machine.
     pub(crate) health: MachineHealth,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but that it exists.
+    /// Creates a booting machine from its description; its worker has sent nothing yet.
     pub(crate) fn new(
         name: MachineName,
         type_name: String,
@@ -109,35 +114,35 @@
         types: &[MachineType],
         now: Instant,
     ) -> Self {
-        let size = find_size(types, &type_name);
+        let machine_type = find_machine_type(types, &type_name);
         Self {
             name,
             addr: String::new(),
             type_name,
             zone,
             spot,
-            size,
+            machine_type,
             state: MachineState::Booting,
-            recorded: Recorded::No,
-            fenced: false,
-            messages: MessageHistory::default(),
-            exchanges: Exchanges::default(),
-            doubt: None,
+            record_state: RecordState::NotStored,
+            is_fenced: false,
+            message_history: MessageHistory::default(),
+            ordering_tracker: OrderingTracker::default(),
+            task_uncertainty: None,
             lease: WorkerLease::new(now),
             known_since: now,
             rented_at: now,
-            heard_at: None,
+            last_message_at: None,
             reachability: Reachability::Reachable,
-            unanswered: 0,
-            notice: false,
+            unanswered_requests: 0,
+            has_interruption_notice: false,
             idle_since: None,
             tasks: MachineTasks::default(),
-            images: ImageCache::default(),
+            image_cache: ImageCache::default(),
             health: MachineHealth::default(),
         }
     }
 
-    /// A machine that an earlier leader recorded, `age` ago at the least (S7).
+    /// Creates a machine from the record of an earlier leader, stored at least `age` ago (S7).
     pub(crate) fn from_record(
         name: &str,
         record: &MachineRecord,
@@ -148,25 +153,26 @@
         let MachineRecord { addr, machine_type, zone, spot, .. } = record.clone();
         let mut machine = Self::new(MachineName::from(name), machine_type, zone, spot, types, now);
         machine.addr = addr;
-        machine.recorded = Recorded::Yes;
-        // It existed then, so the first lists may tell already that it is gone.
+        machine.record_state = RecordState::Stored;
+        // The machine existed when the record was stored. So a list of the cloud requested shortly
+        // after the failover already proves that the machine is gone if it is missing there.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         machine.enter(MachineState::Up);
         machine
     }
 
-    /// A machine that was not known before its worker sent a heartbeat.
+    /// Creates a machine that became known by a heartbeat of its worker.
     pub(crate) fn from_heartbeat(
         heartbeat: &WorkerHeartbeat,
         types: &[MachineType],
         now: Instant,
     ) -> Self {
         let WorkerHeartbeat { machine, machine_type, zone, spot, .. } = heartbeat;
-        tracing::debug!(machine = machine.as_str(), machine_type, "new machine");
+        tracing::debug!(machine = machine.as_str(), machine_type, "machine found by a heartbeat");
         Self::new(machine.clone(), machine_type.clone(), zone.clone(), *spot, types, now)
     }
 
-    /// A machine that was not known before the cloud listed it.
+    /// Creates a machine that became known by the cloud's list of machines.
     pub(crate) fn from_listed(entry: &ListedMachine, types: &[MachineType], now: Instant) -> Self {
         let ListedMachine { name, machine_type, zone, spot, .. } = entry.clone();
         let mut machine = Self::new(name, machine_type, zone, spot, types, now);
@@ -175,98 +181,108 @@
         machine
     }
 
-    /// What it is used for.
+    /// Returns the current phase of the machine's life.
     pub fn state(&self) -> MachineState {
         self.state
     }
 
-    /// The one place where a machine's state changes; it never comes back from deletion.
+    /// Changes the machine's state. All changes go through this method, and a machine never leaves
+    /// `Deleting`.
     pub(crate) fn enter(&mut self, state: MachineState) {
         if self.state == state || self.state == MachineState::Deleting {
             return;
         }
-        tracing::debug!(machine = %self.name, from = ?self.state, to = ?state, "machine state");
+        tracing::debug!(
+            machine = %self.name,
+            from = ?self.state,
+            to = ?state,
+            "machine state changed"
+        );
         self.state = state;
     }
 
-    /// Whether orders reach its worker.
+    /// Returns whether orders reach the worker.
     pub fn reachability(&self) -> Reachability {
         self.reachability
     }
 
-    /// The one place where its reachability changes. `delivered` says whether its newest heartbeat
-    /// shows the starts sent before; an answer to a direct order proves that orders reach it.
-    pub(crate) fn note_delivery(&mut self, delivered: bool) {
+    /// Updates the reachability; all changes go through this method. `delivered` is true if the
+    /// newest heartbeat reports the starts sent before it, or if the worker answered a direct
+    /// request.
+    pub(crate) fn update_reachability(&mut self, delivered: bool) {
         let next = self.reachability.after_delivery(delivered);
         if (next == Reachability::Unreachable) != (self.reachability == Reachability::Unreachable) {
             tracing::debug!(
                 machine = %self.name,
                 from = ?self.reachability,
                 to = ?next,
-                "machine reachability"
+                "machine reachability changed"
             );
         }
         self.reachability = next;
     }
 
-    /// Its worker's address as the cloud lists it, if it is not known from a message.
-    pub(crate) fn note_listed_addr(&mut self, addr: &str) {
+    /// Sets the worker's address from the cloud's list, unless a message has already reported one.
+    pub(crate) fn set_addr_if_unknown(&mut self, addr: &str) {
         if self.addr.is_empty() {
             addr.clone_into(&mut self.addr);
         }
     }
 
-    /// Takes its size from the cloud's machine types.
-    pub(crate) fn update_size(&mut self, types: &[MachineType]) {
-        self.size = find_size(types, &self.type_name);
+    /// Looks up the machine's type in the cloud's machine types.
+    pub(crate) fn update_machine_type(&mut self, types: &[MachineType]) {
+        self.machine_type = find_machine_type(types, &self.type_name);
     }
 
-    /// Its worker did not answer direct orders in time.
-    pub(crate) fn note_unanswered(&mut self) {
-        self.unanswered += 1;
+    /// Counts a direct request that the worker did not answer in time.
+    pub(crate) fn record_unanswered_request(&mut self) {
+        self.unanswered_requests += 1;
     }
 
-    /// How many direct orders in a row its worker did not answer.
-    pub(crate) fn unanswered(&self) -> u32 {
-        self.unanswered
+    /// Returns how many consecutive direct requests the worker did not answer.
+    pub(crate) fn unanswered_requests(&self) -> u32 {
+        self.unanswered_requests
     }
 
-    /// S7: only what was sent after the worker took our term is fresh. A machine without a
-    /// record was never given a task by anybody. Returns whether the machine is fenced now.
+    /// Fences the machine if the heartbeat permits it, and returns whether it is fenced now (S7).
+    ///
+    /// A heartbeat under our term proves that the worker drops orders of earlier leaders. A machine
+    /// without a record and without tasks needs no such proof: no leader ever gave it a task.
     pub(crate) fn update_fence(&mut self, heartbeat: &WorkerHeartbeat, our_term: Term) -> bool {
-        let unused = self.recorded == Recorded::No && heartbeat.tasks.is_empty();
-        self.fenced = self.fenced || unused || heartbeat.term == our_term;
-        self.fenced
+        let is_unused = self.record_state == RecordState::NotStored && heartbeat.tasks.is_empty();
+        self.is_fenced = self.is_fenced || is_unused || heartbeat.term == our_term;
+        self.is_fenced
     }
 
-    /// Ends the worker's lease if it is surely over (S5c: no controller can have answered it for
-    /// longer than its lease). Returns whether it has just expired.
-    pub(crate) fn expire_lease(&mut self, now: Instant, expiry_after: Duration) -> bool {
-        if self.state == MachineState::Booting || !self.lease.is_over(now, expiry_after) {
+    /// Expires the worker's lease if no controller can have renewed it within the last
+    /// `expiry_after` (S5c). Returns whether the lease expired in this call.
+    pub(crate) fn expire_lease_if_due(&mut self, now: Instant, expiry_after: Duration) -> bool {
+        if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_after) {
             return false;
         }
         tracing::debug!(machine = %self.name, "worker lease has expired");
         self.lease.expire();
-        self.fenced = false;
-        self.doubt = None;
-        self.messages.end_agent_epoch();
+        self.is_fenced = false;
+        self.task_uncertainty = None;
+        self.message_history.end_agent_epoch();
         if self.tasks.values().any(MachineTask::is_ordered) {
-            self.note_delivery(false);
+            self.update_reachability(false);
         }
         true
     }
 
-    /// Whether its worker's lease has expired, with no fresh heartbeat since.
-    pub(crate) fn lease_expired(&self) -> bool {
+    /// Returns whether the worker's lease has expired and no fresh heartbeat has arrived since.
+    pub(crate) fn is_lease_expired(&self) -> bool {
         self.lease.is_expired()
     }
 
-    /// Begins the write of its record, if it has none: returns the record to store.
-    pub(crate) fn begin_recording(&mut self) -> Option<MachineRecord> {
-        if self.recorded != Recorded::No {
+    /// Marks the machine's record as being written and returns the record to store; `None` if the
+    /// record is stored or being written already.
+    pub(crate) fn begin_record_write(&mut self) -> Option<MachineRecord> {
+        if self.record_state != RecordState::NotStored {
             return None;
         }
-        self.recorded = Recorded::Writing;
+        self.record_state = RecordState::Writing;
         Some(MachineRecord {
             addr: self.addr.clone(),
             machine_type: self.type_name.clone(),
@@ -276,92 +292,96 @@
         })
     }
 
-    /// The write of its record was answered: it is `stored`, or the write failed.
-    pub(crate) fn finish_recording(&mut self, stored: bool) {
-        self.recorded = if stored { Recorded::Yes } else { Recorded::No };
+    /// Records the result of the write of the machine's record.
+    pub(crate) fn finish_record_write(&mut self, stored: bool) {
+        self.record_state = if stored { RecordState::Stored } else { RecordState::NotStored };
     }
 
-    /// Capacity that no task takes; none while something of unknown size is there.
-    pub(crate) fn free(&self) -> Option<Need> {
-        let size = self.size.as_ref()?;
+    /// Returns the resources that no task uses; `None` if the machine type is unknown or a task
+    /// with unknown resources is on the machine.
+    pub(crate) fn free_resources(&self) -> Option<Resources> {
+        let machine_type = self.machine_type.as_ref()?;
         let totals = self.tasks.totals();
         if totals.has_unknown_tasks {
             return None;
         }
-        let mut free = Need::size_of(size);
+        let mut free = Resources::capacity_of(machine_type);
         free.subtract(&totals.used);
         Some(free)
     }
 
-    /// Its tasks took much longer than the same jobs' tasks elsewhere.
+    /// Returns whether tasks take much longer here than tasks of the same jobs elsewhere.
     pub(crate) fn is_slow(&self) -> bool {
         self.health.is_slow()
     }
 
-    /// Whether a task failed here since one last completed.
+    /// Returns whether a task has failed here since a task last completed here.
     pub(crate) fn has_failures(&self) -> bool {
         self.health.has_failures()
     }
 
-    /// Takes a task of the job that was chosen for it; no order has left yet.
-    pub(crate) fn assign(&mut self, task: TaskId, attempt: Attempt, job: &Job, now: Instant) {
+    /// Assigns a task of the job to the machine; its start has not been ordered yet.
+    pub(crate) fn assign_task(&mut self, task: TaskId, attempt: Attempt, job: &Job, now: Instant) {
         let spec = job.spec();
         let assigned = MachineTask::assigned(TaskDemand::per_task(spec, job.team), now);
         self.tasks.insert(TaskAttempt { task, attempt }, assigned);
-        self.touch_image(&spec.image, spec.image_gb);
+        self.mark_image_used(&spec.image, spec.image_gb);
     }
 
-    /// Marks a task to be stopped, and gives the order for it.
-    pub(crate) fn stop(&mut self, key: &TaskAttempt, grace: Duration) -> Option<Order> {
-        self.tasks.get_mut(key)?.stop = Some(grace);
-        Some(stop_order(key, grace))
+    /// Marks a task to be stopped and returns the order to stop it; `None` if the task is not on
+    /// the machine.
+    pub(crate) fn stop_task(&mut self, key: &TaskAttempt, grace: Duration) -> Option<Order> {
+        self.tasks.get_mut(key)?.stop_grace = Some(grace);
+        Some(build_stop_order(key, grace))
     }
 
-    /// Whether nothing on it takes room.
-    pub(crate) fn is_empty(&self) -> bool {
+    /// Returns whether no task on the machine uses resources.
+    pub(crate) fn is_idle(&self) -> bool {
         self.tasks.totals().tasks == 0
     }
 
-    /// Whether starts may be assigned to it; `silence` is the longest time since its newest
-    /// message.
-    pub(crate) fn accepts_starts(&self, now: Instant, silence: Duration) -> bool {
+    /// Returns whether starts may be assigned to the machine. Its newest message must not be older
+    /// than `max_silence`.
+    pub(crate) fn can_accept_starts(&self, now: Instant, max_silence: Duration) -> bool {
         self.state == MachineState::Up
-            && self.fenced
-            && !self.lease_expired()
-            && !self.notice
+            && self.is_fenced
+            && !self.is_lease_expired()
+            && !self.has_interruption_notice
             && self.reachability != Reachability::Unreachable
-            && self.recorded == Recorded::Yes
-            && self.heard_at.is_some_and(|at| now.duration_since(at) <= silence)
-            && self.health.accepts_starts(now)
+            && self.record_state == RecordState::Stored
+            && self.last_message_at.is_some_and(|at| now.duration_since(at) <= max_silence)
+            && self.health.can_accept_starts(now)
     }
 
-    /// Whether a job may run on it.
-    pub(crate) fn allows(&self, spec: &JobSpec) -> bool {
-        allows(spec, &self.type_name, &self.zone, self.spot)
+    /// Returns whether a job may run on the machine.
+    pub(crate) fn may_run(&self, spec: &JobSpec) -> bool {
+        may_run_on(spec, &self.type_name, &self.zone, self.spot)
     }
 
-    /// Notes an image as the most recently used.
-    pub(crate) fn touch_image(&mut self, image: &str, size_gb: f64) {
-        let capacity_gb = self.size.as_ref().map_or(0.0, |size| size.cache_gb);
-        self.images.touch(image, size_gb, capacity_gb);
+    /// Marks an image as the most recently used one in the machine's cache.
+    pub(crate) fn mark_image_used(&mut self, image: &str, size_gb: f64) {
+        let capacity_gb =
+            self.machine_type.as_ref().map_or(0.0, |machine_type| machine_type.cache_gb);
+        self.image_cache.mark_used(image, size_gb, capacity_gb);
     }
 
-    /// Stops that have to be sent to the worker, again with every answer.
-    pub(crate) fn stops(&self) -> impl Iterator<Item = Order> + '_ {
+    /// Returns the orders to stop tasks. They are repeated with every answer until they take
+    /// effect.
+    pub(crate) fn stop_orders(&self) -> impl Iterator<Item = Order> + '_ {
         self.tasks.iter().filter_map(|(key, machine_task)| {
-            let grace = machine_task.stop_to_send()?;
-            Some(stop_order(key, grace))
+            let grace = machine_task.stop_grace_to_send()?;
+            Some(build_stop_order(key, grace))
         })
     }
 }
 
-/// The machine type of that name.
-fn find_size(types: &[MachineType], name: &str) -> Option<MachineType> {
+/// Returns the machine type with the given name.
+fn find_machine_type(types: &[MachineType], name: &str) -> Option<MachineType> {
     types.iter().find(|machine_type| machine_type.name == name).cloned()
 }
 
-/// The order to stop a task, with so much time to save.
-fn stop_order(key: &TaskAttempt, grace: Duration) -> Order {
+/// Builds the order to stop a task within `grace`, the time that it has to save a checkpoint.
+fn build_stop_order(key: &TaskAttempt, grace: Duration) -> Order {
     let TaskAttempt { task, attempt } = key.clone();
     Order::Stop { task, attempt, grace_s: grace.as_secs_f64() }
 }
--- a/crates/core/src/machine/resources.rs
+++ b/crates/core/src/machine/resources.rs
@@ -1,64 +1,68 @@
 //! Amounts of CPUs, GPUs and memory.
 
-use crate::team::EPSILON;
+use crate::team::AMOUNT_TOLERANCE;
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::JobSpec;
 
-/// An amount of resources: what a task needs, or what a machine has free.
+/// An amount of resources, for example the need of a task or the free capacity of a machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Need {
-    /// CPUs.
+pub struct Resources {
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
-    /// Memory, in GB.
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
-impl Need {
-    /// What one task of a job needs.
+impl Resources {
+    /// Returns the resources that one task of a job needs.
     pub fn per_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// All that a machine of that type has.
-    pub(super) fn size_of(machine_type: &MachineType) -> Self {
+    /// Returns the total resources of a machine of the given type.
+    pub(super) fn capacity_of(machine_type: &MachineType) -> Self {
         Self { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 
     /// Adds another amount to this one.
-    pub(crate) fn add(&mut self, other: &Need) {
+    pub(crate) fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes another amount off this one; the result may be negative.
-    pub(crate) fn subtract(&mut self, other: &Need) {
+    /// Subtracts another amount from this one; the result may be negative.
+    pub(crate) fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// What that many tasks need.
-    pub(crate) fn times(&self, count: u32) -> Need {
+    /// Returns this amount multiplied by `count`.
+    pub(crate) fn multiplied_by(&self, count: u32) -> Resources {
         let count = f64::from(count);
-        Need { cpus: self.cpus * count, gpus: self.gpus * count, memory_gb: self.memory_gb * count }
+        Resources {
+            cpus: self.cpus * count,
+            gpus: self.gpus * count,
+            memory_gb: self.memory_gb * count,
+        }
     }
 
-    /// The smaller amount of each resource.
-    pub(crate) fn minimum(&self, other: &Need) -> Need {
-        Need {
+    /// Returns the smaller amount of each resource.
+    pub(crate) fn minimum(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
             memory_gb: self.memory_gb.min(other.memory_gb),
         }
     }
 
-    /// Whether `need` fits into this amount, with a tolerance for sums of decimal numbers.
-    pub(crate) fn holds(&self, need: &Need) -> bool {
-        need.cpus <= self.cpus + EPSILON
-            && need.gpus <= self.gpus + EPSILON
-            && need.memory_gb <= self.memory_gb + EPSILON
+    /// Returns whether `need` fits into this amount, with a tolerance for rounding errors of sums.
+    pub(crate) fn can_fit(&self, need: &Resources) -> bool {
+        need.cpus <= self.cpus + AMOUNT_TOLERANCE
+            && need.gpus <= self.gpus + AMOUNT_TOLERANCE
+            && need.memory_gb <= self.memory_gb + AMOUNT_TOLERANCE
     }
 }
--- a/crates/core/src/scheduler/heartbeats/absent_tasks.rs
+++ b/crates/core/src/scheduler/heartbeats/absent_tasks.rs
@@ -2,7 +2,9 @@
 //! (S5a).
 
 use super::HeartbeatContext;
-use crate::machine::{Doubt, Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
+use crate::machine::{
+    Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt, TaskUncertainty,
+};
 use std::time::Instant;
 
 /// What a heartbeat proves about one known task that it does not list.
@@ -65,15 +67,18 @@
     /// Returns the doubt about the machine's tasks after this heartbeat, given the doubt before it.
     pub(super) fn doubt(
         &self,
-        previous: Option<Doubt>,
+        previous: Option<TaskUncertainty>,
         context: &HeartbeatContext,
-    ) -> Option<Doubt> {
+    ) -> Option<TaskUncertainty> {
         // The answer to a direct request raises no new doubt: a start may be in transit.
         if previous.is_none() && !context.origin.is_own_heartbeat() {
             return None;
         }
         let sent_at = self.newest_start_in_doubt?;
-        Some(Doubt::of_starts(sent_at, context.received_at).continuing(previous))
+        Some(
+            TaskUncertainty::from_unconfirmed_starts(sent_at, context.received_at)
+                .keeping_start_of(previous),
+        )
     }
 }
 
@@ -93,7 +98,7 @@
         // A start is sent only in the answer to a heartbeat, and the worker drops an answer that
         // arrives too late (S3). A message that was provably written after the answer arrived or was
         // dropped shows whether the start was executed.
-        let sent_at = machine_task.since;
+        let sent_at = machine_task.state_since;
         if self.number <= answered {
             Absence::Unknown
         } else if newest_confirmed_start >= Some(answered)
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -29,7 +29,7 @@
             }
             Some(ExitCause::NoRoom | ExitCause::Busy) => {
                 if let Some(machine) = self.cluster.machines.get_mut(name) {
-                    machine.health.note_refusal(now + REFUSAL_PAUSE);
+                    machine.health.record_refusal(now + REFUSAL_PAUSE);
                 }
             }
             Some(ExitCause::Unknown) => {
@@ -50,10 +50,10 @@
         // Failures of a job that never completed a task and fails on many machines don't indicate
         // that a machine is faulty.
         let has_completed_tasks = job.run_times.has_any();
-        if job.failures.may_blame_machines() || has_completed_tasks {
-            machine.health.note_failure(id);
+        if job.failures.may_be_caused_by_machines() || has_completed_tasks {
+            machine.health.record_failure(id);
         }
-        let must_back_off = job.failures.call_for_back_off();
+        let must_back_off = job.failures.should_back_off();
         if machine.health.is_faulty(has_completed_tasks) && machine.state() == MachineState::Up {
             machine.enter(MachineState::Draining);
             self.log_machine_event(name, "machine fails its tasks; drained and returned");
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -8,7 +8,8 @@
 use super::{direct_orders_action, Action, Scheduler};
 use crate::cluster::Cluster;
 use crate::machine::{
-    Doubt, Evidence, Machine, MachineTaskState, MessageNumber, MessageOrigin, TaskAttempt,
+    Machine, MachineTaskState, MessageNumber, MessageOrdering, MessageOrigin, TaskAttempt,
+    TaskUncertainty,
 };
 use absent_tasks::AbsentTasks;
 use corkfield_wire::worker::{Order, WorkerHeartbeat};
@@ -40,7 +41,7 @@
     /// How the message was received.
     origin: MessageOrigin,
     /// Evidence of when the message was written.
-    evidence: Evidence,
+    evidence: MessageOrdering,
     /// Tasks of the machine that are known to the scheduler but not listed in the heartbeat.
     absent_tasks: Vec<TaskAttempt>,
     /// Number of the message.
@@ -71,28 +72,30 @@
         let max_prompt_gap = self.cluster.config.heartbeat_interval.mul_f64(MAX_PROMPT_INTERVALS);
         let number = MessageNumber::from(heartbeat);
         let machine = self.get_or_insert_machine(heartbeat, now);
-        if machine.messages.is_outdated(number) {
+        if machine.message_history.is_outdated(number) {
             if origin.is_own_heartbeat() {
-                machine.messages.note_outdated_heartbeat(number);
+                machine.message_history.record_outdated_heartbeat(number);
             }
             return Verdict::Stale;
         }
         let absent_tasks = machine.tasks.absent_from(heartbeat);
-        if machine.messages.has_shown_higher_term(heartbeat.term)
-            || machine.has_lost_one_of(&absent_tasks, heartbeat.agent_epoch)
+        if machine.message_history.has_reported_higher_term(heartbeat.term)
+            || machine.is_from_other_process(&absent_tasks, heartbeat.agent_epoch)
         {
             self.delete_restarted_machine(heartbeat.machine.as_str());
             return Verdict::Stale;
         }
         if heartbeat.term == our_term {
-            machine.exchanges.exposure.note_shown(our_term, number);
+            machine.ordering_tracker.term_exposure.record_reported(our_term, number);
         }
-        let evidence = machine.exchanges.evidence(origin, heartbeat.term, our_term);
-        if machine.may_predate_newest(&absent_tasks, &evidence) {
-            machine.doubt = Some(Doubt::of_shown_tasks(now).continuing(machine.doubt));
+        let evidence = machine.ordering_tracker.order_message(origin, heartbeat.term, our_term);
+        if machine.may_predate_newest_message(&absent_tasks, &evidence) {
+            machine.task_uncertainty = Some(
+                TaskUncertainty::from_missing_tasks(now).keeping_start_of(machine.task_uncertainty),
+            );
             return Verdict::Stale;
         }
-        let gap = machine.receive(heartbeat, origin, &evidence, now);
+        let gap = machine.apply_message(heartbeat, origin, &evidence, now);
         if machine.update_fence(heartbeat, our_term) {
             let prompt_gap = gap.filter(|gap| *gap <= max_prompt_gap);
             let received_at = now;
@@ -117,7 +120,7 @@
     /// has tasks or is unreconciled.
     fn must_withhold_answer(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
-            machine.lease.withholds_answer(now)
+            machine.lease.should_withhold_answer(now)
                 && (!machine.tasks.is_empty() || self.is_unreconciled(name))
         })
     }
@@ -135,8 +138,8 @@
     fn on_fenced_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, context: &HeartbeatContext) {
         let name = &heartbeat.machine;
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.lease.resume(context.received_at);
-            if let Some(record) = machine.begin_recording() {
+            machine.lease.restart_if_expired(context.received_at);
+            if let Some(record) = machine.begin_record_write() {
                 self.actions.push(Action::StoreMachineRecord(name.clone(), record));
             }
         }
@@ -159,11 +162,11 @@
             return;
         };
         let absent = AbsentTasks::classify(machine, context, newest_confirmed_start);
-        machine.doubt = absent.doubt(machine.doubt, context);
+        machine.task_uncertainty = absent.doubt(machine.task_uncertainty, context);
         let AbsentTasks { lost_tasks, is_start_undelivered, .. } = absent;
         let is_start_confirmed = newest_confirmed_start.is_some();
         if is_start_confirmed || is_start_undelivered {
-            machine.note_delivery(is_start_confirmed);
+            machine.update_reachability(is_start_confirmed);
         }
         for key in lost_tasks {
             self.release_task(name.as_str(), &key);
@@ -179,15 +182,16 @@
         };
         let mut to_stop: Vec<(TaskAttempt, Duration)> = Vec::new();
         for (key, machine_task) in machine.tasks.iter() {
-            let Some(job) = jobs.get(&key.task.job).filter(|job| job.saves_checkpoints()) else {
+            let Some(job) = jobs.get(&key.task.job).filter(|job| job.can_save_checkpoints()) else {
                 continue;
             };
-            if machine_task.state == MachineTaskState::Running && machine_task.stop.is_none() {
+            if machine_task.state == MachineTaskState::Running && machine_task.stop_grace.is_none()
+            {
                 to_stop.push((key.clone(), job.stop_grace()));
             }
         }
         let stops: Vec<Order> =
-            to_stop.iter().filter_map(|(key, grace)| machine.stop(key, *grace)).collect();
+            to_stop.iter().filter_map(|(key, grace)| machine.stop_task(key, *grace)).collect();
         if !stops.is_empty() {
             self.actions.push(direct_orders_action(machine, stops));
         }
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -50,14 +50,14 @@
         // as slow.
         let shortest = self.measured.saturating_sub(self.gap);
         if let Some(ratio) = job.run_times.ratio_to_mean(shortest) {
-            machine.health.note_run_time(clamp(ratio, &SLOWNESS_RATIO_BOUNDS));
+            machine.health.record_run_time(clamp(ratio, &SLOWNESS_RATIO_BOUNDS));
         }
         let measured_s = self.measured.as_secs_f64();
         job.run_times.add(measured_s);
         let estimate_s = job.spec().estimate_s;
         if estimate_s > 0.0 {
             let ratio = clamp(measured_s / estimate_s, &ESTIMATE_RATIO_BOUNDS);
-            corrections.add(&job.spec().class, ratio);
+            corrections.add_sample(&job.spec().class, ratio);
         }
     }
 }
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -2,7 +2,7 @@
 
 use super::{HeartbeatContext, Scheduler};
 use crate::cluster::Cluster;
-use crate::job::{Job, JobState, Placed};
+use crate::job::{Job, JobState, TaskPlacement};
 use crate::machine::{Machine, MachineTask, MachineTaskState, MessageNumber, TaskAttempt};
 use corkfield_wire::worker::{ExitCause, TaskPhase, TaskStatus};
 use corkfield_wire::TaskId;
@@ -37,7 +37,7 @@
         {
             return Self::Unwanted;
         }
-        match job.active().get(&index) {
+        match job.placements().get(&index) {
             None => Self::Unplaced,
             Some(placed) if placed.machine.as_str() == machine && placed.attempt == key.attempt => {
                 Self::Placed
@@ -71,14 +71,14 @@
     now: Instant,
 ) -> (Option<PreviousTaskState>, &'a mut MachineTask) {
     let previous =
-        machine.tasks.get(key).map(|t| PreviousTaskState { state: t.state, since: t.since });
+        machine.tasks.get(key).map(|t| PreviousTaskState { state: t.state, since: t.state_since });
     if previous.is_none_or(|previous| previous.state != state) {
         let TaskAttempt { task, attempt } = key;
         let attempt = attempt.get();
         let name = machine.name.as_str();
         tracing::debug!(task = %task, machine = name, attempt, ?state, "task state");
     }
-    let found = || MachineTask::found(state, now);
+    let found = || MachineTask::from_heartbeat(state, now);
     let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
     machine_task.enter(state, now);
     (previous, machine_task)
@@ -105,16 +105,16 @@
             // answer to a heartbeat, once it is known which jobs are still to be claimed.
             return confirmed_start;
         };
-        machine_task.belongs_to(job.spec(), job.team);
+        machine_task.set_job(job.spec(), job.team);
         match state {
             MachineTaskState::Done => {
-                let previous = previous.filter(|_| machine_task.started_by_us);
-                let other = job.active().get(&key.task.index).filter(|placed| {
+                let previous = previous.filter(|_| machine_task.was_started_by_this_leader);
+                let other = job.placements().get(&key.task.index).filter(|placed| {
                     placed.machine.as_str() != name || placed.attempt != key.attempt
                 });
                 let superseded = other.cloned();
-                if job.finish(key.task.index) {
-                    machine.health.note_completion();
+                if job.mark_finished(key.task.index) {
+                    machine.health.record_completion();
                     if let Some(run_time) = context.run_time(previous) {
                         run_time.add_to_statistics(estimate_corrections, job, machine);
                     }
@@ -125,17 +125,17 @@
             }
             MachineTaskState::Exited => {
                 if previous.is_none_or(|previous| previous.state != MachineTaskState::Exited) {
-                    job.release(key.task.index, name, key.attempt);
+                    job.release_task(key.task.index, name, key.attempt);
                     self.on_task_exit(name, status, context.received_at);
                 }
             }
             _ => match LiveAttempt::classify(job, name, &key) {
                 LiveAttempt::Placed => {}
                 LiveAttempt::Unplaced => {
-                    job.place(key.task.index, name, key.attempt);
-                    machine.touch_image(&job.record.spec.image, job.record.spec.image_gb);
+                    job.place_task(key.task.index, name, key.attempt);
+                    machine.mark_image_used(&job.record.spec.image, job.record.spec.image_gb);
                 }
-                LiveAttempt::Unwanted => machine_task.stop_at_once(),
+                LiveAttempt::Unwanted => machine_task.stop_without_grace(),
             },
         }
         self.remove_job_if_closed(&key.task.job);
@@ -144,8 +144,8 @@
 
     /// Stops the placed attempt at a task that a delayed message shows as done under another
     /// attempt. An attempt whose start was not sent yet is unassigned.
-    fn stop_superseded_attempt(&mut self, task: &TaskId, placed: &Placed) {
-        let Placed { machine: name, attempt } = placed;
+    fn stop_superseded_attempt(&mut self, task: &TaskId, placed: &TaskPlacement) {
+        let TaskPlacement { machine: name, attempt } = placed;
         let key = TaskAttempt { task: task.clone(), attempt: *attempt };
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -156,7 +156,7 @@
         if machine_task.state == MachineTaskState::Assigned {
             self.release_task(name.as_str(), &key);
         } else {
-            machine_task.stop_at_once();
+            machine_task.stop_without_grace();
         }
     }
 }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -29,7 +29,7 @@
 use crate::config::Config;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::scaling::Scaling;
+use crate::scaling::Autoscaler;
 use corkfield_wire::{JobId, Term};
 use machine_events::MachineEventLog;
 use rand::rngs::SmallRng;
@@ -57,7 +57,7 @@
     /// Random number generator for sampling machines.
     pub(crate) rng: SmallRng,
     /// Pending rentals, and the outcome of earlier ones.
-    pub(crate) scaling: Scaling,
+    pub(crate) scaling: Autoscaler,
     /// When pending machine deletions were last requested again.
     last_deletion_retry: Option<Instant>,
     /// Number of placement passes run so far.
@@ -79,7 +79,7 @@
             reconciliation: Reconciliation::default(),
             actions: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            scaling: Scaling::new(term),
+            scaling: Autoscaler::new(term),
             last_deletion_retry: None,
             passes: 0,
             machine_events: MachineEventLog::default(),
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -28,11 +28,11 @@
     /// Expires the leases of workers that no controller can have answered for longer than a lease
     /// lasts. Such a worker has provably stopped its tasks (S5c).
     fn expire_worker_leases(&mut self, now: Instant) {
-        let expiry_after = self.cluster.config.lease_expiry_after();
+        let expiry_after = self.cluster.config.lease_expiry_timeout();
         let machines = self.cluster.machines.values_mut();
         let expired: Vec<MachineName> = machines
             .filter_map(|machine| {
-                machine.expire_lease(now, expiry_after).then(|| machine.name.clone())
+                machine.expire_lease_if_due(now, expiry_after).then(|| machine.name.clone())
             })
             .collect();
         for name in expired {
@@ -49,7 +49,7 @@
     fn unassign_undeliverable_tasks(&mut self, now: Instant) {
         let machines = self.cluster.machines.values();
         let unavailable = machines.filter(|machine| {
-            !machine.accepts_starts(now, ASSIGNMENT_TIMEOUT) && !machine.tasks.is_empty()
+            !machine.can_accept_starts(now, ASSIGNMENT_TIMEOUT) && !machine.tasks.is_empty()
         });
         let names: Vec<MachineName> = unavailable.map(|machine| machine.name.clone()).collect();
         for name in names {
@@ -106,6 +106,6 @@
 /// Returns whether the job may run on the machine and has not failed there.
 fn is_untried(machine: &Machine, job: &Job) -> bool {
     machine.state() == MachineState::Up
-        && machine.allows(job.spec())
+        && machine.may_run(job.spec())
         && !job.has_failed_on(machine.name.as_str())
 }
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -144,8 +144,8 @@
     scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 2, true, start);
     let renewed_until = config().answer_limit;
     for (after, is_over) in [
-        (config().lease_expiry_after() + Duration::from_secs(1), false),
-        (renewed_until + config().lease_expiry_after() + Duration::from_secs(1), true),
+        (config().lease_expiry_timeout() + Duration::from_secs(1), false),
+        (renewed_until + config().lease_expiry_timeout() + Duration::from_secs(1), true),
     ] {
         scheduler.tick(start + after);
         assert_eq!(scheduler.is_reconciled(), is_over, "after {after:?}");
@@ -183,7 +183,7 @@
             now,
         );
         scheduler.run_placement_pass(now);
-        let active = |id: &JobId| scheduler.job(id).expect("claimed").active().len();
+        let active = |id: &JobId| scheduler.job(id).expect("claimed").placements().len();
         assert_eq!(active(&first_job_id()), placed, "S8: a job that nobody can have started");
         assert_eq!(active(&old.spec.id), 0, "S7: its tasks may be on the silent machines");
     }
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -1,7 +1,7 @@
-//! Claims of job records under the leader record.
+//! Claims job records, conditional on the leader record.
 
 use super::active_leader::ActiveLeader;
-use super::completion_commits::{finished_chunks, MAX_TRANSACTION_BYTES};
+use super::completion_commits::{read_finished_chunks, MAX_TRANSACTION_BYTES};
 use super::context::LeadershipContext;
 use super::state::SharedScheduler;
 use crate::clock::{now, unix_time_ms};
@@ -13,87 +13,91 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Records are looked through this often, if no change of them is seen before.
+/// Interval at which the replica is checked for job records to claim. A change in the replica
+/// triggers the check earlier.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
-/// Above so many records that are due, a claim takes as many as a transaction may change.
-const MANY_DUE: usize = 32;
-/// After a failed read of a job's finished tasks.
+/// If more records than this have to be claimed, a batch contains as many as a transaction may
+/// change.
+const LARGE_BATCH_THRESHOLD: usize = 32;
+/// Pause after a failed read of a job's finished tasks.
 const FINISHED_TASKS_RETRY: Duration = Duration::from_millis(200);
 
-/// What a look at the job records came to.
+/// Outcome of claiming one batch of job records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ClaimRound {
-    /// A batch was claimed, and more records are due.
+pub(super) enum ClaimBatchOutcome {
+    /// A batch was claimed, and more records have to be claimed.
     MoreDue,
-    /// All records that were due are claimed.
-    Complete,
-    /// The claim was refused, or it is not known that it was carried out.
+    /// No more records have to be claimed.
+    AllClaimed,
+    /// The claim was refused, or its outcome is unknown.
     Failed,
 }
 
-/// Records that were claimed together.
+/// Job records claimed with one transaction.
 struct StoredClaim {
     records: Vec<JobRecord>,
-    /// Version of all of them.
+    /// Version that the transaction gave to all records.
     version: Revision,
 }
 
-/// A job record of our claim as the store has it, with the job's finished tasks.
+/// A stored job record that this leader claimed, with the job's finished tasks.
 pub(super) struct ClaimedJob {
-    /// The record as it is stored.
+    /// The record as stored.
     pub(super) record: JobRecord,
-    /// Finished tasks, also of a job too large to keep them in its record.
+    /// Finished tasks. For a job too large to keep them in its record, read from the job's chunks.
     pub(super) finished: TaskSet,
     /// Version of the record.
     pub(super) version: Revision,
 }
 
-/// Keeps the first records that have no more than so many bytes together, and one at least.
-/// They are counted as they were before the claim, which changes a few bytes of each.
+/// Truncates `due` to the longest prefix of records with at most `max_bytes` bytes in total, but
+/// at least one record. Sizes are those before the claim, which changes a few bytes per record.
 fn truncate_to_bytes(due: &mut Vec<Versioned<JobRecord>>, max_bytes: usize) {
     let mut bytes = 0;
-    let fits = due.iter().take_while(|job| {
+    let fitting = due.iter().take_while(|job| {
         bytes += serialized_bytes(&job.record);
         bytes <= max_bytes
     });
-    let count = fits.count();
+    let count = fitting.count();
     due.truncate(count.max(1));
 }
 
 impl ActiveLeader {
-    /// Claims jobs as they come, and again when their claim has to be renewed.
+    /// Claims new jobs, and reclaims jobs whose claim has to be renewed, in an endless loop.
     pub(super) async fn claim_jobs(&self) {
         loop {
             let changed = self.context.replica.changed.notified();
-            if self.claim_round().await != ClaimRound::MoreDue {
-                self.context.env.timers.within(CLAIM_INTERVAL, changed).await;
+            if self.claim_next_batch().await != ClaimBatchOutcome::MoreDue {
+                self.context.env.timers.wait_for_event(CLAIM_INTERVAL, changed).await;
             }
         }
     }
 
-    /// Closes what is over, and claims a batch of what is new or has to be claimed anew.
-    pub(super) async fn claim_round(&self) -> ClaimRound {
-        self.context.leadership.forget_cancelled(&self.context.replica);
-        let mut due = self.due_jobs();
-        let all = due.len();
+    /// Closes finished and cancelled jobs, and claims a batch of the records that have to be
+    /// claimed.
+    pub(super) async fn claim_next_batch(&self) -> ClaimBatchOutcome {
+        self.context.leadership.prune_cancelled(&self.context.replica);
+        let mut due = self.sync_jobs_and_find_due();
+        let due_count = due.len();
         self.truncate_to_batch(&mut due);
-        let more_due = due.len() < all;
+        let has_more_due = due.len() < due_count;
         if due.is_empty() {
-            return ClaimRound::Complete;
+            return ClaimBatchOutcome::AllClaimed;
         }
-        let Some(claim) = self.claim(due).await else {
-            return ClaimRound::Failed;
+        let Some(claim) = self.claim_records(due).await else {
+            return ClaimBatchOutcome::Failed;
         };
-        self.take_up(claim);
-        if more_due {
-            ClaimRound::MoreDue
+        self.register_claimed_jobs(claim);
+        if has_more_due {
+            ClaimBatchOutcome::MoreDue
         } else {
-            ClaimRound::Complete
+            ClaimBatchOutcome::AllClaimed
         }
     }
 
-    /// Makes the scheduler see which jobs are over or not claimed yet; what is to be claimed.
-    fn due_jobs(&self) -> Vec<Versioned<JobRecord>> {
+    /// Closes finished and cancelled jobs, passes the set of unclaimed jobs to the scheduler, and
+    /// returns the records that have to be claimed.
+    fn sync_jobs_and_find_due(&self) -> Vec<Versioned<JobRecord>> {
         let contents = self.context.replica.contents.borrow();
         let mut scheduler = self.scheduler.borrow_mut();
         let is_cancelled = |id: &JobId| self.context.leadership.is_cancelled(id);
@@ -101,10 +105,10 @@
         let unclaimed = contents.jobs.keys().filter(|id| scheduler.job(id).is_none());
         let unclaimed = unclaimed.filter(|id| !is_cancelled(id)).cloned().collect();
         scheduler.set_unclaimed_jobs(unclaimed);
-        let reading = self.reading.borrow();
+        let loading_jobs = self.loading_jobs.borrow();
         let mut due = Vec::new();
         for (id, job) in &contents.jobs {
-            if is_cancelled(id) || reading.contains(id) {
+            if is_cancelled(id) || loading_jobs.contains(id) {
                 continue;
             }
             if scheduler.needs_claim(&job.record, job.version) {
@@ -114,26 +118,31 @@
         due
     }
 
-    /// Keeps the most urgent records, as many as one claim takes.
+    /// Truncates `due` to the most urgent records, as many as one batch may contain.
     fn truncate_to_batch(&self, due: &mut Vec<Versioned<JobRecord>>) {
         due.sort_by_key(|job| (job.record.spec.priority, job.record.accepted_ms));
         let max_changes = self.context.max_transaction_changes();
         let claim_batch = self.context.env.settings.operator.claim_batch as usize;
-        // A failover has hundreds of them. How long they take is set by the changes that may be
-        // written a second; larger claims spare most of the transactions.
-        let batch = if due.len() > MANY_DUE { max_changes } else { claim_batch.min(max_changes) };
+        // After a failover hundreds of records have to be claimed. The limit on changes per second
+        // determines how long this takes; larger batches only save most of the transactions.
+        let batch = if due.len() > LARGE_BATCH_THRESHOLD {
+            max_changes
+        } else {
+            claim_batch.min(max_changes)
+        };
         due.truncate(batch);
         truncate_to_bytes(due, MAX_TRANSACTION_BYTES);
     }
 
-    /// The design's claim: one conditional transaction over a few records. `None` if it is not known
-    /// to be carried out.
-    async fn claim(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
+    /// Claims a batch of records with one conditional transaction. Returns `None` if the claim was
+    /// refused or its outcome is unknown.
+    async fn claim_records(&self, batch: Vec<Versioned<JobRecord>>) -> Option<StoredClaim> {
         let own_key = controller_key(self.context.env.name.as_str());
-        let mut transaction = self.when_leading().when(own_key, self.claim.membership.version);
+        let mut transaction =
+            self.leader_transaction().when(own_key, self.claim.membership.membership_version);
         let mut records = Vec::new();
         for job in batch {
-            let record = self.claimed_record(job.record);
+            let record = self.apply_claim(job.record);
             let key = job_key(&record.spec.id);
             transaction = transaction.when(key.clone(), job.version).put(key, store_value(&record));
             records.push(record);
@@ -142,23 +151,24 @@
         Some(StoredClaim { records, version })
     }
 
-    /// Gives the scheduler what was claimed.
-    fn take_up(&self, claim: StoredClaim) {
+    /// Passes claimed jobs to the scheduler, after reading finished tasks stored in chunks.
+    fn register_claimed_jobs(&self, claim: StoredClaim) {
         let version = claim.version;
         for record in claim.records {
             if record.is_chunked() && record.done > 0 {
-                self.read_finished(record, version);
+                self.load_finished_tasks(record, version);
             } else {
                 let finished = record.finished.clone();
                 let job = ClaimedJob { record, finished, version };
-                take_claimed(&self.context, &self.scheduler, job);
+                register_claimed_job(&self.context, &self.scheduler, job);
             }
         }
-        self.scaling_wanted.notify_one();
+        self.scaling_requested.notify_one();
     }
 
-    /// The record as it stands after our claim.
-    fn claimed_record(&self, mut record: JobRecord) -> JobRecord {
+    /// Returns the record as changed by this leader's claim. Dead-letters a job that has exceeded
+    /// the claim limit (S12).
+    fn apply_claim(&self, mut record: JobRecord) -> JobRecord {
         let owner = self.claim.membership.incarnation.clone();
         if record.start_watermark > 0 || self.scheduler.borrow().may_start_soon(&record.spec, now())
         {
@@ -174,7 +184,8 @@
         record
     }
 
-    /// The version at which the claim is stored; `None` if it is not known to be.
+    /// Runs the transaction of a claim and returns the version of the claimed records. Returns
+    /// `None` if the claim was refused or its outcome is unknown.
     async fn store_claim(
         &self,
         transaction: &Transaction,
@@ -183,18 +194,18 @@
         let env = &self.context.env;
         match env.state.transaction(RequestClass::Claim, transaction).await {
             Ok(version) => Some(version),
-            Err(StateError::NoAnswer(_)) => self.find_claim(claimed.first()?).await,
+            Err(StateError::NoAnswer(_)) => self.read_back_claim(claimed.first()?).await,
             Err(error) => {
                 tracing::debug!(jobs = claimed.len(), %error, "claim failed");
-                env.pause(50..150).await;
+                env.sleep_random(50..150).await;
                 None
             }
         }
     }
 
-    /// The version of a claim without an answer, if it was carried out: all of it, as it is one
-    /// transaction.
-    async fn find_claim(&self, record: &JobRecord) -> Option<Revision> {
+    /// Reads back one record of a claim that was not answered. Returns its version if the claim
+    /// was carried out, which then holds for all records, as they share one transaction.
+    async fn read_back_claim(&self, record: &JobRecord) -> Option<Revision> {
         let key = job_key(&record.spec.id);
         let item = self.context.env.state.get(RequestClass::Claim, &key).await.ok()??;
         let found: JobRecord = serde_json::from_value(item.value).ok()?;
@@ -202,37 +213,38 @@
         is_ours.then_some(item.version)
     }
 
-    /// Takes up a claimed job once its finished tasks are read. Other claims don't wait for that.
-    fn read_finished(&self, record: JobRecord, version: Revision) {
+    /// Reads a claimed job's finished tasks in the background, then passes the job to the
+    /// scheduler. Other claims don't wait for the read.
+    fn load_finished_tasks(&self, record: JobRecord, version: Revision) {
         let id = record.spec.id.clone();
-        self.reading.borrow_mut().insert(id.clone());
-        let (context, reading) = (self.context.clone(), self.reading.clone());
-        // It goes on no longer than the leader that claimed the job.
+        self.loading_jobs.borrow_mut().insert(id.clone());
+        let (context, loading_jobs) = (self.context.clone(), self.loading_jobs.clone());
+        // A weak reference, so that the reads end with the leader that claimed the job.
         let scheduler = Rc::downgrade(&self.scheduler);
         tokio::task::spawn_local(async move {
             while let Some(scheduler) = scheduler.upgrade() {
-                if let Some(finished) = finished_chunks(&context, &id).await {
+                if let Some(finished) = read_finished_chunks(&context, &id).await {
                     let job = ClaimedJob { record, finished, version };
-                    take_claimed(&context, &scheduler, job);
+                    register_claimed_job(&context, &scheduler, job);
                     break;
                 }
                 drop(scheduler);
                 tokio::time::sleep(FINISHED_TASKS_RETRY).await;
             }
-            reading.borrow_mut().remove(&id);
+            loading_jobs.borrow_mut().remove(&id);
         });
     }
 }
 
-/// Gives the scheduler a job that was claimed.
-fn take_claimed(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
+/// Passes a claimed job to the scheduler.
+fn register_claimed_job(context: &LeadershipContext, scheduler: &SharedScheduler, job: ClaimedJob) {
     let ClaimedJob { record, finished, version } = job;
     let age = Duration::from_millis(unix_time_ms().saturating_sub(record.accepted_ms));
     let id = record.spec.id.clone();
     scheduler.borrow_mut().on_job_claimed(record, finished, version, age, now());
-    // It may have been cancelled while the claim's answer was under way.
-    let unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
-    if !unfinished || context.leadership.is_cancelled(&id) {
+    // The job may have been cancelled before the claim was answered.
+    let is_unfinished = context.replica.contents.borrow().jobs.contains_key(&id);
+    if !is_unfinished || context.leadership.is_cancelled(&id) {
         scheduler.borrow_mut().close_job(&id);
     }
     context.leadership.request_pass();
--- a/crates/corkfield/src/routes/tests.rs
+++ b/crates/corkfield/src/routes/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn job(id: &str) -> JobId {
+fn job_id(id: &str) -> JobId {
     JobId::parse(id).expect("an id")
 }
 
 #[test]
-fn each_request_finds_its_route() {
+fn parse_returns_the_route_of_each_request() {
     let id = "j-000001";
     let query = format!("{PATH_JOBS}/{id}");
     let cancel = format!("{PATH_JOBS}/{id}/{PATH_CANCEL}");
@@ -16,16 +16,16 @@
         ("HEAD", PATH_READY, Route::Ready),
         ("GET", PATH_OVERVIEW, Route::Overview),
         ("POST", PATH_JOBS, Route::Submit),
-        ("GET", &query, Route::Query(job(id))),
-        ("POST", &cancel, Route::Cancel(job(id))),
-        ("POST", &release, Route::Release(job(id))),
+        ("GET", &query, Route::Query(job_id(id))),
+        ("POST", &cancel, Route::Cancel(job_id(id))),
+        ("POST", &release, Route::Release(job_id(id))),
     ] {
         assert_eq!(Route::parse(method, path), Ok(route), "{method} {path}");
     }
 }
 
 #[test]
-fn requests_for_nothing_are_told_apart() {
+fn parse_distinguishes_unknown_paths_unknown_jobs_and_wrong_methods() {
     let query = format!("{PATH_JOBS}/j-000001");
     let bad_query = format!("{PATH_JOBS}/no job");
     let cancel = format!("{query}/{PATH_CANCEL}");
