--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Scheduling, without I/O: jobs, tasks, machines, teams, placement and scaling as state
-//! machines. Time is passed in; what should happen outside comes out as [`Action`]s.
+//! The scheduling core, free of I/O: jobs, tasks, machines, teams, placement and scaling as state
+//! machines. The caller passes the current time in, and receives the side effects to carry out as
+//! [`Action`]s.
 //!
 //! Architecture invariant: this crate opens no connection, reads no clock and starts no thread.
-//! The same calls with the same times and seed give the same answers.
+//! The same sequence of calls with the same times and seed produces the same results.
 #![forbid(unsafe_code)]
 
 mod cluster;
@@ -17,10 +18,10 @@
 mod team;
 
 pub use config::Config;
-pub use job::{Job, JobState, Placed};
+pub use job::{Job, JobState, TaskPlacement};
 pub use machine::{
-    DirectExchange, Machine, MachineState, MachineTask, MachineTaskState, MessageNumber,
-    MessageOrigin, Reachability, Recorded,
+    Machine, MachineState, MachineTask, MachineTaskState, MessageNumber, MessageOrigin,
+    PendingDirectRequest, Reachability, RecordState,
 };
 pub use scaling::RentalFailure;
 pub use scheduler::{
--- a/crates/core/src/machine/term_exposure.rs
+++ b/crates/core/src/machine/term_exposure.rs
@@ -1,114 +1,120 @@
-//! How many processes of a worker may know our term.
+//! How many processes of a worker may know the leader's term.
 //!
-//! A worker that is back within an instant counts its messages anew, and has forgotten the term. As
-//! long as only one of its processes can ever have known our term, each message that shows it is of
-//! that process, and its numbers tell which of two was written later (S5a, S10).
+//! A worker that restarts at once numbers its messages from the beginning and forgets the term that
+//! it knew. While only one of its processes can ever have known our term, every message that
+//! reports the term comes from that process, so the message numbers tell which of two such messages
+//! was written later (S5a, S10).
 
 use super::MessageNumber;
 use corkfield_wire::Term;
 
-/// Which of a worker's processes may know a term.
+/// How many of a worker's processes may know a term.
 ///
 /// | from | event | to |
 /// | --- | --- | --- |
-/// | `Unseen` | an answer or direct orders leave under the term | `Offered` |
-/// | `Unseen` | a message shows the term | `Several` |
-/// | `Offered` | another answer, or other direct orders, leave under it | `Several` |
-/// | `Offered` | a message shows it | `Single` |
-/// | `Single` | an answer to a heartbeat that did not show the term | `Several` |
-/// | `Single` | direct orders leave; the process that is known has answered them | `Single` |
-/// | `Single` | direct orders are not answered, or perhaps by another process | `Several` |
+/// | `NotSent` | an answer or direct orders are sent under the term | `SentOnce` |
+/// | `NotSent` | a message reports the term | `MaybeSeveral` |
+/// | `SentOnce` | another answer, or other direct orders, are sent under the term | `MaybeSeveral` |
+/// | `SentOnce` | a message reports the term | `OneProcess` |
+/// | `OneProcess` | an answer is sent to a heartbeat older than the first that reported the term | `MaybeSeveral` |
+/// | `OneProcess` | direct orders are sent, and the known process answers them | `OneProcess` |
+/// | `OneProcess` | direct orders stay unanswered, or another process may have answered | `MaybeSeveral` |
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-enum Knowledge {
-    /// Nothing under the term has left for the worker.
+enum TermKnowledge {
+    /// Nothing was sent to the worker under the term.
     #[default]
-    Unseen,
-    /// One answer, or one set of direct orders, has left under it.
-    Offered,
-    /// Only one process can know it, as what shows it came after a single offer.
-    Single {
-        /// The first message that showed it.
+    NotSent,
+    /// One answer, or one set of direct orders, was sent under the term.
+    SentOnce,
+    /// Only one process can know the term: it was sent once before a message reported it.
+    OneProcess {
+        /// Number of the first message that reported the term.
         first: MessageNumber,
-        /// Direct orders on their way: whoever takes them knows the term as well.
+        /// Number of direct orders that await their answer. Any process that receives them learns
+        /// the term.
         direct_orders: u32,
     },
-    /// More than one process may know it.
-    Several,
+    /// More than one process may know the term.
+    MaybeSeveral,
 }
 
-/// Which of a worker's processes may know the leader's present term.
+/// How many of a worker's processes may know the leader's current term.
 #[derive(Debug, Default)]
 pub(crate) struct TermExposure {
     term: Term,
-    knowledge: Knowledge,
+    knowledge: TermKnowledge,
 }
 
 impl TermExposure {
-    /// Whether only one process of the worker can know the term.
-    pub(crate) fn is_single(&self, term: Term) -> bool {
-        let single = matches!(self.knowledge, Knowledge::Single { direct_orders: 0, .. });
-        self.term == term && single
+    /// Returns whether exactly one process of the worker can know the term. Returns false while
+    /// direct orders await their answer.
+    pub(crate) fn is_known_to_one_process(&self, term: Term) -> bool {
+        let is_known_to_one =
+            matches!(self.knowledge, TermKnowledge::OneProcess { direct_orders: 0, .. });
+        self.term == term && is_known_to_one
     }
 
-    /// The answer to that heartbeat leaves under the term.
-    pub(crate) fn note_answer(&mut self, term: Term, answered: MessageNumber) {
-        self.begin(term);
+    /// Records that the heartbeat `answered` is answered under the term.
+    pub(crate) fn record_answer(&mut self, term: Term, answered: MessageNumber) {
+        self.reset_if_new_term(term);
         let next = match self.knowledge {
-            Knowledge::Single { first, .. } if answered >= first => return,
-            Knowledge::Unseen => Knowledge::Offered,
-            _ => Knowledge::Several,
+            TermKnowledge::OneProcess { first, .. } if answered >= first => return,
+            TermKnowledge::NotSent => TermKnowledge::SentOnce,
+            _ => TermKnowledge::MaybeSeveral,
         };
         self.enter(next);
     }
 
-    /// Direct orders leave under the term. Returns whether their end has to be noted with
-    /// [`Self::end_direct_orders`].
-    pub(crate) fn note_direct_orders(&mut self, term: Term) -> bool {
-        self.begin(term);
+    /// Records that direct orders are sent under the term. Returns whether their result has to be
+    /// passed to [`Self::end_direct_orders`].
+    pub(crate) fn record_direct_orders(&mut self, term: Term) -> bool {
+        self.reset_if_new_term(term);
         let next = match self.knowledge {
-            Knowledge::Single { first, direct_orders } => {
-                Knowledge::Single { first, direct_orders: direct_orders + 1 }
+            TermKnowledge::OneProcess { first, direct_orders } => {
+                TermKnowledge::OneProcess { first, direct_orders: direct_orders + 1 }
             }
-            Knowledge::Unseen => Knowledge::Offered,
-            _ => Knowledge::Several,
+            TermKnowledge::NotSent => TermKnowledge::SentOnce,
+            _ => TermKnowledge::MaybeSeveral,
         };
         self.enter(next);
-        matches!(next, Knowledge::Single { .. })
+        matches!(next, TermKnowledge::OneProcess { .. })
     }
 
-    /// Direct orders came to an end: answered by the process that is known, or else not at all or
-    /// by one that may be another.
+    /// Records the result of direct orders. `by_known_process` is true if the known process
+    /// answered them; it is false if they stayed unanswered or another process may have answered.
     pub(crate) fn end_direct_orders(&mut self, by_known_process: bool) {
-        let Knowledge::Single { first, direct_orders } = self.knowledge else {
+        let TermKnowledge::OneProcess { first, direct_orders } = self.knowledge else {
             return;
         };
         self.enter(if by_known_process && direct_orders > 0 {
-            Knowledge::Single { first, direct_orders: direct_orders - 1 }
+            TermKnowledge::OneProcess { first, direct_orders: direct_orders - 1 }
         } else {
-            Knowledge::Several
+            TermKnowledge::MaybeSeveral
         });
     }
 
-    /// A message that is not outdated shows the term.
-    pub(crate) fn note_shown(&mut self, term: Term, number: MessageNumber) {
-        self.begin(term);
+    /// Records that a message which is not outdated reports the term.
+    pub(crate) fn record_reported(&mut self, term: Term, number: MessageNumber) {
+        self.reset_if_new_term(term);
         let next = match self.knowledge {
-            Knowledge::Single { .. } => return,
-            Knowledge::Offered => Knowledge::Single { first: number, direct_orders: 0 },
-            Knowledge::Unseen | Knowledge::Several => Knowledge::Several,
+            TermKnowledge::OneProcess { .. } => return,
+            TermKnowledge::SentOnce => {
+                TermKnowledge::OneProcess { first: number, direct_orders: 0 }
+            }
+            TermKnowledge::NotSent | TermKnowledge::MaybeSeveral => TermKnowledge::MaybeSeveral,
         };
         self.enter(next);
     }
 
-    /// A term that is not the one before is known to nobody yet.
-    fn begin(&mut self, term: Term) {
+    /// Starts again from `NotSent` if `term` differs from the current term.
+    fn reset_if_new_term(&mut self, term: Term) {
         if self.term != term {
-            *self = Self { term, knowledge: Knowledge::Unseen };
+            *self = Self { term, knowledge: TermKnowledge::NotSent };
         }
     }
 
-    /// The one place where the state changes.
-    fn enter(&mut self, knowledge: Knowledge) {
+    /// Changes the state. All changes go through this method.
+    fn enter(&mut self, knowledge: TermKnowledge) {
         self.knowledge = knowledge;
     }
 }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -7,7 +7,7 @@
 use super::PlacementScope;
 use crate::cluster::Cluster;
 use crate::job::Job;
-use crate::machine::Need;
+use crate::machine::Resources;
 use crate::scheduler::Action;
 use crate::team::{has_limit, is_within_guarantee, is_within_limit, Usage};
 use corkfield_wire::{JobId, TaskId};
@@ -120,7 +120,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else { return true };
         let needs_watermark = job.needs_first_watermark();
         if needs_watermark {
-            job.raise_start_watermark();
+            job.request_start_watermark_raise();
         }
         needs_watermark
     }
@@ -129,7 +129,7 @@
     /// place no more.
     fn place_tasks(&mut self, id: &JobId, scope: PlacementScope, eligible: Vec<usize>) {
         let job = &self.cluster.jobs[id];
-        let need = Need::per_task(job.spec());
+        let need = Resources::per_task(job.spec());
         let machines = &self.capacity.machines;
         let image_holders = self.capacity.image_holders(&job.spec().image);
         let mut candidates = Candidates::new(eligible, machines, image_holders, scope);
@@ -159,7 +159,7 @@
     fn place_next_task(&mut self, id: &JobId, candidates: &mut Candidates) -> Option<usize> {
         let sample = self.cluster.config.placement_sample;
         let choice = candidates.choose(&self.capacity.machines, sample, self.rng)?;
-        let index = self.cluster.jobs.get_mut(id)?.take_waiting(!self.is_reconciled)?;
+        let index = self.cluster.jobs.get_mut(id)?.pop_startable_task(!self.is_reconciled)?;
         let position = self.record_choice(id, candidates, choice);
         self.assign_task(TaskId { job: id.clone(), index }, position)?;
         Some(position)
@@ -186,14 +186,14 @@
         if machine.tasks.is_empty() {
             // The answer to the machine's heartbeat may have been delayed until there is a task to
             // start.
-            self.actions.push(Action::Answer(machine.name.clone()));
+            self.actions.push(Action::SendHeldAnswer(machine.name.clone()));
         }
         let index = task.index;
-        machine.assign(task, attempt, job, self.now);
-        job.place(index, machine.name.as_str(), attempt);
+        machine.assign_task(task, attempt, job, self.now);
+        job.place_task(index, machine.name.as_str(), attempt);
         let usage = &mut self.usage[job.team];
         *usage = usage.plus(Usage::of_tasks(job.spec(), 1));
-        capacity.allocate(&Need::per_task(job.spec()), job.spec().priority);
+        capacity.allocate(&Resources::per_task(job.spec()), job.spec().priority);
         Some(())
     }
 }
--- a/crates/core/src/placement/preemption/cost.rs
+++ b/crates/core/src/placement/preemption/cost.rs
@@ -28,10 +28,10 @@
     ) -> Option<f64> {
         let is_running = machine_task.state == MachineTaskState::Running;
         let is_fetching = machine_task.state == MachineTaskState::Fetching;
-        if !(is_running || is_fetching) || machine_task.stop.is_some() {
+        if !(is_running || is_fetching) || machine_task.stop_grace.is_some() {
             return None;
         }
-        let ran_s = now.saturating_duration_since(machine_task.since).as_secs_f64();
+        let ran_s = now.saturating_duration_since(machine_task.state_since).as_secs_f64();
         // Preempting a task shortly after its start wastes the start without benefit to any job.
         if !waiting_job.is_urgent() && ran_s < MIN_TIME_IN_STATE_S {
             return None;
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -11,7 +11,7 @@
 use crate::float_order::compare_f64;
 use crate::job::Job;
 use crate::machine::TaskAttempt;
-use crate::scheduler::direct_orders;
+use crate::scheduler::direct_orders_action;
 use crate::team::{is_within_guarantee, Usage};
 use corkfield_wire::{JobId, MachineName};
 use rand::seq::index;
@@ -50,10 +50,10 @@
         let mut machines: Vec<MachineSnapshot> = cluster
             .machines
             .values()
-            .filter(|machine| machine.accepts_starts(now, heartbeat_timeout))
+            .filter(|machine| machine.can_accept_starts(now, heartbeat_timeout))
             .map(|machine| MachineSnapshot {
                 name: machine.name.clone(),
-                free_cpus: machine.free().map_or(0.0, |free| free.cpus),
+                free_cpus: machine.free_resources().map_or(0.0, |free| free.cpus),
                 cpus_by_priority: machine.tasks.totals().by_priority.map(|need| need.cpus),
             })
             .collect();
@@ -187,9 +187,9 @@
         for key in tasks {
             let grace =
                 self.cluster.jobs.get(&key.task.job).map_or(Duration::ZERO, Job::stop_grace);
-            orders.extend(machine.stop(&key, grace));
+            orders.extend(machine.stop_task(&key, grace));
         }
-        self.actions.push(direct_orders(machine, orders));
+        self.actions.push(direct_orders_action(machine, orders));
     }
 }
 
--- a/crates/core/src/placement/preemption/victims.rs
+++ b/crates/core/src/placement/preemption/victims.rs
@@ -4,7 +4,7 @@
 use crate::float_order::compare_f64;
 use crate::job::Job;
 use crate::machine::TaskAttempt;
-use crate::machine::{Machine, Need};
+use crate::machine::{Machine, Resources};
 use crate::team::{is_within_guarantee, is_within_limit, Usage};
 use corkfield_wire::{JobId, Priority};
 use std::time::Instant;
@@ -38,7 +38,7 @@
 /// The tasks to stop for one more task of the waiting job, and the state after they have stopped.
 struct VictimBatch {
     tasks: Vec<TaskAttempt>,
-    free: Need,
+    free: Resources,
     usage: Vec<Usage>,
 }
 
@@ -47,10 +47,10 @@
     cluster: &'a Cluster,
     waiting_job: &'a Job,
     /// Resources that one task of the waiting job needs on the machine.
-    need: Need,
+    need: Resources,
     task_usage: Usage,
     /// Free resources of the machine, including those of the tasks selected so far.
-    free: Need,
+    free: Resources,
     /// Tasks that have not been considered yet, the lowest cost first.
     candidates: std::vec::IntoIter<VictimCandidate<'a>>,
 }
@@ -68,15 +68,15 @@
     ) -> Option<Self> {
         let (waiting_job, machine) = (&cluster.jobs[id], &cluster.machines[name]);
         let has_failed = machine.has_failures() || waiting_job.has_failed_on(machine.name.as_str());
-        if !machine.allows(waiting_job.spec()) || has_failed {
+        if !machine.may_run(waiting_job.spec()) || has_failed {
             return None;
         }
         let mut selection = Self {
             cluster,
             waiting_job,
-            need: Need::per_task(waiting_job.spec()),
+            need: Resources::per_task(waiting_job.spec()),
             task_usage: Usage::of_tasks(waiting_job.spec(), 1),
-            free: machine.free()?,
+            free: machine.free_resources()?,
             candidates: Vec::new().into_iter(),
         };
         if !selection.is_next_task_within_limit(usage) {
@@ -109,7 +109,7 @@
         let waiting_rank = self
             .preemption_rank(self.waiting_job, usage[self.waiting_job.team].plus(self.task_usage));
         let mut batch = VictimBatch { tasks: Vec::new(), free: self.free, usage: usage.to_vec() };
-        while !batch.free.holds(&self.need) {
+        while !batch.free.can_fit(&self.need) {
             let candidate = self.candidates.next()?;
             if self.may_preempt(&waiting_rank, candidate.victim_job, &batch.usage) {
                 batch.add(&candidate);
@@ -156,7 +156,7 @@
         let spec = candidate.victim_job.spec();
         let usage = &mut self.usage[candidate.victim_job.team];
         *usage = usage.minus(Usage::of_tasks(spec, 1));
-        self.free.add(&Need::per_task(spec));
+        self.free.add(&Resources::per_task(spec));
         self.tasks.push(candidate.key.clone());
     }
 }
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -4,7 +4,7 @@
 use super::MIN_TASK_CPUS;
 use crate::float_order::compare_f64;
 use crate::job::Job;
-use crate::machine::{Machine, Need};
+use crate::machine::{Machine, Resources};
 use corkfield_wire::{JobSpec, MachineName};
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
         };
         let required_zone = spec.one_zone.then(|| match tasks_by_zone.keys().next() {
             Some(zone) => zone.clone(),
-            None => zone_with_most_slots(capacity, candidates, &Need::per_task(spec)),
+            None => zone_with_most_slots(capacity, candidates, &Resources::per_task(spec)),
         });
         Self { tasks_by_zone, required_zone, max_tasks_per_zone: spec.zone_cap() }
     }
@@ -70,7 +70,7 @@
     job: &Job,
 ) -> BTreeMap<String, u32> {
     let mut tasks_by_zone = BTreeMap::new();
-    for placed in job.active().values() {
+    for placed in job.placements().values() {
         if let Some(machine) = machines.get(&placed.machine) {
             *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
@@ -82,7 +82,7 @@
 fn zone_with_most_slots<'a>(
     capacity: &[MachineCapacity],
     candidates: impl Iterator<Item = &'a usize>,
-    need: &Need,
+    need: &Resources,
 ) -> String {
     let mut slots_by_zone: BTreeMap<&str, f64> = BTreeMap::new();
     for &position in candidates {
--- a/crates/core/src/scaling/demand.rs
+++ b/crates/core/src/scaling/demand.rs
@@ -76,14 +76,14 @@
 
 /// Returns whether the job has unplaced tasks that may start.
 pub(super) fn has_waiting_tasks(job: &Job) -> bool {
-    job.may_start() && job.waiting() > 0
+    job.may_start() && job.waiting_tasks() > 0
 }
 
 /// Returns the CPUs that the unfinished tasks of a job could use.
 fn job_demand_cpus(cluster: &Cluster, job: &Job) -> f64 {
     let run_s = cluster.expected_run_s(job);
     // Tasks shorter than the target can run one after another on the same CPUs.
-    let demand_cpus = job.demand().cpus * (run_s / TARGET_COMPLETION_S).min(1.0);
+    let demand_cpus = job.remaining_demand().cpus * (run_s / TARGET_COMPLETION_S).min(1.0);
     demand_cpus.max(job.spec().cpus)
 }
 
@@ -103,7 +103,7 @@
             .jobs
             .values()
             .filter(|job| has_start_objective(cluster, job))
-            .map(|job| job.demand().cpus)
+            .map(|job| job.remaining_demand().cpus)
             .fold(0.0, f64::max);
         let is_outdated = self
             .observed_at
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -2,7 +2,7 @@
 
 use super::RentalsInFlight;
 use crate::cluster::Cluster;
-use crate::machine::{allows, Machine, MachineState, Reachability};
+use crate::machine::{may_run_on, Machine, MachineState, Reachability};
 use corkfield_wire::cloud::RentRequest;
 use corkfield_wire::JobSpec;
 use std::time::{Duration, Instant};
@@ -24,13 +24,14 @@
     rentals_in_flight: &RentalsInFlight,
     now: Instant,
 ) -> f64 {
-    let is_rental_allowed =
-        |request: &RentRequest| allows(spec, &request.machine_type, &request.zone, request.spot);
+    let is_rental_allowed = |request: &RentRequest| {
+        may_run_on(spec, &request.machine_type, &request.zone, request.spot)
+    };
     matching_cpus(
         cluster,
         rentals_in_flight,
         now,
-        |machine| machine.allows(spec),
+        |machine| machine.may_run(spec),
         is_rental_allowed,
     )
 }
@@ -49,7 +50,7 @@
         .filter(|machine| {
             provides_supply(machine, heartbeat_timeout, now) && machine_matches(machine)
         })
-        .filter_map(|machine| machine.size.as_ref().map(|size| size.cpus))
+        .filter_map(|machine| machine.machine_type.as_ref().map(|size| size.cpus))
         .sum();
     let rental_cpus: f64 = rentals_in_flight
         .values()
@@ -62,20 +63,21 @@
 /// Returns whether the machine accepts tasks, or is expected to once it is up.
 fn provides_supply(machine: &Machine, heartbeat_timeout: Duration, now: Instant) -> bool {
     is_up_or_booting(machine)
-        && !machine.notice
+        && !machine.has_interruption_notice
         && machine.reachability() != Reachability::Unreachable
         && !is_heartbeat_overdue(machine, heartbeat_timeout, now)
 }
 
 /// Returns whether the machine is up or booting and its worker's lease has not expired.
 pub(super) fn is_up_or_booting(machine: &Machine) -> bool {
-    matches!(machine.state(), MachineState::Up | MachineState::Booting) && !machine.lease_expired()
+    matches!(machine.state(), MachineState::Up | MachineState::Booting)
+        && !machine.is_lease_expired()
 }
 
 /// Returns whether the machine's heartbeat is overdue, so that the machine has probably failed. A
 /// replacement may be rented at once; rule S5 decides what happens to its tasks.
 fn is_heartbeat_overdue(machine: &Machine, heartbeat_timeout: Duration, now: Instant) -> bool {
-    machine.heard_at.is_some_and(|at| now.saturating_duration_since(at) > heartbeat_timeout)
+    machine.last_message_at.is_some_and(|at| now.saturating_duration_since(at) > heartbeat_timeout)
 }
 
 /// Returns the CPUs of the machines that a rental requests, or `None` if their type is unknown.
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -2,28 +2,34 @@
 
 use super::{DirectOrderTarget, DirectPurpose, Scheduler, Verdict};
 use crate::machine::{
-    DirectExchange, Machine, MachineState, MessageNumber, MessageOrigin, Reachability,
+    Machine, MachineState, MessageNumber, MessageOrigin, PendingDirectRequest, Reachability,
 };
 use corkfield_wire::records::MachineRecord;
 use corkfield_wire::worker::WorkerHeartbeat;
 use corkfield_wire::{AgentEpoch, MachineName};
 use std::time::{Duration, Instant};
 
-/// After a failover machines have a heartbeat interval and this long to show what they hold.
+/// Time that machines have after a failover to report their tasks, in addition to one heartbeat
+/// interval.
 const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
-/// So many machines that don't, or that part of all, are given up; never most of a small fleet.
-const FEW_UNRECONCILED: usize = 2;
-/// See [`FEW_UNRECONCILED`].
-const UNRECONCILED_PART: usize = 8;
-/// And only those that were asked this often in vain: a leader that is busy with the heartbeats of
-/// a whole fleet may not have come round to the others yet.
-const GIVEN_UP_AFTER: u32 = 2;
+/// Unresponsive machines are deleted only while at most this many machines are unreconciled, or one
+/// in [`DELETION_LIMIT_DIVISOR`] of all machines if that is more. In a small fleet the limit is half
+/// of the machines, so that most of the fleet is never deleted.
+const BASE_DELETION_LIMIT: usize = 2;
+/// See [`BASE_DELETION_LIMIT`].
+const DELETION_LIMIT_DIVISOR: usize = 8;
+/// A machine counts as unresponsive only after this many direct requests in a row without an
+/// answer. A leader that is busy with the heartbeats of a whole fleet may not have sent a request to
+/// every machine yet.
+const UNRESPONSIVE_AFTER: u32 = 2;
 
 impl Scheduler {
-    /// A machine on which an earlier leader may have started tasks. Nothing that was claimed
-    /// before is started until it has sent a heartbeat under our term, or is gone, or its worker's
-    /// lease has expired. `age` is the time since the record was written, at the least.
-    pub fn recorded_machine(
+    /// Adds a machine on which an earlier leader may have started tasks.
+    ///
+    /// Tasks that an earlier owner may have started are not started again until the machine has
+    /// sent a heartbeat under our term, is removed, or its worker's lease has expired. At least
+    /// `age` has passed since the record was written.
+    pub fn add_recorded_machine(
         &mut self,
         name: &str,
         record: &MachineRecord,
@@ -32,29 +38,33 @@
     ) {
         let types = &self.cluster.machine_types;
         let mut machine = Machine::from_record(name, record, types, age, now);
-        // S6: the leader before us may have answered it until its fresh state ran out.
-        machine.lease.may_be_renewed_until(now + self.cluster.config.answer_limit);
-        self.reconciliation.expect(name, now);
+        // S6: the previous leader may have answered heartbeats until its state was no longer fresh.
+        machine.lease.allow_renewal_by_earlier_leader_until(now + self.cluster.config.answer_limit);
+        self.reconciliation.add(name, now);
         self.cluster.machines.insert(MachineName::from(name), machine);
     }
 
-    /// Machines that have to be asked what they hold, or whether orders reach them. Those that have
-    /// shown our term are asked without it: whoever answers learns nothing from the question.
+    /// Returns the machines to which a direct request has to be sent, to find out which tasks they
+    /// hold or whether orders reach them.
+    ///
+    /// Machines that have shown our term are inspected: that request does not carry the term, so
+    /// another process of the worker does not learn it. All others are fenced with an empty list of
+    /// orders.
     pub fn fence_targets(&self) -> Vec<DirectOrderTarget> {
-        let asked = self.cluster.machines.values().filter(|machine| {
+        let targets = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
-                    || machine.messages.numbering_may_have_restarted()
-                    || machine.doubt.is_some_and(|doubt| doubt.is_due)
+                    || machine.message_history.may_have_restarted_numbering()
+                    || machine.task_uncertainty.is_some_and(|doubt| doubt.is_inspection_due)
                     || self.is_unreconciled(machine.name.as_str()))
         });
-        asked
+        targets
             .map(|machine| DirectOrderTarget {
                 machine: machine.name.clone(),
                 addr: machine.addr.clone(),
-                agent_epoch: machine.messages.newest().agent_epoch.max(AgentEpoch::FIRST),
-                purpose: if machine.messages.has_shown(self.term) {
+                agent_epoch: machine.message_history.newest().agent_epoch.max(AgentEpoch::FIRST),
+                purpose: if machine.message_history.has_reported_term(self.term) {
                     DirectPurpose::Inspect
                 } else {
                     DirectPurpose::Order
@@ -63,145 +73,160 @@
             .collect()
     }
 
-    /// The newest message known of a machine: what it says in answer to a question asked after
-    /// this is newer.
+    /// Returns the number of the newest message accepted from a machine's worker. The answer to a
+    /// request that is sent after this call has a higher number, unless the worker has restarted its
+    /// numbering.
     pub fn newest_message(&self, name: &str) -> MessageNumber {
         let machine = self.cluster.machines.get(name);
-        machine.map(|machine| machine.messages.newest()).unwrap_or_default()
+        machine.map(|machine| machine.message_history.newest()).unwrap_or_default()
     }
 
-    /// Direct orders, or a question, leave for a machine. It has to be followed by
-    /// [`Self::on_direct_orders_answer`] or [`Self::direct_exchange_failed`].
+    /// Begins an exchange with a machine: the caller is about to send it a direct request.
+    ///
+    /// The caller must report the outcome with [`Self::on_direct_orders_answer`] or
+    /// [`Self::on_direct_exchange_failed`].
     pub fn begin_direct_exchange(
         &mut self,
         name: &str,
         purpose: DirectPurpose,
         now: Instant,
-    ) -> DirectExchange {
+    ) -> PendingDirectRequest {
         let known = self.newest_message(name);
         let term = self.term;
         let machine = self.cluster.machines.get_mut(name);
         let may_expose_term = purpose == DirectPurpose::Order
-            && machine.is_some_and(|machine| machine.exchanges.exposure.note_direct_orders(term));
-        DirectExchange { known, asked_at: Some(now), may_expose_term }
+            && machine.is_some_and(|machine| {
+                machine.ordering_tracker.term_exposure.record_direct_orders(term)
+            });
+        PendingDirectRequest { newest_known: known, sent_at: Some(now), may_expose_term }
     }
 
-    /// A machine's answer to direct orders, or to a question.
+    /// Handles a worker's answer to a direct request. The answer has the form of a heartbeat.
     pub fn on_direct_orders_answer(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        exchange: impl Into<DirectExchange>,
+        exchange: impl Into<PendingDirectRequest>,
         now: Instant,
     ) -> Verdict {
         let exchange = exchange.into();
         if let Some(machine) = self.cluster.machines.get_mut(&heartbeat.machine) {
             if exchange.may_expose_term {
-                let by_known_process = machine.is_of_known_process(heartbeat);
-                machine.exchanges.exposure.end_direct_orders(by_known_process);
+                let by_known_process = machine.is_from_known_process(heartbeat);
+                machine.ordering_tracker.term_exposure.end_direct_orders(by_known_process);
             }
         }
-        let origin = MessageOrigin::DirectAnswer { asked_at: exchange.asked_at };
+        let origin = MessageOrigin::DirectAnswer { request_sent_at: exchange.sent_at };
         let verdict = self.on_heartbeat(heartbeat, origin, now);
-        if MessageNumber::from(heartbeat) <= exchange.known {
-            self.return_restarted(heartbeat.machine.as_str());
+        if MessageNumber::from(heartbeat) <= exchange.newest_known {
+            self.delete_restarted_machine(heartbeat.machine.as_str());
         }
         verdict
     }
 
-    /// Direct orders, or a question, have no answer that can be used.
-    pub fn direct_exchange_failed(&mut self, name: &str, exchange: DirectExchange) {
-        self.direct_orders_unanswered(name);
+    /// Handles a direct request without a usable answer.
+    pub fn on_direct_exchange_failed(&mut self, name: &str, exchange: PendingDirectRequest) {
+        self.on_direct_orders_unanswered(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             if exchange.may_expose_term {
-                machine.exchanges.exposure.end_direct_orders(false);
+                machine.ordering_tracker.term_exposure.end_direct_orders(false);
             }
         }
     }
 
-    /// Returns machines of which nothing has proved for longer than a worker's lease what they
-    /// hold, though their heartbeats come: neither answers nor questions reach them, so what runs
-    /// there has lost its lease.
-    pub(super) fn return_doubtful_machines(&mut self, now: Instant) {
+    /// Deletes machines whose tasks have been in doubt for longer than a worker's lease, although
+    /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so the
+    /// lease under which its tasks were started has expired.
+    pub(super) fn delete_doubtful_machines(&mut self, now: Instant) {
         let expiry_after = self.cluster.config.lease_expiry_timeout();
-        let mut returned = Vec::new();
+        let mut doubtful = Vec::new();
         for machine in self.cluster.machines.values_mut() {
-            let Some(doubt) = machine.doubt.as_mut() else { continue };
-            doubt.tick(now);
+            let Some(doubt) = machine.task_uncertainty.as_mut() else { continue };
+            doubt.update_due(now);
             if doubt.is_older_than(expiry_after, now) {
-                returned.push(machine.name.clone());
+                doubtful.push(machine.name.clone());
             }
         }
-        for name in returned {
-            self.return_at_once(name.as_str(), "what it holds is in doubt; machine returned");
+        for name in doubtful {
+            self.delete_machine(name.as_str(), "what it holds is in doubt; machine returned");
         }
     }
 
-    /// A worker that restarts its numbering has lost all its tasks, and its numbers no longer tell
-    /// old heartbeats from new ones. So it is not trusted again: the machine is returned.
-    pub(super) fn return_restarted(&mut self, name: &str) {
-        self.return_at_once(name, "worker restarted its numbering; machine returned");
+    /// Deletes a machine whose worker has restarted its message numbering. The worker has lost all
+    /// its tasks, and its numbers no longer tell which of two heartbeats is the older, so its
+    /// messages cannot be trusted any more.
+    pub(super) fn delete_restarted_machine(&mut self, name: &str) {
+        self.delete_machine(name, "worker restarted its numbering; machine returned");
     }
 
-    /// Returns a machine at once, with all that it may hold; the answered deletion shows that
-    /// nothing of it runs any more (S5b).
-    fn return_at_once(&mut self, name: &str, reason: &'static str) {
+    /// Marks a machine for deletion without draining it, and logs the reason. The cloud's answer to
+    /// the deletion proves that none of the machine's tasks runs any more (S5b).
+    fn delete_machine(&mut self, name: &str, reason: &'static str) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
         };
         if machine.state() != MachineState::Deleting {
             machine.enter(MachineState::Deleting);
-            self.last_delete = None;
-            self.note_machine_event(name, reason);
+            self.last_deletion_retry = None;
+            self.log_machine_event(name, reason);
         }
     }
 
-    /// A few machines that don't answer hold up every task claimed before, until their workers'
-    /// leases expire or the list drops them half a minute later. Returned ones are surely gone
-    /// (S5b), so those few are given up. Where many are silent it is more likely a zone, or this
-    /// controller, that is cut off: then their tasks are worth the wait.
-    pub(super) fn give_up_unreconciled(&mut self, now: Instant) {
-        let Some(waited) = self.reconciliation.waited(now) else {
+    /// Finishes a complete reconciliation, or deletes the last unreconciled machines if they are few
+    /// and unresponsive.
+    ///
+    /// A few unresponsive machines delay every task that an earlier leader may have started, until
+    /// their workers' leases expire or the cloud's list omits them half a minute later. Once
+    /// the cloud has answered a machine's deletion, the machine provably holds no task (S5b). If many
+    /// machines don't respond, a zone or this controller is more likely to be disconnected; then
+    /// their tasks are worth the wait.
+    pub(super) fn advance_reconciliation(&mut self, now: Instant) {
+        let Some(elapsed) = self.reconciliation.elapsed(now) else {
             return;
         };
         let machines = self.cluster.machines.len();
         if self.reconciliation.is_complete() {
-            let waited_s = waited.as_secs_f64();
+            let waited_s = elapsed.as_secs_f64();
             tracing::info!(machines, waited_s, "all machines accounted for after the failover");
-            self.reconciliation.end();
+            self.reconciliation.finish();
             return;
         }
-        let few = FEW_UNRECONCILED.min(machines / 2).max(machines / UNRECONCILED_PART);
+        let deletion_limit =
+            BASE_DELETION_LIMIT.min(machines / 2).max(machines / DELETION_LIMIT_DIVISOR);
         let grace = self.cluster.config.heartbeat_interval + RECONCILIATION_GRACE;
-        if waited < grace || !self.reconciliation.is_quiet(now) || self.reconciliation.len() > few {
+        if elapsed < grace
+            || !self.reconciliation.is_stalled(now)
+            || self.reconciliation.len() > deletion_limit
+        {
             return;
         }
-        for name in self.silent_unreconciled() {
-            self.return_at_once(name.as_str(), "no answer after the failover; machine returned");
+        for name in self.unresponsive_machines() {
+            self.delete_machine(name.as_str(), "no answer after the failover; machine returned");
         }
     }
 
-    /// Unreconciled machines that did not answer several questions in a row.
-    fn silent_unreconciled(&self) -> Vec<MachineName> {
-        let is_silent = |name: &&MachineName| {
+    /// Returns the unreconciled machines that left several direct requests in a row unanswered.
+    fn unresponsive_machines(&self) -> Vec<MachineName> {
+        let is_unresponsive = |name: &&MachineName| {
             let machine = self.cluster.machines.get(*name);
-            machine.is_some_and(|machine| machine.unanswered() >= GIVEN_UP_AFTER)
+            machine.is_some_and(|machine| machine.unanswered_requests() >= UNRESPONSIVE_AFTER)
         };
-        self.reconciliation.machines().filter(is_silent).cloned().collect()
+        self.reconciliation.machines().filter(is_unresponsive).cloned().collect()
     }
 
-    /// A machine did not answer direct orders in time.
-    pub fn direct_orders_unanswered(&mut self, name: &str) {
+    /// Counts a direct request that a machine's worker did not answer in time.
+    pub fn on_direct_orders_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.note_unanswered();
+            machine.record_unanswered_request();
         }
     }
 
-    /// All tasks that earlier leaders started are accounted for.
+    /// Returns whether all tasks that earlier leaders started are accounted for.
     pub fn is_reconciled(&self) -> bool {
         self.reconciliation.is_complete()
     }
 
-    /// Whether the machine may hold tasks of earlier leaders that are not known yet (S7, S8).
+    /// Returns whether the machine may hold tasks of earlier leaders that are not known yet (S7,
+    /// S8).
     pub(crate) fn is_unreconciled(&self, machine: &str) -> bool {
         self.reconciliation.contains(machine)
     }
--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler decided.
+//! Carries out the scheduler's decisions.
 
 use super::active_leader::ActiveLeader;
 use super::direct_orders::send_direct_orders;
@@ -6,7 +6,8 @@
 use corkfield_core::{Action, DirectOrderTarget, DirectPurpose};
 
 impl ActiveLeader {
-    /// Takes the scheduler's decisions as they come. None of them holds up the next ones.
+    /// Dispatches the scheduler's actions as they are produced. Requests to other services run in
+    /// tasks of their own, so that no action delays the next ones.
     pub(super) async fn dispatch_actions(&self) {
         loop {
             let actions = self.scheduler.borrow_mut().take_actions();
@@ -18,14 +19,14 @@
             let mut erased = Vec::new();
             for action in actions {
                 match action {
-                    Action::Record(machine, record) => {
+                    Action::StoreMachineRecord(machine, record) => {
                         records.push(MachineRecordWrite { machine, record });
                     }
-                    Action::Erase(machine) => erased.push(machine),
-                    Action::Answer(machine) => {
-                        self.context.leadership.held_answers.answer(machine.as_str());
+                    Action::DeleteMachineRecord(machine) => erased.push(machine),
+                    Action::SendHeldAnswer(machine) => {
+                        self.context.leadership.held_answers.release(machine.as_str());
                     }
-                    Action::Direct { machine, addr, agent_epoch, orders } => {
+                    Action::SendDirectOrders { machine, addr, agent_epoch, orders } => {
                         let purpose = DirectPurpose::Order;
                         let target = DirectOrderTarget { machine, addr, agent_epoch, purpose };
                         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
@@ -33,8 +34,8 @@
                             send_direct_orders(&context, &scheduler, &target, orders).await;
                         });
                     }
-                    Action::Rent(request) => self.rent_machines(request),
-                    Action::Delete(machines) => self.return_machines(machines),
+                    Action::RentMachines(request) => self.rent_machines(request),
+                    Action::DeleteMachines(machines) => self.return_machines(machines),
                 }
             }
             self.update_machine_records(records, erased);
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -1,5 +1,6 @@
-//! The links between controllers: each keeps one to every other, over which it sends its
-//! heartbeats, relays workers' heartbeats to the leader and notifies of cancellations.
+//! The links between controllers. Each controller maintains a connection to every other controller,
+//! over which it sends its heartbeats, relays workers' heartbeats to the leader and sends
+//! notifications of cancellations.
 
 mod frames;
 mod incoming;
@@ -18,91 +19,95 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Pause between two heartbeats, and before a link is opened again.
+/// Interval of heartbeats, and pause before a lost link is reopened.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker gives a heartbeat up after 4 s.
-const RELAY_LIMIT: Duration = Duration::from_millis(3500);
-/// Frames that may wait for one link, at the least. A heartbeat that is relayed holds a worker's
-/// connection, so no more of them are under way than connections are accepted; all workers of a
-/// large zone may have to send theirs this way.
+/// How long a relayed heartbeat waits for the leader's answer. A worker abandons its heartbeat
+/// after 4 s.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Minimum capacity of a link's frame queue. A relayed heartbeat occupies a worker's connection, so
+/// the number of accepted connections bounds the relayed heartbeats without an answer. All workers
+/// of a large zone may need to have their heartbeats relayed.
 const MIN_QUEUED_FRAMES: usize = 512;
 
-/// Frames that may wait for one link, if so many connections are accepted.
+/// Returns the capacity of a link's frame queue for a maximum number of accepted connections.
 pub fn max_queued_frames(accepted_connections: usize) -> usize {
     accepted_connections.max(MIN_QUEUED_FRAMES)
 }
 
-/// The links that this controller opened, and the relayed heartbeats that wait for their answers.
+/// The links that this controller opened, and the relayed heartbeats without an answer.
 pub struct PeerLinks {
-    /// Where frames to each controller that there is a link to are queued.
-    open: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
-    /// Relayed heartbeats without an answer yet, by number.
-    relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
-    last_relay: Cell<u64>,
+    /// The frame queues of the open links, by controller.
+    queues: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
+    /// The relayed heartbeats without an answer, by number; each sender passes the answer on.
+    pending_relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
+    last_relay_number: Cell<u64>,
     max_queued: usize,
 }
 
 impl PeerLinks {
-    /// No more than `max_queued` frames wait for a link, and no more relayed heartbeats for
-    /// answers.
+    /// Creates a set of links. `max_queued` limits the frames in the queue of each link, and the
+    /// relayed heartbeats that wait for an answer.
     pub fn new(max_queued: usize) -> Self {
         Self {
-            open: RefCell::default(),
-            relays: RefCell::default(),
-            last_relay: Cell::new(0),
+            queues: RefCell::default(),
+            pending_relays: RefCell::default(),
+            last_relay_number: Cell::new(0),
             max_queued,
         }
     }
 
-    /// Relays a worker's heartbeat to the leader, and brings its answer. It is the leader's own
-    /// answer, under its term; a worker counts its lease from when it sent the heartbeat, so the
-    /// way round makes no lease longer, and it drops an answer that comes too late.
-    pub async fn relay(&self, leader: &str, body: &[u8]) -> Option<Response> {
-        let link = self.open.borrow().get(leader).cloned()?;
-        if self.relays.borrow().len() >= self.max_queued {
+    /// Relays a worker's heartbeat to the leader and returns the leader's answer. Returns `None` if
+    /// there is no link to the leader, a limit is reached or no answer arrives in time.
+    ///
+    /// The answer is the leader's own, under the leader's term. A worker's lease starts when the
+    /// worker sends the heartbeat, and the worker drops an answer that arrives too late, so
+    /// relaying never extends a lease.
+    pub async fn relay_heartbeat(&self, leader: &str, body: &[u8]) -> Option<Response> {
+        let link = self.queues.borrow().get(leader).cloned()?;
+        if self.pending_relays.borrow().len() >= self.max_queued {
             return None;
         }
-        let number = self.last_relay.get() + 1;
-        self.last_relay.set(number);
+        let number = self.last_relay_number.get() + 1;
+        self.last_relay_number.set(number);
         let (sender, receiver) = oneshot::channel();
-        self.relays.borrow_mut().insert(number, sender);
+        self.pending_relays.borrow_mut().insert(number, sender);
         let sent = link.try_send(Frame::WorkerHeartbeat { number, body: body.to_vec() });
         let answer = match sent {
-            Ok(()) => timeout(RELAY_LIMIT, receiver).await.ok().and_then(Result::ok),
+            Ok(()) => timeout(RELAY_TIMEOUT, receiver).await.ok().and_then(Result::ok),
             Err(_) => None,
         };
-        self.relays.borrow_mut().remove(&number);
+        self.pending_relays.borrow_mut().remove(&number);
         answer
     }
 
-    /// Controllers that there is a link to and that say they lead, or that the state service names
-    /// as the leader.
+    /// Returns the controllers with an open link that report that they lead, or that are the
+    /// `recorded` leader in the state service.
     pub fn linked_leaders(
         &self,
         recorded: Option<&ControllerName>,
         peers: &Peers,
     ) -> Vec<ControllerName> {
-        let leads =
-            |name: &ControllerName| recorded == Some(name) || peers.says_it_leads(name.as_str());
-        self.open.borrow().keys().filter(|name| leads(name)).cloned().collect()
+        let may_lead =
+            |name: &ControllerName| recorded == Some(name) || peers.is_peer_leading(name.as_str());
+        self.queues.borrow().keys().filter(|name| may_lead(name)).cloned().collect()
     }
 
-    /// A link was opened; returns the queue of its frames.
-    fn opened(&self, peer: &str) -> (mpsc::Sender<Frame>, mpsc::Receiver<Frame>) {
+    /// Registers a link that was opened; returns both ends of its frame queue.
+    fn register_link(&self, peer: &str) -> (mpsc::Sender<Frame>, mpsc::Receiver<Frame>) {
         let (sender, receiver) = mpsc::channel(self.max_queued);
-        self.open.borrow_mut().insert(ControllerName::from(peer), sender.clone());
+        self.queues.borrow_mut().insert(ControllerName::from(peer), sender.clone());
         (sender, receiver)
     }
 
-    /// The link to that controller was lost.
-    fn closed(&self, peer: &str) {
-        self.open.borrow_mut().remove(peer);
+    /// Removes the link to a controller after it was lost.
+    fn remove_link(&self, peer: &str) {
+        self.queues.borrow_mut().remove(peer);
     }
 
-    /// The answer to a relayed heartbeat has come.
-    fn answered(&self, number: u64, response: Response) {
-        if let Some(waiting) = self.relays.borrow_mut().remove(&number) {
-            let _ = waiting.send(response);
+    /// Passes the answer to a relayed heartbeat on to the request that waits for it.
+    fn complete_relay(&self, number: u64, response: Response) {
+        if let Some(sender) = self.pending_relays.borrow_mut().remove(&number) {
+            let _ = sender.send(response);
         }
     }
 }
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -1,4 +1,5 @@
-//! Workers that were redirected to the leader, and those that can't reach it.
+//! Tracks workers that were redirected to the leader, and finds the workers that can't reach the
+//! leader.
 
 use crate::clock::now;
 use corkfield_wire::MachineName;
@@ -6,100 +7,103 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A worker that is back this soon after it was redirected to the leader didn't reach it.
-const BACK_SOON: Duration = Duration::from_secs(12);
-/// After this a worker whose heartbeats are relayed tries the leader itself again.
+/// A worker that returns within this time after it was redirected didn't reach the leader.
+const RETURN_WINDOW: Duration = Duration::from_secs(12);
+/// After this time a worker whose heartbeats are relayed is redirected to the leader again.
 const RELAY_PERIOD: Duration = Duration::from_secs(60);
-/// Above the number of workers; only those that came in the last seconds are remembered.
+/// Maximum number of workers that are tracked. It is above the number of workers of a cluster: only
+/// workers seen within [`RETURN_WINDOW`] are tracked.
 const MAX_REDIRECTED: usize = 32_768;
 
-/// How a worker's heartbeats get to the leader.
+/// How a worker's heartbeats reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Route {
-    /// The worker is to send them to the leader itself.
+pub enum HeartbeatRoute {
+    /// The worker sends its heartbeats to the leader itself.
     Redirect,
-    /// This controller relays them.
+    /// This controller relays the heartbeats to the leader.
     Relay,
 }
 
-/// What is remembered of a worker that was here.
+/// A worker that recently sent a heartbeat to this controller.
 #[derive(Debug, Clone, Copy)]
-struct Visitor {
+struct RedirectedWorker {
     last_seen: Instant,
-    state: VisitorState,
+    state: RedirectState,
 }
 
-/// How the heartbeats of a worker that was here get to the leader.
+/// How the heartbeats of a tracked worker reach the leader.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
-/// | unknown, or not seen for [`BACK_SOON`] | heartbeat | redirected |
+/// | unknown, or not seen for [`RETURN_WINDOW`] | heartbeat | redirected |
 /// | redirected | heartbeat | relayed |
 /// | relayed for up to [`RELAY_PERIOD`] | heartbeat | relayed |
 /// | relayed for longer | heartbeat | redirected |
 #[derive(Debug, Clone, Copy)]
-enum VisitorState {
+enum RedirectState {
     Redirected,
     Relayed { since: Instant },
 }
 
-impl Visitor {
+impl RedirectedWorker {
+    /// Returns a worker that was just redirected for the first time.
     fn redirected(seen: Instant) -> Self {
-        Self { last_seen: seen, state: VisitorState::Redirected }
+        Self { last_seen: seen, state: RedirectState::Redirected }
     }
 
-    fn is_forgotten(&self, at: Instant) -> bool {
-        at.saturating_duration_since(self.last_seen) >= BACK_SOON
+    /// Returns whether the worker was not seen for [`RETURN_WINDOW`].
+    fn is_expired(&self, at: Instant) -> bool {
+        at.saturating_duration_since(self.last_seen) >= RETURN_WINDOW
     }
 
-    /// The state after a heartbeat that came soon after the one before.
-    fn returned(&self, at: Instant) -> VisitorState {
+    /// Returns the state after a heartbeat within [`RETURN_WINDOW`] after the previous one.
+    fn state_after_return(&self, at: Instant) -> RedirectState {
         match self.state {
-            VisitorState::Redirected => VisitorState::Relayed { since: at },
-            VisitorState::Relayed { since }
+            RedirectState::Redirected => RedirectState::Relayed { since: at },
+            RedirectState::Relayed { since }
                 if at.saturating_duration_since(since) > RELAY_PERIOD =>
             {
-                VisitorState::Redirected
+                RedirectState::Redirected
             }
-            relayed @ VisitorState::Relayed { .. } => relayed,
+            relayed @ RedirectState::Relayed { .. } => relayed,
         }
     }
 }
 
-/// Workers that came to this controller although another one leads.
+/// Workers that sent heartbeats to this controller although another controller leads.
 #[derive(Default)]
 pub struct RedirectedWorkers {
-    /// By machine.
-    visitors: RefCell<BTreeMap<MachineName, Visitor>>,
-    swept: Cell<Option<Instant>>,
+    /// The tracked workers, by machine.
+    workers: RefCell<BTreeMap<MachineName, RedirectedWorker>>,
+    last_swept: Cell<Option<Instant>>,
 }
 
 impl RedirectedWorkers {
-    /// Records a worker's heartbeat, and says how it gets to the leader.
-    pub fn record_visit(&self, machine: &str) -> Route {
+    /// Records a worker's heartbeat and returns how it reaches the leader.
+    pub fn route_heartbeat(&self, machine: &str) -> HeartbeatRoute {
         let at = now();
         self.sweep(at);
-        let mut visitors = self.visitors.borrow_mut();
-        let known = visitors.get_mut(machine).filter(|visitor| !visitor.is_forgotten(at));
-        let Some(visitor) = known else {
-            if visitors.len() < MAX_REDIRECTED || visitors.contains_key(machine) {
-                visitors.insert(MachineName::from(machine), Visitor::redirected(at));
+        let mut workers = self.workers.borrow_mut();
+        let known = workers.get_mut(machine).filter(|worker| !worker.is_expired(at));
+        let Some(worker) = known else {
+            if workers.len() < MAX_REDIRECTED || workers.contains_key(machine) {
+                workers.insert(MachineName::from(machine), RedirectedWorker::redirected(at));
             }
-            return Route::Redirect;
+            return HeartbeatRoute::Redirect;
         };
-        *visitor = Visitor { last_seen: at, state: visitor.returned(at) };
-        match visitor.state {
-            VisitorState::Redirected => Route::Redirect,
-            VisitorState::Relayed { .. } => Route::Relay,
+        *worker = RedirectedWorker { last_seen: at, state: worker.state_after_return(at) };
+        match worker.state {
+            RedirectState::Redirected => HeartbeatRoute::Redirect,
+            RedirectState::Relayed { .. } => HeartbeatRoute::Relay,
         }
     }
 
-    /// Forgets those that were not here for a while, now and then.
+    /// Removes expired workers, at most once per [`RETURN_WINDOW`].
     fn sweep(&self, at: Instant) {
-        let due = |swept: Instant| at.saturating_duration_since(swept) >= BACK_SOON;
-        if self.swept.get().is_none_or(due) {
-            self.swept.set(Some(at));
-            self.visitors.borrow_mut().retain(|_, visitor| !visitor.is_forgotten(at));
+        let due = |last_swept: Instant| at.saturating_duration_since(last_swept) >= RETURN_WINDOW;
+        if self.last_swept.get().is_none_or(due) {
+            self.last_swept.set(Some(at));
+            self.workers.borrow_mut().retain(|_, worker| !worker.is_expired(at));
         }
     }
 }
