--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -137,7 +137,7 @@
             // This class ranks below users' submissions, as a booting fleet queues hundreds of
             // records.
             let class = RequestClass::Completion;
-            let stored = context.env.state.transaction(class, &transaction).await.is_ok();
+            let stored = context.env.state.commit(class, &transaction).await.is_ok();
             for machine in &machines {
                 scheduler.borrow_mut().on_machine_record_written(machine.as_str(), stored);
             }
@@ -159,7 +159,7 @@
                     transaction.delete(machine_key(machine.as_str()))
                 });
                 let Err(error) =
-                    context.env.state.transaction(RequestClass::Housekeeping, &transaction).await
+                    context.env.state.commit(RequestClass::Housekeeping, &transaction).await
                 else {
                     return;
                 };
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -67,18 +67,18 @@
 const STANDBY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 const LEADER_BUDGET: RateBudget = RateBudget {
-    requests: LEADER_REQUEST_SHARE,
-    writes: LEADER_WRITE_SHARE,
-    burst_s: LEADER_BURST_S,
+    request_share: LEADER_REQUEST_SHARE,
+    write_share: LEADER_WRITE_SHARE,
+    write_burst_s: LEADER_BURST_S,
 };
 
 /// Returns a standby's share of the state service's rate limits.
 fn standby_budget(env: &Environment) -> RateBudget {
     let standbys = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
     RateBudget {
-        requests: (1.0 - LEADER_REQUEST_SHARE) / standbys,
-        writes: (1.0 - LEADER_WRITE_SHARE) / standbys,
-        burst_s: STANDBY_BURST_S,
+        request_share: (1.0 - LEADER_REQUEST_SHARE) / standbys,
+        write_share: (1.0 - LEADER_WRITE_SHARE) / standbys,
+        write_burst_s: STANDBY_BURST_S,
     }
 }
 
