--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -23,8 +23,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The duration of a back-off doubles with each claim up to this number of claims.
-const MAX_BACK_OFF_CLAIMS: u32 = 6;
+/// The duration of a backoff doubles with each claim up to this number of claims.
+const MAX_BACKOFF_CLAIMS: u32 = 6;
 /// Lower bound in seconds for the expected run time if it is based on an estimate.
 const MIN_ESTIMATE_S: f64 = 1.0;
 /// Additional time in seconds that a stopped task has beyond the time to save a checkpoint.
@@ -311,13 +311,13 @@
     /// where they may run. The duration doubles with each claim, up to a limit.
     pub(crate) fn back_off(&mut self, now: Instant) {
         if self.may_start() {
-            let wait_s = 2f64.powi(self.record.claims.clamp(1, MAX_BACK_OFF_CLAIMS) as i32);
+            let wait_s = 2f64.powi(self.record.claims.clamp(1, MAX_BACKOFF_CLAIMS) as i32);
             tracing::info!(job = %self.record.spec.id, wait_s, "job fails on several machines");
             self.enter(JobState::BackingOff(now + Duration::from_secs_f64(wait_s)));
         }
     }
 
-    /// Processes a new claim of the job, for example after a back-off.
+    /// Processes a new claim of the job, for example after a backoff.
     pub(crate) fn on_reclaimed(&mut self, record: JobRecord, version: Revision, now: Instant) {
         let state = JobState::after_claim(record.dead_lettered);
         self.claims_when_claimed = record.claims;
--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -10,14 +10,14 @@
 /// | (new)           | claimed at the claim limit                              | `DeadLettered` |
 /// | `Active`        | failed on several machines, or wherever it may run      | `BackingOff`   |
 /// | `Active`        | a worker refused a start: no such job or task           | `BackingOff`   |
-/// | `BackingOff`    | the back-off has ended                                  | `NeedsReclaim` |
+/// | `BackingOff`    | the backoff has ended                                   | `NeedsReclaim` |
 /// | any but Closing | claimed again                                           | `Active`       |
 /// | any but Closing | claimed again, at the claim limit                       | `DeadLettered` |
 /// | any             | cancelled, done, or claimed by another controller       | `Closing`      |
 ///
 /// `Closing` is final: the job is removed once none of its tasks is on a machine. Every change goes
 /// through `Job::enter`. When a job leaves `Active`, or is claimed again while `Active`, its
-/// assigned tasks are taken off their machines and wait again (`Scheduler::change_job`, or
+/// assigned tasks are removed from their machines and wait again (`Scheduler::change_job`, or
 /// `stop_job` when the job is closed). Tasks whose start was ordered continue or are stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
@@ -26,7 +26,7 @@
     /// Tasks of the job failed on several machines, or a worker refused one: no task is started
     /// before the given time.
     BackingOff(Instant),
-    /// The back-off has ended. The job has to be claimed again, which counts as a claim (S12).
+    /// The backoff has ended. The job has to be claimed again, which counts as a claim (S12).
     NeedsReclaim,
     /// The job has reached the claim limit; its tasks are stopped.
     DeadLettered,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,6 +25,6 @@
 };
 pub use scaling::RentalFailure;
 pub use scheduler::{
-    Action, CompletionCommit, DirectOrderTarget, DirectPurpose, Overview, Scheduler, Verdict,
+    Action, CompletionCommit, DirectPurpose, DirectRequestTarget, Overview, Scheduler, Verdict,
 };
 pub use team::{check_schedulable, Unschedulable};
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -46,7 +46,7 @@
     }
 
     /// Treats the lease as renewed at `now`, because the first heartbeat, or the first one after an
-    /// expiry, is about to be answered. The answer may be delayed, and the lease would be over
+    /// expiry, is about to be answered. The answer may be delayed, and the lease would end
     /// before it is sent if its end were computed from a much earlier answer.
     pub(super) fn assume_renewed_at(&mut self, now: Instant) {
         self.last_renewal_at = self.last_renewal_at.max(now);
--- a/crates/core/src/machine/message_history.rs
+++ b/crates/core/src/machine/message_history.rs
@@ -4,7 +4,8 @@
 use corkfield_wire::{AgentEpoch, Term};
 
 /// Number of outdated heartbeats with increasing numbers, and no accepted message between them,
-/// after which the worker is asked whether it has restarted its numbering.
+/// after which the worker is sent a direct request, to find out whether it has restarted its
+/// numbering.
 const RESTART_SUSPECTED_AFTER: u32 = 2;
 
 /// Number of a worker's message. Later messages of a worker compare greater.
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Returns whether the worker may have restarted its numbering and has to be asked.
+    /// Returns whether the worker may have restarted its numbering, so that a direct request has to
+    /// be sent to it.
     pub(crate) fn may_have_restarted_numbering(&self) -> bool {
         self.outdated_count >= RESTART_SUSPECTED_AFTER
     }
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -155,7 +155,8 @@
         machine.addr = addr;
         machine.record_state = RecordState::Stored;
         // The machine existed when the record was stored. So a list of the cloud requested shortly
-        // after the failover already proves that the machine is gone if it is missing there.
+        // after the failover already proves that the machine no longer exists if it is missing
+        // there.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         machine.enter(MachineState::Up);
         machine
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -8,7 +8,7 @@
 /// | `Booting`             | first heartbeat, or recorded by an earlier leader       | `Up`       |
 /// | `Booting`, `Up`       | not needed, faulty, or late to boot                     | `Draining` |
 /// | `Draining`            | no task is left on the machine                          | `Deleting` |
-/// | any                   | worker lost its state, or is silent after a failover    | `Deleting` |
+/// | any                   | worker lost its state, or doesn't answer after failover | `Deleting` |
 ///
 /// `Deleting` is final: the machine is removed once the cloud answered its deletion or no longer
 /// lists it. Every change goes through `Machine::enter`.
--- a/crates/core/src/machine/task_uncertainty.rs
+++ b/crates/core/src/machine/task_uncertainty.rs
@@ -26,7 +26,7 @@
 
     /// Creates an uncertainty about tasks that an earlier message reported and a later one lacks.
     /// An inspection ends it at any time.
-    pub(crate) fn from_missing_tasks(now: Instant) -> Self {
+    pub(crate) fn from_absent_tasks(now: Instant) -> Self {
         Self { since: now, inspect_from: now, is_inspection_due: true }
     }
 
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -22,8 +22,8 @@
 /// | (new), any but `Assigned`| a heartbeat reports that the task exited otherwise| `Exited`    |
 ///
 /// A task is removed once it is certainly not on the machine (S5): a later heartbeat lacks it, the
-/// machine is gone, or the worker's lease has expired. An `Assigned` task is removed when the
-/// machine accepts no more starts or its job is stopped. Every change goes through
+/// machine no longer exists, or the worker's lease has expired. An `Assigned` task is removed when
+/// the machine accepts no more starts or its job is stopped. Every change goes through
 /// `MachineTask::enter`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineTaskState {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -71,17 +71,17 @@
     }
 
     /// Returns an upper bound of the usage by tasks that this leader does not know yet (S8): the
-    /// full size of each machine that has not reported its tasks since the failover or that holds
-    /// tasks of unknown jobs. A worker never exceeds its machine's size, and the usage may belong
-    /// to any team. Returns `None` while the size of such a machine is unknown.
+    /// full capacity of each machine that has not reported its tasks since the failover or that
+    /// holds tasks of unknown jobs. A worker never exceeds its machine's capacity, and the usage may
+    /// belong to any team. Returns `None` while the type of such a machine is unknown.
     fn unaccounted_usage(&self) -> Option<Usage> {
         let mut unaccounted_usage = Usage::default();
         for machine in self.cluster.machines.values() {
             if self.is_unreconciled(machine.name.as_str())
                 || machine.tasks.totals().has_unknown_tasks
             {
-                let size = machine.machine_type.as_ref()?;
-                let whole_machine = Usage { cpus: size.cpus, gpus: size.gpus };
+                let machine_type = machine.machine_type.as_ref()?;
+                let whole_machine = Usage { cpus: machine_type.cpus, gpus: machine_type.gpus };
                 unaccounted_usage = unaccounted_usage.plus(whole_machine);
             }
         }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -115,7 +115,7 @@
     /// Requests the first start watermark if the job's record has none, and returns whether it was
     /// missing. Called only when there is room for a task: after a failover, tasks below the
     /// watermark count as possibly started and wait until all machines have reported what they run,
-    /// which takes long if some of them are silent.
+    /// which takes long if some of them send no heartbeats.
     fn request_first_watermark(&mut self, id: &JobId) -> bool {
         let Some(job) = self.cluster.jobs.get_mut(id) else { return true };
         let needs_watermark = job.needs_first_watermark();
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -70,8 +70,8 @@
     job: &Job,
 ) -> BTreeMap<String, u32> {
     let mut tasks_by_zone = BTreeMap::new();
-    for placed in job.placements().values() {
-        if let Some(machine) = machines.get(&placed.machine) {
+    for placement in job.placements().values() {
+        if let Some(machine) = machines.get(&placement.machine) {
             *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
     }
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -75,7 +75,8 @@
 }
 
 fn has_boot_timed_out(machine: &Machine, now: Instant) -> bool {
-    let boot_s = machine.machine_type.as_ref().map_or(DEFAULT_BOOT_S, |size| size.boot_s);
+    let boot_s =
+        machine.machine_type.as_ref().map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
     let limit = Duration::from_secs_f64(boot_s * BOOT_TIMEOUT_RATIO + BOOT_TIMEOUT_MARGIN_S);
     machine.state() == MachineState::Booting
         && now.saturating_duration_since(machine.rented_at) > limit
@@ -95,11 +96,11 @@
     let mut balance = SpotBalance::default();
     let mut expensive = Vec::new();
     for machine in cluster.machines.values().filter(|machine| is_usable(machine)) {
-        let Some(size) = &machine.machine_type else { continue };
+        let Some(machine_type) = &machine.machine_type else { continue };
         if machine.spot {
-            balance.spot_cpus += size.cpus;
-        } else if is_expensive(size) {
-            balance.on_demand_cpus += size.cpus;
+            balance.spot_cpus += machine_type.cpus;
+        } else if is_expensive(machine_type) {
+            balance.on_demand_cpus += machine_type.cpus;
             expensive.push(machine.name.clone());
         }
     }
@@ -112,7 +113,7 @@
     }
 }
 
-/// Returns whether the machine is up, with neither a notice from the cloud nor an expired worker
+/// Returns whether the machine is up, with neither an interruption notice nor an expired worker
 /// lease.
 fn is_usable(machine: &Machine) -> bool {
     machine.state() == MachineState::Up
@@ -149,7 +150,7 @@
     let short_keep = long_keep.mul_f64(SHORT_IDLE_KEEP_FRACTION);
     let mut idle = Vec::new();
     for machine in cluster.machines.values_mut() {
-        let Some(size) = &machine.machine_type else { continue };
+        let Some(machine_type) = &machine.machine_type else { continue };
         if machine.state() != MachineState::Up || !machine.tasks.is_empty() {
             machine.idle_since = None;
             continue;
@@ -160,8 +161,8 @@
         if is_slow || idle_for >= short_keep {
             idle.push(IdleMachine {
                 name: machine.name.clone(),
-                cpus: size.cpus,
-                price_per_cpu: price_per_cpu(size, machine.spot),
+                cpus: machine_type.cpus,
+                price_per_cpu: price_per_cpu(machine_type, machine.spot),
                 is_past_idle_keep: is_slow || idle_for >= long_keep,
             });
         }
--- a/crates/core/src/scaling/spot_balance.rs
+++ b/crates/core/src/scaling/spot_balance.rs
@@ -22,11 +22,11 @@
     pub(super) fn from_cluster(cluster: &Cluster) -> Self {
         let mut balance = Self::default();
         for machine in cluster.machines.values().filter(|machine| is_up_or_booting(machine)) {
-            let Some(size) = &machine.machine_type else { continue };
+            let Some(machine_type) = &machine.machine_type else { continue };
             if machine.spot {
-                balance.spot_cpus += size.cpus;
+                balance.spot_cpus += machine_type.cpus;
             } else {
-                balance.on_demand_cpus += size.cpus;
+                balance.on_demand_cpus += machine_type.cpus;
             }
         }
         balance
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -50,7 +50,7 @@
         .filter(|machine| {
             provides_supply(machine, heartbeat_timeout, now) && machine_matches(machine)
         })
-        .filter_map(|machine| machine.machine_type.as_ref().map(|size| size.cpus))
+        .filter_map(|machine| machine.machine_type.as_ref().map(|machine_type| machine_type.cpus))
         .sum();
     let rental_cpus: f64 = rentals_in_flight
         .values()
--- a/crates/core/src/scheduler/action.rs
+++ b/crates/core/src/scheduler/action.rs
@@ -38,13 +38,13 @@
 pub enum DirectPurpose {
     /// Deliver orders, or an empty list of orders (a fence). The worker learns our term from it.
     Order,
-    /// Ask which tasks the machine holds. The request does not carry our term.
+    /// Inspect which tasks the machine holds. The request does not carry our term.
     Inspect,
 }
 
 /// Recipient of a direct request to a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DirectOrderTarget {
+pub struct DirectRequestTarget {
     /// Name of the machine.
     pub machine: MachineName,
     /// Address at which the machine's worker accepts direct orders.
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -50,17 +50,17 @@
         let Some(job) = jobs.get_mut(id) else {
             return;
         };
-        let is_on_machine = |index: u32, placed: &TaskPlacement| {
+        let is_on_machine = |index: u32, placement: &TaskPlacement| {
             let task = TaskId { job: id.clone(), index };
-            let key = TaskAttempt { task, attempt: placed.attempt };
-            machines.get(&placed.machine).is_some_and(|m| m.tasks.contains_key(&key))
+            let key = TaskAttempt { task, attempt: placement.attempt };
+            machines.get(&placement.machine).is_some_and(|m| m.tasks.contains_key(&key))
         };
         let missing =
-            job.placements().iter().filter(|(index, placed)| !is_on_machine(**index, placed));
+            job.placements().iter().filter(|(index, placement)| !is_on_machine(**index, placement));
         let missing: Vec<(u32, TaskPlacement)> =
-            missing.map(|(index, placed)| (*index, placed.clone())).collect();
-        for (index, placed) in missing {
-            job.release_task(index, placed.machine.as_str(), placed.attempt);
+            missing.map(|(index, placement)| (*index, placement.clone())).collect();
+        for (index, placement) in missing {
+            job.release_task(index, placement.machine.as_str(), placement.attempt);
         }
     }
 
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -139,18 +139,18 @@
 
     /// Handles a completion commit that was refused or not answered; it may be tried again.
     ///
-    /// `found` is the record as read from the store afterwards, with the job's finished tasks and
+    /// `stored` is the record as read from the store afterwards, with the job's finished tasks and
     /// the record's version, if the record is still of our claim.
     pub fn on_completion_commit_failed(
         &mut self,
         id: &JobId,
-        found: Option<(JobRecord, TaskSet, Revision)>,
+        stored: Option<(JobRecord, TaskSet, Revision)>,
     ) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.on_commit_failed();
-        if let Some((record, finished, version)) = found {
+        if let Some((record, finished, version)) = stored {
             job.merge_stored_record(record, &finished, version);
         }
     }
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -1,6 +1,6 @@
 //! Failover: which machines earlier leaders may have used, and when each is accounted for (S7).
 
-use super::{DirectOrderTarget, DirectPurpose, Scheduler, Verdict};
+use super::{DirectPurpose, DirectRequestTarget, Scheduler, Verdict};
 use crate::machine::{
     Machine, MachineState, MessageNumber, MessageOrigin, PendingDirectRequest, Reachability,
 };
@@ -47,20 +47,22 @@
     /// Returns the machines to which a direct request has to be sent, to find out which tasks they
     /// hold or whether orders reach them.
     ///
-    /// Machines that have shown our term are inspected: that request does not carry the term, so
+    /// Machines that have reported our term are inspected: that request does not carry the term, so
     /// another process of the worker does not learn it. All others are fenced with an empty list of
     /// orders.
-    pub fn fence_targets(&self) -> Vec<DirectOrderTarget> {
+    pub fn fence_targets(&self) -> Vec<DirectRequestTarget> {
         let targets = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
                 && (machine.reachability() == Reachability::Unreachable
                     || machine.message_history.may_have_restarted_numbering()
-                    || machine.task_uncertainty.is_some_and(|doubt| doubt.is_inspection_due)
+                    || machine
+                        .task_uncertainty
+                        .is_some_and(|uncertainty| uncertainty.is_inspection_due)
                     || self.is_unreconciled(machine.name.as_str()))
         });
         targets
-            .map(|machine| DirectOrderTarget {
+            .map(|machine| DirectRequestTarget {
                 machine: machine.name.clone(),
                 addr: machine.addr.clone(),
                 agent_epoch: machine.message_history.newest().agent_epoch.max(AgentEpoch::FIRST),
@@ -81,72 +83,72 @@
         machine.map(|machine| machine.message_history.newest()).unwrap_or_default()
     }
 
-    /// Begins an exchange with a machine: the caller is about to send it a direct request.
+    /// Begins a direct request to a machine: the caller is about to send it.
     ///
     /// The caller must report the outcome with [`Self::on_direct_orders_answer`] or
-    /// [`Self::on_direct_exchange_failed`].
-    pub fn begin_direct_exchange(
+    /// [`Self::on_direct_request_failed`].
+    pub fn begin_direct_request(
         &mut self,
         name: &str,
         purpose: DirectPurpose,
         now: Instant,
     ) -> PendingDirectRequest {
-        let known = self.newest_message(name);
+        let newest_known = self.newest_message(name);
         let term = self.term;
         let machine = self.cluster.machines.get_mut(name);
         let may_expose_term = purpose == DirectPurpose::Order
             && machine.is_some_and(|machine| {
                 machine.ordering_tracker.term_exposure.record_direct_orders(term)
             });
-        PendingDirectRequest { newest_known: known, sent_at: Some(now), may_expose_term }
+        PendingDirectRequest { newest_known, sent_at: Some(now), may_expose_term }
     }
 
     /// Handles a worker's answer to a direct request. The answer has the form of a heartbeat.
-    pub fn on_direct_orders_answer(
+    pub fn on_direct_request_answered(
         &mut self,
         heartbeat: &WorkerHeartbeat,
-        exchange: impl Into<PendingDirectRequest>,
+        request: impl Into<PendingDirectRequest>,
         now: Instant,
     ) -> Verdict {
-        let exchange = exchange.into();
+        let request = request.into();
         if let Some(machine) = self.cluster.machines.get_mut(&heartbeat.machine) {
-            if exchange.may_expose_term {
+            if request.may_expose_term {
                 let by_known_process = machine.is_from_known_process(heartbeat);
                 machine.ordering_tracker.term_exposure.end_direct_orders(by_known_process);
             }
         }
-        let origin = MessageOrigin::DirectAnswer { request_sent_at: exchange.sent_at };
+        let origin = MessageOrigin::DirectAnswer { request_sent_at: request.sent_at };
         let verdict = self.on_heartbeat(heartbeat, origin, now);
-        if MessageNumber::from(heartbeat) <= exchange.newest_known {
+        if MessageNumber::from(heartbeat) <= request.newest_known {
             self.delete_restarted_machine(heartbeat.machine.as_str());
         }
         verdict
     }
 
     /// Handles a direct request without a usable answer.
-    pub fn on_direct_exchange_failed(&mut self, name: &str, exchange: PendingDirectRequest) {
-        self.on_direct_orders_unanswered(name);
+    pub fn on_direct_request_failed(&mut self, name: &str, request: PendingDirectRequest) {
+        self.on_direct_request_unanswered(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            if exchange.may_expose_term {
+            if request.may_expose_term {
                 machine.ordering_tracker.term_exposure.end_direct_orders(false);
             }
         }
     }
 
-    /// Deletes machines whose tasks have been in doubt for longer than a worker's lease, although
+    /// Deletes machines whose tasks have been uncertain for longer than a worker's lease, although
     /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so the
     /// lease under which its tasks were started has expired.
-    pub(super) fn delete_doubtful_machines(&mut self, now: Instant) {
+    pub(super) fn delete_uncertain_machines(&mut self, now: Instant) {
         let expiry_after = self.cluster.config.lease_expiry_timeout();
-        let mut doubtful = Vec::new();
+        let mut uncertain = Vec::new();
         for machine in self.cluster.machines.values_mut() {
-            let Some(doubt) = machine.task_uncertainty.as_mut() else { continue };
-            doubt.update_due(now);
-            if doubt.is_older_than(expiry_after, now) {
-                doubtful.push(machine.name.clone());
+            let Some(uncertainty) = machine.task_uncertainty.as_mut() else { continue };
+            uncertainty.update_due(now);
+            if uncertainty.is_older_than(expiry_after, now) {
+                uncertain.push(machine.name.clone());
             }
         }
-        for name in doubtful {
+        for name in uncertain {
             self.delete_machine(name.as_str(), "what it holds is in doubt; machine returned");
         }
     }
@@ -214,7 +216,7 @@
     }
 
     /// Counts a direct request that a machine's worker did not answer in time.
-    pub fn on_direct_orders_unanswered(&mut self, name: &str) {
+    pub fn on_direct_request_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.record_unanswered_request();
         }
--- a/crates/core/src/scheduler/heartbeats/absent_tasks.rs
+++ b/crates/core/src/scheduler/heartbeats/absent_tasks.rs
@@ -11,9 +11,9 @@
 enum Absence {
     /// The task is not on the machine.
     Lost,
-    /// The task's start, sent at this time, may have been executed since, or still may be.
-    StartInDoubt(Instant),
-    /// Nothing.
+    /// The task's start, sent at this time, may have been executed since, or may still be executed.
+    StartUnconfirmed(Instant),
+    /// Nothing is proved about the task.
     Unknown,
 }
 
@@ -22,10 +22,10 @@
     /// Tasks that are not on the machine.
     pub(super) lost_tasks: Vec<TaskAttempt>,
     /// Whether this is one of the worker's own heartbeats and does not list a task whose start was
-    /// sent with the answer to an earlier one.
+    /// sent with the answer to an earlier one of them.
     pub(super) is_start_undelivered: bool,
-    /// When the newest of the starts in doubt was sent.
-    newest_start_in_doubt: Option<Instant>,
+    /// When the newest unconfirmed start was sent.
+    newest_unconfirmed_start_at: Option<Instant>,
 }
 
 impl AbsentTasks {
@@ -42,7 +42,7 @@
         let mut absent = Self {
             lost_tasks: Vec::new(),
             is_start_undelivered: false,
-            newest_start_in_doubt: None,
+            newest_unconfirmed_start_at: None,
         };
         for key in &context.absent_tasks {
             let Some(task) = machine.tasks.get(key) else { continue };
@@ -52,29 +52,30 @@
                 may_be_undelivered && !matches!(absence, Absence::Unknown);
             match absence {
                 Absence::Lost => absent.lost_tasks.push(key.clone()),
-                Absence::StartInDoubt(sent_at) => absent.add_start_in_doubt(sent_at),
+                Absence::StartUnconfirmed(sent_at) => absent.add_unconfirmed_start(sent_at),
                 Absence::Unknown => {}
             }
         }
         absent
     }
 
-    fn add_start_in_doubt(&mut self, sent_at: Instant) {
-        let newest = self.newest_start_in_doubt.map_or(sent_at, |newest| newest.max(sent_at));
-        self.newest_start_in_doubt = Some(newest);
+    fn add_unconfirmed_start(&mut self, sent_at: Instant) {
+        let newest = self.newest_unconfirmed_start_at.map_or(sent_at, |newest| newest.max(sent_at));
+        self.newest_unconfirmed_start_at = Some(newest);
     }
 
-    /// Returns the doubt about the machine's tasks after this heartbeat, given the doubt before it.
-    pub(super) fn doubt(
+    /// Returns the uncertainty about the machine's tasks after this heartbeat, given the uncertainty
+    /// before it.
+    pub(super) fn updated_uncertainty(
         &self,
         previous: Option<TaskUncertainty>,
         context: &HeartbeatContext,
     ) -> Option<TaskUncertainty> {
-        // The answer to a direct request raises no new doubt: a start may be in transit.
+        // The answer to a direct request creates no new uncertainty: a start may be in transit.
         if previous.is_none() && !context.origin.is_own_heartbeat() {
             return None;
         }
-        let sent_at = self.newest_start_in_doubt?;
+        let sent_at = self.newest_unconfirmed_start_at?;
         Some(
             TaskUncertainty::from_unconfirmed_starts(sent_at, context.received_at)
                 .keeping_start_of(previous),
@@ -102,11 +103,11 @@
         if self.number <= answered {
             Absence::Unknown
         } else if newest_confirmed_start >= Some(answered)
-            || self.evidence.is_after_answer_to(answered, sent_at)
+            || self.ordering.is_after_answer_to(answered, sent_at)
         {
             Absence::Lost
         } else {
-            Absence::StartInDoubt(sent_at)
+            Absence::StartUnconfirmed(sent_at)
         }
     }
 }
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -40,8 +40,8 @@
 struct HeartbeatContext {
     /// How the message was received.
     origin: MessageOrigin,
-    /// Evidence of when the message was written.
-    evidence: MessageOrdering,
+    /// What is proved about the time at which the message was written.
+    ordering: MessageOrdering,
     /// Tasks of the machine that are known to the scheduler but not listed in the heartbeat.
     absent_tasks: Vec<TaskAttempt>,
     /// Number of the message.
@@ -88,20 +88,20 @@
         if heartbeat.term == our_term {
             machine.ordering_tracker.term_exposure.record_reported(our_term, number);
         }
-        let evidence = machine.ordering_tracker.order_message(origin, heartbeat.term, our_term);
-        if machine.may_predate_newest_message(&absent_tasks, &evidence) {
+        let ordering = machine.ordering_tracker.order_message(origin, heartbeat.term, our_term);
+        if machine.may_predate_newest_message(&absent_tasks, &ordering) {
             machine.task_uncertainty = Some(
-                TaskUncertainty::from_missing_tasks(now).keeping_start_of(machine.task_uncertainty),
+                TaskUncertainty::from_absent_tasks(now).keeping_start_of(machine.task_uncertainty),
             );
             return Verdict::Stale;
         }
-        let gap = machine.apply_message(heartbeat, origin, &evidence, now);
+        let gap = machine.apply_message(heartbeat, origin, &ordering, now);
         if machine.update_fence(heartbeat, our_term) {
             let prompt_gap = gap.filter(|gap| *gap <= max_prompt_gap);
             let received_at = now;
             let context = HeartbeatContext {
                 origin,
-                evidence,
+                ordering,
                 absent_tasks,
                 number,
                 prompt_gap,
@@ -115,7 +115,7 @@
         Verdict::Accept
     }
 
-    /// Returns whether a heartbeat of the machine must not be answered, because it is in doubt
+    /// Returns whether a heartbeat of the machine must not be answered, because it is unknown
     /// whether answers renew the worker's lease, and the expiry of that lease matters: the machine
     /// has tasks or is unreconciled.
     fn must_withhold_answer(&self, name: &str, now: Instant) -> bool {
@@ -162,7 +162,7 @@
             return;
         };
         let absent = AbsentTasks::classify(machine, context, newest_confirmed_start);
-        machine.task_uncertainty = absent.doubt(machine.task_uncertainty, context);
+        machine.task_uncertainty = absent.updated_uncertainty(machine.task_uncertainty, context);
         let AbsentTasks { lost_tasks, is_start_undelivered, .. } = absent;
         let is_start_confirmed = newest_confirmed_start.is_some();
         if is_start_confirmed || is_start_undelivered {
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Stops the running tasks that save checkpoints on a machine that the cloud is about to take
-    /// away, with the grace period that their jobs need to save.
+    /// Stops the running tasks that save checkpoints on a machine with an interruption notice. Each
+    /// task gets the grace period that its job needs to save.
     fn stop_with_checkpoints(&mut self, name: &str) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(machine) = machines.get_mut(name) else {
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -22,7 +22,7 @@
     /// The job's task is placed on this machine under this attempt.
     Placed,
     /// The job's task is not placed anywhere, so the job adopts this attempt. It was started by an
-    /// earlier leader, or was given up before.
+    /// earlier leader, or was released before.
     Unplaced,
     /// The attempt must be stopped: the job needs no more of its tasks, or not this one, or the
     /// task is placed under another attempt.
@@ -39,11 +39,13 @@
         }
         match job.placements().get(&index) {
             None => Self::Unplaced,
-            Some(placed) if placed.machine.as_str() == machine && placed.attempt == key.attempt => {
+            Some(placement)
+                if placement.machine.as_str() == machine && placement.attempt == key.attempt =>
+            {
                 Self::Placed
             }
-            Some(placed) => {
-                let other_machine = placed.machine.as_str();
+            Some(placement) => {
+                let other_machine = placement.machine.as_str();
                 tracing::warn!(task = %key.task, machine, other_machine, "task reported twice");
                 Self::Unwanted
             }
@@ -78,8 +80,8 @@
         let name = machine.name.as_str();
         tracing::debug!(task = %task, machine = name, attempt, ?state, "task state");
     }
-    let found = || MachineTask::from_heartbeat(state, now);
-    let machine_task = machine.tasks.entry(key.clone()).or_insert_with(found);
+    let new_task = || MachineTask::from_heartbeat(state, now);
+    let machine_task = machine.tasks.entry(key.clone()).or_insert_with(new_task);
     machine_task.enter(state, now);
     (previous, machine_task)
 }
@@ -109,8 +111,8 @@
         match state {
             MachineTaskState::Done => {
                 let previous = previous.filter(|_| machine_task.was_started_by_this_leader);
-                let other = job.placements().get(&key.task.index).filter(|placed| {
-                    placed.machine.as_str() != name || placed.attempt != key.attempt
+                let other = job.placements().get(&key.task.index).filter(|placement| {
+                    placement.machine.as_str() != name || placement.attempt != key.attempt
                 });
                 let superseded = other.cloned();
                 if job.mark_finished(key.task.index) {
@@ -118,8 +120,8 @@
                     if let Some(run_time) = context.run_time(previous) {
                         run_time.add_to_statistics(estimate_corrections, job, machine);
                     }
-                    if let Some(placed) = superseded {
-                        self.stop_superseded_attempt(&key.task, &placed);
+                    if let Some(placement) = superseded {
+                        self.stop_superseded_attempt(&key.task, &placement);
                     }
                 }
             }
@@ -144,8 +146,8 @@
 
     /// Stops the placed attempt at a task that a delayed message shows as done under another
     /// attempt. An attempt whose start was not sent yet is unassigned.
-    fn stop_superseded_attempt(&mut self, task: &TaskId, placed: &TaskPlacement) {
-        let TaskPlacement { machine: name, attempt } = placed;
+    fn stop_superseded_attempt(&mut self, task: &TaskId, placement: &TaskPlacement) {
+        let TaskPlacement { machine: name, attempt } = placement;
         let key = TaskAttempt { task: task.clone(), attempt: *attempt };
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
--- a/crates/core/src/scheduler/job_states.rs
+++ b/crates/core/src/scheduler/job_states.rs
@@ -60,15 +60,15 @@
         let Some(job) = jobs.get(id) else {
             return Vec::new();
         };
-        let placed = job.placements().iter().map(|(index, placed)| {
+        let placements = job.placements().iter().map(|(index, placement)| {
             let task = TaskId { job: id.clone(), index: *index };
-            let key = TaskAttempt { task, attempt: placed.attempt };
-            AssignedTask { machine: placed.machine.clone(), key }
+            let key = TaskAttempt { task, attempt: placement.attempt };
+            AssignedTask { machine: placement.machine.clone(), key }
         });
         let is_assigned = |AssignedTask { machine, key }: &AssignedTask| {
             let task = machines.get(machine).and_then(|machine| machine.tasks.get(key));
             task.is_some_and(|task| task.state == MachineTaskState::Assigned)
         };
-        placed.filter(is_assigned).collect()
+        placements.filter(is_assigned).collect()
     }
 }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -12,7 +12,7 @@
 const DELETION_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
 impl Scheduler {
-    /// Sets the cloud's machine types, and updates the sizes of the known machines.
+    /// Sets the cloud's machine types, and updates the types of the known machines.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         for machine in self.cluster.machines.values_mut() {
             machine.update_machine_type(&types);
@@ -93,13 +93,13 @@
             self.update_listed_machine(entry, now);
         }
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
-        let settles_after = self.cluster.config.missing_machine_timeout();
+        let missing_timeout = self.cluster.config.missing_machine_timeout();
         let machines = self.cluster.machines.values();
         // A list may lag behind the cloud's state. A missing machine is removed only if the list was
         // requested so long after the machine became known that it must describe a later moment.
         let missing = machines.filter(|machine| {
             !listed.contains(machine.name.as_str())
-                && requested_at >= machine.known_since + settles_after
+                && requested_at >= machine.known_since + missing_timeout
         });
         let missing: Vec<MachineName> = missing.map(|machine| machine.name.clone()).collect();
         for name in missing {
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -18,7 +18,7 @@
 mod removed_machines;
 mod tick;
 
-pub use action::{Action, DirectOrderTarget, DirectPurpose};
+pub use action::{Action, DirectPurpose, DirectRequestTarget};
 pub use completion_commit::CompletionCommit;
 pub use heartbeats::Verdict;
 pub use overview::Overview;
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -33,8 +33,8 @@
     }
 
     /// Returns whether the answer to the machine's heartbeat may be held back until there are
-    /// orders for it. This is so if the machine is up, fenced, has no tasks and is not about to be
-    /// taken away by the cloud.
+    /// orders for it. This is so if the machine is up and fenced, has no tasks and has no
+    /// interruption notice.
     pub fn may_delay_answer(&self, name: &str) -> bool {
         self.cluster.machines.get(name).is_some_and(|m| {
             m.is_fenced
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -16,7 +16,7 @@
     /// Runs all periodic work. The caller calls this at regular intervals.
     pub fn tick(&mut self, now: Instant) {
         self.expire_worker_leases(now);
-        self.delete_doubtful_machines(now);
+        self.delete_uncertain_machines(now);
         self.unassign_undeliverable_tasks(now);
         self.tick_jobs(now);
         self.count_running_tasks();
@@ -43,8 +43,7 @@
 
     /// Removes assigned tasks from machines that accept no starts at present.
     ///
-    /// This includes machines that send heartbeats but drain or are about to be taken away by the
-    /// cloud. No start is sent to them, so their assigned tasks would wait forever and delay the
+    /// This includes machines that send heartbeats but drain or have an interruption notice. No start is sent to them, so their assigned tasks would wait forever and delay the
     /// deletion of a draining machine.
     fn unassign_undeliverable_tasks(&mut self, now: Instant) {
         let machines = self.cluster.machines.values();
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Ends back-offs whose time has passed, and backs off jobs that have failed on every machine
+    /// Ends backoffs whose time has passed, and backs off jobs that have failed on every machine
     /// that they may run on.
     fn tick_jobs(&mut self, now: Instant) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
@@ -67,7 +66,7 @@
                 job.enter(JobState::NeedsReclaim);
             }
             job.update_unplaced_since(now);
-            // Without a back-off, a job that has failed on every machine would wait forever.
+            // Without a backoff, a job that has failed on every machine would wait forever.
             if job.may_start() && job.has_failed() && !machines.values().any(|m| is_untried(m, job))
             {
                 failed_everywhere.push(id.clone());
--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -76,7 +76,7 @@
         }
         for number in 1..=silent {
             (0..asked)
-                .for_each(|_| scheduler.on_direct_orders_unanswered(&format!("host-{number}")));
+                .for_each(|_| scheduler.on_direct_request_unanswered(&format!("host-{number}")));
         }
         scheduler.tick(now + Duration::from_secs(3));
         scheduler.take_actions();
@@ -94,7 +94,7 @@
     let start = Instant::now();
     let mut scheduler = scheduler_with_recorded_machines(0..=47, start);
     for number in 0..48 {
-        (0..3).for_each(|_| scheduler.on_direct_orders_unanswered(&format!("host-{number}")));
+        (0..3).for_each(|_| scheduler.on_direct_request_unanswered(&format!("host-{number}")));
     }
     // Long after the time that a few are waited for, a network partition ends.
     for number in 0..47 {
--- a/crates/core/tests/scheduler/random_faults/machines.rs
+++ b/crates/core/tests/scheduler/random_faults/machines.rs
@@ -68,7 +68,7 @@
         orders: Vec<Order>,
     ) {
         let (now, term) = (self.now, self.scheduler.term());
-        let exchange = self.scheduler.begin_direct_exchange(machine.as_str(), purpose, now);
+        let exchange = self.scheduler.begin_direct_request(machine.as_str(), purpose, now);
         let (is_lost, answer_is_lost) = (self.rng.random_bool(0.1), self.rng.random_bool(0.1));
         let worker = self.workers.get_mut(machine).filter(|worker| now >= worker.silent_until);
         let answer = worker.filter(|_| !is_lost).map(|worker| {
@@ -79,9 +79,9 @@
         });
         match answer.filter(|_| !answer_is_lost) {
             Some(answer) => {
-                self.scheduler.on_direct_orders_answer(&answer, exchange, now);
+                self.scheduler.on_direct_request_answered(&answer, exchange, now);
             }
-            None => self.scheduler.on_direct_exchange_failed(machine.as_str(), exchange),
+            None => self.scheduler.on_direct_request_failed(machine.as_str(), exchange),
         }
     }
 
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -150,8 +150,8 @@
 fn a_start_stays_in_doubt_after_direct_orders_that_another_process_may_have_taken() {
     let now = Instant::now();
     let (mut scheduler, attempt) = scheduler_with_start_sent_to_new_machine(now);
-    let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Order, now);
-    scheduler.on_direct_exchange_failed("host-1", exchange);
+    let exchange = scheduler.begin_direct_request("host-1", DirectPurpose::Order, now);
+    scheduler.on_direct_request_failed("host-1", exchange);
     scheduler.on_heartbeat(&heartbeat(3, 7, Vec::new()), true, now);
     assert_eq!(place_after_pass(&mut scheduler, now), Some(attempt));
 }
@@ -161,8 +161,8 @@
 fn a_question_without_an_answer_raises_no_doubt() {
     let now = Instant::now();
     let (mut scheduler, attempt) = scheduler_with_start_sent_to_new_machine(now);
-    let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Inspect, now);
-    scheduler.on_direct_exchange_failed("host-1", exchange);
+    let exchange = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, now);
+    scheduler.on_direct_request_failed("host-1", exchange);
     scheduler.on_heartbeat(&heartbeat(3, 7, Vec::new()), true, now);
     assert!(place_after_pass(&mut scheduler, now).is_some_and(|again| again > attempt));
 }
@@ -181,8 +181,8 @@
             scheduler.fence_targets().iter().map(|target| target.purpose).collect();
         assert_eq!(asked.len(), usize::from(settles), "asked once that settles it");
         assert!(asked.iter().all(|purpose| *purpose == DirectPurpose::Inspect));
-        let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Inspect, later);
-        scheduler.on_direct_orders_answer(&heartbeat(5, 1, Vec::new()), exchange, later);
+        let exchange = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, later);
+        scheduler.on_direct_request_answered(&heartbeat(5, 1, Vec::new()), exchange, later);
         let place = place_after_pass(&mut scheduler, later);
         assert_eq!(place != Some(attempt), settles, "asked after {asked_after_s} s");
     }
@@ -222,8 +222,8 @@
     held_back.agent_epoch = AgentEpoch::new(2);
     scheduler.on_heartbeat(&held_back, true, now);
     assert_eq!(place_after_pass(&mut scheduler, now), Some(attempt));
-    let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Inspect, now);
-    scheduler.on_direct_orders_answer(&heartbeat(4, 1, vec![running(attempt)]), exchange, now);
+    let exchange = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, now);
+    scheduler.on_direct_request_answered(&heartbeat(4, 1, vec![running(attempt)]), exchange, now);
     assert_eq!(place_after_pass(&mut scheduler, now), Some(attempt), "it runs on");
     assert!(scheduler.fence_targets().is_empty(), "nothing is in doubt any more");
 }
@@ -250,9 +250,9 @@
     next.agent_epoch = AgentEpoch::new(2);
     assert_eq!(scheduler.on_heartbeat(&next, true, now), Verdict::Stale);
     assert_eq!(scheduler.fence_targets().len(), 1);
-    let exchange = scheduler.begin_direct_exchange("host-1", DirectPurpose::Inspect, now);
+    let exchange = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, now);
     next.sequence = 2;
-    scheduler.on_direct_orders_answer(&next, exchange, now);
+    scheduler.on_direct_request_answered(&next, exchange, now);
     assert_eq!(active_task_count(&scheduler), 0);
     assert!(place_after_pass(&mut scheduler, now).is_some_and(|again| again > attempt));
 }
--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -3,7 +3,7 @@
 use super::active_leader::ActiveLeader;
 use super::direct_orders::send_direct_orders;
 use super::machine_records::MachineRecordWrite;
-use corkfield_core::{Action, DirectOrderTarget, DirectPurpose};
+use corkfield_core::{Action, DirectPurpose, DirectRequestTarget};
 
 impl ActiveLeader {
     /// Dispatches the scheduler's actions as they are produced. Requests to other services run in
@@ -28,7 +28,7 @@
                     }
                     Action::SendDirectOrders { machine, addr, agent_epoch, orders } => {
                         let purpose = DirectPurpose::Order;
-                        let target = DirectOrderTarget { machine, addr, agent_epoch, purpose };
+                        let target = DirectRequestTarget { machine, addr, agent_epoch, purpose };
                         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
                         tokio::task::spawn_local(async move {
                             send_direct_orders(&context, &scheduler, &target, orders).await;
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -4,7 +4,7 @@
 use super::context::LeadershipContext;
 use super::state::SharedScheduler;
 use crate::clock::now;
-use corkfield_core::{DirectOrderTarget, DirectPurpose, Verdict};
+use corkfield_core::{DirectPurpose, DirectRequestTarget, Verdict};
 use corkfield_http::{Client, Reply};
 use corkfield_wire::worker::{DirectOrders, Order, WorkerHeartbeat, PATH_COMMANDS, PATH_STATUS};
 use corkfield_wire::{AgentEpoch, MachineName, Term};
@@ -91,7 +91,7 @@
 pub(super) async fn send_direct_orders(
     context: &LeadershipContext,
     scheduler: &SharedScheduler,
-    target: &DirectOrderTarget,
+    target: &DirectRequestTarget,
     orders: Vec<Order>,
 ) {
     let Ok(addr) = target.addr.parse() else { return };
@@ -101,7 +101,7 @@
         tracing::debug!(machine, "direct orders not sent: too many in flight");
         return;
     };
-    let DirectOrderTarget { mut agent_epoch, purpose, .. } = *target;
+    let DirectRequestTarget { mut agent_epoch, purpose, .. } = *target;
     for _ in 0..MAX_AGENT_EPOCHS_TRIED {
         let request = DirectRequest { machine, addr, agent_epoch, purpose, orders: &orders };
         match send_and_apply_answer(context, scheduler, &request).await {
@@ -120,13 +120,13 @@
     request: &DirectRequest<'_>,
 ) -> DirectOrderOutcome {
     let DirectRequest { machine, purpose, .. } = *request;
-    let exchange = scheduler.borrow_mut().begin_direct_exchange(machine, purpose, now());
+    let pending = scheduler.borrow_mut().begin_direct_request(machine, purpose, now());
     let term = scheduler.borrow().term();
     let Some((reply, heartbeat)) = send_http_request(context, request, term).await else {
-        scheduler.borrow_mut().on_direct_exchange_failed(machine, exchange);
+        scheduler.borrow_mut().on_direct_request_failed(machine, pending);
         return DirectOrderOutcome::NoUsableAnswer;
     };
-    let verdict = scheduler.borrow_mut().on_direct_orders_answer(&heartbeat, exchange, now());
+    let verdict = scheduler.borrow_mut().on_direct_request_answered(&heartbeat, pending, now());
     if let Verdict::HigherTerm(term) = verdict {
         context.leadership.record_higher_term(term);
         return DirectOrderOutcome::NoUsableAnswer;
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -5,7 +5,7 @@
 use super::direct_orders::send_direct_orders;
 use crate::clock::now;
 use crate::store_value::store_value;
-use corkfield_core::DirectOrderTarget;
+use corkfield_core::DirectRequestTarget;
 use corkfield_state::RequestClass;
 use corkfield_wire::records::{LeaderRecord, LEADER_KEY};
 use corkfield_wire::{MachineName, Term};
@@ -55,7 +55,7 @@
         &self,
         last_attempts: &HashMap<MachineName, Instant>,
         round_started: Instant,
-    ) -> Vec<DirectOrderTarget> {
+    ) -> Vec<DirectRequestTarget> {
         let targets = self.scheduler.borrow().fence_targets();
         let in_flight = self.context.leadership.direct_orders.machines();
         let was_tried_recently = |machine: &MachineName| {
@@ -63,7 +63,7 @@
             last_attempt
                 .is_some_and(|at| round_started.saturating_duration_since(*at) < FENCE_RETRY)
         };
-        let mut targets: Vec<DirectOrderTarget> = targets
+        let mut targets: Vec<DirectRequestTarget> = targets
             .into_iter()
             .filter(|target| {
                 !in_flight.contains(&target.machine) && !was_tried_recently(&target.machine)
@@ -75,7 +75,7 @@
     }
 
     /// Sends a fence to a machine in the background.
-    fn send_fence(&self, target: DirectOrderTarget) {
+    fn send_fence(&self, target: DirectRequestTarget) {
         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
         tokio::task::spawn_local(async move {
             send_direct_orders(&context, &scheduler, &target, Vec::new()).await;
