--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -76,7 +76,8 @@
     ///
     /// A newer record is merged only if it belongs to this claim. If an operator has released the
     /// job since, the record has the same generation but no owner. Its version must not be
-    /// adopted, because the newer version in the store is what shows that the job has to be claimed.
+    /// adopted, because the newer version in the store is what shows that the job has to be
+    /// claimed.
     pub(crate) fn merge_stored_record(
         &mut self,
         record: JobRecord,
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -72,8 +72,8 @@
 
     /// Returns an upper bound of the usage by tasks that this leader does not know yet (S8): the
     /// full capacity of each machine that has not reported its tasks since the failover or that
-    /// holds tasks of unknown jobs. A worker never exceeds its machine's capacity, and the usage may
-    /// belong to any team. Returns `None` while the type of such a machine is unknown.
+    /// holds tasks of unknown jobs. A worker never exceeds its machine's capacity, and the usage
+    /// may belong to any team. Returns `None` while the type of such a machine is unknown.
     fn unaccounted_usage(&self) -> Option<Usage> {
         let mut unaccounted_usage = Usage::default();
         for machine in self.cluster.machines.values() {
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -18,7 +18,8 @@
     }
 
     /// Closes a job that is cancelled, done or claimed by another controller, whether this leader
-    /// has claimed it or not. No task of the job starts any more, and those on machines are stopped.
+    /// has claimed it or not. No task of the job starts any more, and those on machines are
+    /// stopped.
     pub fn close_job(&mut self, id: &JobId) {
         let was_unclaimed = self.unclaimed_jobs.remove(id);
         match self.cluster.jobs.get_mut(id) {
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -13,14 +13,14 @@
 /// interval.
 const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
 /// Unresponsive machines are deleted only while at most this many machines are unreconciled, or one
-/// in [`DELETION_LIMIT_DIVISOR`] of all machines if that is more. In a small fleet the limit is half
-/// of the machines, so that most of the fleet is never deleted.
+/// in [`DELETION_LIMIT_DIVISOR`] of all machines if that is more. In a small fleet the limit is
+/// half of the machines, so that most of the fleet is never deleted.
 const BASE_DELETION_LIMIT: usize = 2;
 /// See [`BASE_DELETION_LIMIT`].
 const DELETION_LIMIT_DIVISOR: usize = 8;
 /// A machine counts as unresponsive only after this many direct requests in a row without an
-/// answer. A leader that is busy with the heartbeats of a whole fleet may not have sent a request to
-/// every machine yet.
+/// answer. A leader that is busy with the heartbeats of a whole fleet may not have sent a request
+/// to every machine yet.
 const UNRESPONSIVE_AFTER: u32 = 2;
 
 impl Scheduler {
@@ -76,8 +76,8 @@
     }
 
     /// Returns the number of the newest message accepted from a machine's worker. The answer to a
-    /// request that is sent after this call has a higher number, unless the worker has restarted its
-    /// numbering.
+    /// request that is sent after this call has a higher number, unless the worker has restarted
+    /// its numbering.
     pub fn newest_message(&self, name: &str) -> MessageNumber {
         let machine = self.cluster.machines.get(name);
         machine.map(|machine| machine.message_history.newest()).unwrap_or_default()
@@ -136,8 +136,8 @@
     }
 
     /// Deletes machines whose tasks have been uncertain for longer than a worker's lease, although
-    /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so the
-    /// lease under which its tasks were started has expired.
+    /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so
+    /// the lease under which its tasks were started has expired.
     pub(super) fn delete_uncertain_machines(&mut self, now: Instant) {
         let expiry_after = self.cluster.config.lease_expiry_timeout();
         let mut uncertain = Vec::new();
@@ -173,14 +173,14 @@
         }
     }
 
-    /// Finishes a complete reconciliation, or deletes the last unreconciled machines if they are few
-    /// and unresponsive.
+    /// Finishes a complete reconciliation, or deletes the last unreconciled machines if they are
+    /// few and unresponsive.
     ///
     /// A few unresponsive machines delay every task that an earlier leader may have started, until
     /// their workers' leases expire or the cloud's list omits them half a minute later. Once
-    /// the cloud has answered a machine's deletion, the machine provably holds no task (S5b). If many
-    /// machines don't respond, a zone or this controller is more likely to be disconnected; then
-    /// their tasks are worth the wait.
+    /// the cloud has answered a machine's deletion, the machine provably holds no task (S5b). If
+    /// many machines don't respond, a zone or this controller is more likely to be disconnected;
+    /// then their tasks are worth the wait.
     pub(super) fn advance_reconciliation(&mut self, now: Instant) {
         let Some(elapsed) = self.reconciliation.elapsed(now) else {
             return;
--- a/crates/core/src/scheduler/heartbeats/absent_tasks.rs
+++ b/crates/core/src/scheduler/heartbeats/absent_tasks.rs
@@ -64,8 +64,8 @@
         self.newest_unconfirmed_start_at = Some(newest);
     }
 
-    /// Returns the uncertainty about the machine's tasks after this heartbeat, given the uncertainty
-    /// before it.
+    /// Returns the uncertainty about the machine's tasks after this heartbeat, given the
+    /// uncertainty before it.
     pub(super) fn updated_uncertainty(
         &self,
         previous: Option<TaskUncertainty>,
@@ -97,8 +97,8 @@
             };
         };
         // A start is sent only in the answer to a heartbeat, and the worker drops an answer that
-        // arrives too late (S3). A message that was provably written after the answer arrived or was
-        // dropped shows whether the start was executed.
+        // arrives too late (S3). A message that was provably written after the answer arrived or
+        // was dropped shows whether the start was executed.
         let sent_at = machine_task.state_since;
         if self.number <= answered {
             Absence::Unknown
--- a/crates/core/src/scheduler/heartbeats/run_times.rs
+++ b/crates/core/src/scheduler/heartbeats/run_times.rs
@@ -46,8 +46,8 @@
         machine: &mut Machine,
     ) {
         // The task may have ended at any time since the previous heartbeat. The shortest possible
-        // run time is used, so that a machine whose heartbeats are delayed by seconds does not count
-        // as slow.
+        // run time is used, so that a machine whose heartbeats are delayed by seconds does not
+        // count as slow.
         let shortest = self.measured.saturating_sub(self.gap);
         if let Some(ratio) = job.run_times.ratio_to_mean(shortest) {
             machine.health.record_run_time(clamp(ratio, &SLOWNESS_RATIO_BOUNDS));
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -103,8 +103,8 @@
             update_machine_task(machine, &key, state, context.received_at);
         let confirmed_start = previous.and_then(|previous| previous.state.answered_heartbeat());
         let Some(job) = jobs.get_mut(&key.task.job) else {
-            // The job is cancelled, done or not claimed yet. Tasks of ended jobs are stopped with the
-            // answer to a heartbeat, once it is known which jobs are still to be claimed.
+            // The job is cancelled, done or not claimed yet. Tasks of ended jobs are stopped with
+            // the answer to a heartbeat, once it is known which jobs are still to be claimed.
             return confirmed_start;
         };
         machine_task.set_job(job.spec(), job.team);
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -95,8 +95,9 @@
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
         let missing_timeout = self.cluster.config.missing_machine_timeout();
         let machines = self.cluster.machines.values();
-        // A list may lag behind the cloud's state. A missing machine is removed only if the list was
-        // requested so long after the machine became known that it must describe a later moment.
+        // A list may lag behind the cloud's state. A missing machine is removed only if the list
+        // was requested so long after the machine became known that it must describe a later
+        // moment.
         let missing = machines.filter(|machine| {
             !listed.contains(machine.name.as_str())
                 && requested_at >= machine.known_since + missing_timeout
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -43,8 +43,9 @@
 
     /// Removes assigned tasks from machines that accept no starts at present.
     ///
-    /// This includes machines that send heartbeats but drain or have an interruption notice. No start is sent to them, so their assigned tasks would wait forever and delay the
-    /// deletion of a draining machine.
+    /// This includes machines that send heartbeats but drain or have an interruption notice. No
+    /// start is sent to them, so their assigned tasks would wait forever and delay the deletion of
+    /// a draining machine.
     fn unassign_undeliverable_tasks(&mut self, now: Instant) {
         let machines = self.cluster.machines.values();
         let unavailable = machines.filter(|machine| {
--- a/crates/core/tests/scheduler/claims.rs
+++ b/crates/core/tests/scheduler/claims.rs
@@ -1,6 +1,6 @@
-//! Which records have to be claimed, and what a claim changes.
+//! Tests of which job records have to be claimed.
 
-use crate::support::{job_record, scheduler as scheduler_without_machines};
+use crate::support::{empty_scheduler, job_record};
 use corkfield_core::Scheduler;
 use corkfield_wire::records::JobRecord;
 use corkfield_wire::{Generation, Incarnation, Revision, TaskSet};
@@ -13,14 +13,14 @@
     Incarnation::from("n0-1")
 }
 
-/// The record of a job that we claimed, at its second generation.
+/// Returns the record of a job that this controller claimed, at the job's second generation.
 fn our_record() -> JobRecord {
     JobRecord { owner: Some(owner()), ..job_record(1, 2) }
 }
 
-/// A scheduler that has taken up our claim.
-fn scheduler_with_claim() -> Scheduler {
-    let mut scheduler = scheduler_without_machines(1);
+/// Creates a scheduler with a job that this controller claimed.
+fn scheduler_with_claimed_job() -> Scheduler {
+    let mut scheduler = empty_scheduler(1);
     scheduler.on_job_claimed(
         our_record(),
         TaskSet::default(),
@@ -32,25 +32,29 @@
 }
 
 #[test]
-fn records_that_somebody_else_changed_need_a_claim_and_our_own_do_not() {
-    let scheduler = scheduler_with_claim();
+fn records_changed_by_others_and_unknown_jobs_need_a_claim() {
+    let scheduler = scheduler_with_claimed_job();
     let needs_claim = |record: &JobRecord, version| scheduler.needs_claim(record, version);
     let released = JobRecord { owner: None, ..our_record() };
-    let others = JobRecord { owner: Some("n1-7".into()), ..our_record() };
-    for record in [&released, &others] {
+    let claimed_by_other = JobRecord { owner: Some("n1-7".into()), ..our_record() };
+    for record in [&released, &claimed_by_other] {
         assert!(needs_claim(record, LATER_VERSION), "{record:?}");
-        assert!(!needs_claim(record, KNOWN_VERSION), "the replica lags: {record:?}");
+        assert!(!needs_claim(record, KNOWN_VERSION), "this version is known already: {record:?}");
     }
-    assert!(!needs_claim(&our_record(), LATER_VERSION), "a commit of our own");
+    assert!(
+        !needs_claim(&our_record(), LATER_VERSION),
+        "the new version was written by our own commit"
+    );
     assert!(!needs_claim(&our_record(), KNOWN_VERSION));
-    let fresh = scheduler_without_machines(1).needs_claim(&our_record(), KNOWN_VERSION);
-    assert!(fresh, "not known");
+    let unknown_job = empty_scheduler(1).needs_claim(&our_record(), KNOWN_VERSION);
+    assert!(unknown_job, "a job that the scheduler does not know");
 }
 
-/// A claim of ours went unanswered, was looked for in vain, and was carried out late.
+/// Guards against a job that stays unclaimed: a claim of this controller was not answered, was not
+/// in the store when it was looked up, and was carried out later.
 #[test]
-fn a_record_of_our_own_at_an_unknown_generation_needs_a_claim() {
-    let scheduler = scheduler_with_claim();
-    let late = JobRecord { generation: Generation::new(3), ..our_record() };
-    assert!(scheduler.needs_claim(&late, LATER_VERSION));
+fn our_own_record_with_an_unknown_generation_needs_a_claim() {
+    let scheduler = scheduler_with_claimed_job();
+    let late_claim = JobRecord { generation: Generation::new(3), ..our_record() };
+    assert!(scheduler.needs_claim(&late_claim, LATER_VERSION));
 }
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -1,7 +1,8 @@
-//! Finished tasks are stored before they are forgotten, in small values, and each job in its turn.
+//! Tests of completion commits: finished tasks are stored before workers forget them, each commit
+//! stays within the store's limits, and every job is committed.
 
 use crate::support::{
-    claim_job, first_job_id, heartbeat, heartbeat_from, job_record, scheduler,
+    claim_job, empty_scheduler, first_job_id, heartbeat, heartbeat_from, job_record,
     scheduler_with_machines, scheduler_with_start_sent, task_status,
 };
 use corkfield_core::{Action, CompletionCommit, MachineTaskState, Scheduler};
@@ -28,8 +29,13 @@
         scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 4, true, now)[..],
         [Order::Forget { .. }]
     ));
-    let states: Vec<MachineTaskState> =
-        scheduler.machine("host-1").expect("known").tasks.values().map(|task| task.state).collect();
+    let states: Vec<MachineTaskState> = scheduler
+        .machine("host-1")
+        .expect("a known machine")
+        .tasks
+        .values()
+        .map(|task| task.state)
+        .collect();
     assert_eq!(states, [MachineTaskState::Done]);
     assert!(scheduler
         .take_actions()
@@ -40,7 +46,7 @@
 #[test]
 fn completion_commits_of_a_huge_job_stay_within_value_and_operation_limits() {
     let mut now = Instant::now();
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now);
     scheduler.on_job_claimed(
         job_record(100_000, 1),
@@ -52,7 +58,7 @@
     let mut sequence = 1;
     let mut version = Revision::new(5);
     let mut stored = 0;
-    // Every second task: ranges can't be joined.
+    // Only every second task completes, so that no task indices can be stored as a range.
     for first in (0..100_000).step_by(4000) {
         sequence += 1;
         let done = (first..first + 4000).step_by(2).map(|index| TaskStatus {
@@ -61,11 +67,11 @@
         });
         scheduler.on_heartbeat(&heartbeat(sequence, 1, done.collect()), true, now);
         loop {
-            // Between two writes of progress there is a pause.
+            // Commits that only store progress are made at intervals.
             now += Duration::from_secs(1);
             let due = scheduler.due_completion_commits(4, now);
             let [completion_commit] = &due[..] else { break };
-            assert!(completion_commit.chunks.len() <= 3, "operations in one transaction");
+            assert!(completion_commit.chunks.len() <= 3, "too many operations in one transaction");
             for (_, set) in &completion_commit.chunks {
                 assert!(String::from(set.clone()).len() < 8 * 1024);
             }
@@ -76,29 +82,32 @@
         }
     }
     assert_eq!(stored, 50_000);
-    assert_eq!(scheduler.job(&first_job_id()).expect("claimed").record.done, 50_000);
+    assert_eq!(scheduler.job(&first_job_id()).expect("a claimed job").record.done, 50_000);
 }
 
 #[test]
-fn each_of_many_jobs_has_its_turn_to_be_stored_and_what_is_waited_for_comes_first() {
+fn awaited_commits_come_first_and_each_of_many_jobs_is_committed() {
     let start = Instant::now();
     let mut scheduler = scheduler_with_machines(50, start);
     for number in 1..=50 {
         claim_job(&mut scheduler, number, Priority::Normal, 400, start);
     }
-    let last = JobId::parse("j-000050").expect("an id");
+    let last = JobId::parse("j-000050").expect("a valid job id");
     let done = |number: usize| TaskStatus {
-        task: TaskId { job: JobId::parse(&format!("j-{number:06}")).expect("an id"), index: 0 },
+        task: TaskId {
+            job: JobId::parse(&format!("j-{number:06}")).expect("a valid job id"),
+            index: 0,
+        },
         ..task_status(Attempt::new(1 << 24), TaskPhase::Exited, Some(ExitCause::Done))
     };
     let reported = (1..=50).map(done).collect();
     scheduler.on_heartbeat(&heartbeat_from("host-0", 2, reported), true, start);
-    // The last of them by id has begun all that its record allows.
-    let mut announcing = JobRecord { start_watermark: 4, ..job_record(400, 1) };
-    announcing.spec.id = JobId::parse("j-000099").expect("an id");
-    announcing.spec.priority = Priority::High;
+    // The job with the highest id has started all tasks below its start watermark.
+    let mut job_at_watermark = JobRecord { start_watermark: 4, ..job_record(400, 1) };
+    job_at_watermark.spec.id = JobId::parse("j-000099").expect("a valid job id");
+    job_at_watermark.spec.priority = Priority::High;
     scheduler.on_job_claimed(
-        announcing,
+        job_at_watermark,
         TaskSet::default(),
         Revision::new(5),
         Duration::ZERO,
@@ -106,22 +115,26 @@
     );
     scheduler.run_placement_pass(start);
     let first = scheduler.due_completion_commits(1, start);
-    assert_eq!(first[0].job.to_string(), "j-000099", "its other tasks wait for this");
-    // Writes that fail come again, but not before all others had their turn.
-    let mut stored: Vec<JobId> = Vec::new();
+    assert_eq!(
+        first[0].job.to_string(),
+        "j-000099",
+        "the other tasks of this job can't start before its commit"
+    );
+    // A failed commit is retried only after the commits of all other jobs.
+    let mut attempted: Vec<JobId> = Vec::new();
     for round in 1..=13 {
         let now = start + Duration::from_secs(round);
         for completion_commit in scheduler.due_completion_commits(4, now) {
             scheduler.on_completion_commit_failed(&completion_commit.job, None);
-            stored.push(completion_commit.job);
+            attempted.push(completion_commit.job);
         }
     }
-    assert!(stored.contains(&last), "{stored:?}");
+    assert!(attempted.contains(&last), "{attempted:?}");
 }
 
-/// A scheduler whose first job has a completion commit under way, and is claimed once more before
-/// that is answered; with the commit.
-fn scheduler_that_claimed_during_a_commit(now: Instant) -> (Scheduler, CompletionCommit) {
+/// Creates a scheduler whose first job was claimed again while a completion commit of the job was
+/// in flight. Also returns the commit, which is not answered yet.
+fn scheduler_with_claim_during_commit(now: Instant) -> (Scheduler, CompletionCommit) {
     let (mut scheduler, attempt) = scheduler_with_start_sent(now);
     let done = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Done));
     scheduler.on_heartbeat(&heartbeat(3, 1, vec![done]), true, now);
@@ -136,59 +149,61 @@
     (scheduler, commit)
 }
 
-/// The commit was carried out before the claim, and its answer comes after it: taken as the
-/// newest, its record brought back the generation and the version before the claim, on which no
-/// later commit of the job could succeed.
+/// Guards against a record that goes back to the generation and version before a claim, after which
+/// the store refuses every commit of the job. This happens if a commit is carried out before the
+/// claim, but its answer arrives after the claim's.
 #[test]
-fn a_late_answer_to_a_commit_leaves_the_record_of_a_later_claim() {
+fn a_late_answer_to_a_commit_does_not_replace_the_record_of_a_later_claim() {
     let now = Instant::now();
-    let (mut scheduler, commit) = scheduler_that_claimed_during_a_commit(now);
+    let (mut scheduler, commit) = scheduler_with_claim_during_commit(now);
     let commit = CompletionCommit { completes_job: false, ..commit };
     scheduler.on_completion_committed(&commit, Revision::new(6));
-    let job = scheduler.job(&first_job_id()).expect("claimed");
+    let job = scheduler.job(&first_job_id()).expect("a claimed job");
     assert_eq!(job.record.generation, Generation::new(2));
     assert_eq!(job.version, Revision::new(7));
-    assert!(job.is_stored(0), "the commit was carried out");
+    assert!(job.is_stored(0), "the commit was carried out, so its task is stored");
 }
 
-/// The same for a record that was read because the commit was not answered.
+/// Guards against the same fault if the commit is not answered, and the record that is read instead
+/// is older than the claim.
 #[test]
-fn a_record_read_before_a_later_claim_leaves_the_record_of_that_claim() {
+fn a_record_read_before_a_later_claim_does_not_replace_the_record_of_that_claim() {
     let now = Instant::now();
-    let (mut scheduler, commit) = scheduler_that_claimed_during_a_commit(now);
+    let (mut scheduler, commit) = scheduler_with_claim_during_commit(now);
     let record = JobRecord { owner: Some("owner".into()), ..commit.record.clone() };
     let read = (record, commit.record.finished.clone(), Revision::new(6));
     scheduler.on_completion_commit_failed(&commit.job, Some(read));
-    let job = scheduler.job(&first_job_id()).expect("claimed");
+    let job = scheduler.job(&first_job_id()).expect("a claimed job");
     assert_eq!(job.record.generation, Generation::new(2));
     assert_eq!(job.version, Revision::new(7));
-    assert!(job.is_stored(0), "the read showed it as done");
+    assert!(job.is_stored(0), "the record shows the task as done");
 }
 
-/// An operator releases a dead-lettered job while a write of its record is under way: the write is
-/// refused, and the record read after it is of the same generation, but nobody's. Taken as ours it
-/// was not claimed anew, as its version was known: the job stayed dead-lettered in the scheduler
-/// alone, and ran no more while that leader led.
+/// Guards against a released job that stays dead-lettered in the scheduler until the next failover.
+/// An operator releases the job while a commit of its record is in flight. The commit is refused,
+/// and the record that is read afterwards has the same generation but no owner. If its version were
+/// adopted, the job would not be claimed again.
 #[test]
-fn a_record_that_an_operator_released_meanwhile_is_left_to_the_next_claim() {
+fn the_version_of_a_record_that_an_operator_released_is_not_adopted() {
     let now = Instant::now();
-    let (mut scheduler, commit) = scheduler_that_claimed_during_a_commit(now);
-    let claimed = scheduler.job(&first_job_id()).expect("claimed").record.clone();
+    let (mut scheduler, commit) = scheduler_with_claim_during_commit(now);
+    let claimed = scheduler.job(&first_job_id()).expect("a claimed job").record.clone();
     let released = JobRecord { owner: None, claims: 0, ..claimed };
     let read = (released, TaskSet::default(), Revision::new(8));
     scheduler.on_completion_commit_failed(&commit.job, Some(read));
-    let version = scheduler.job(&first_job_id()).expect("claimed").version;
-    assert_eq!(version, Revision::new(7), "the one that our claim rests on");
+    let version = scheduler.job(&first_job_id()).expect("a claimed job").version;
+    assert_eq!(version, Revision::new(7), "the version of our claim");
 }
 
-/// A claim that is held for 10 s without a failure is refunded (S12). The write that does so may be
-/// refused, in an outage of the store for example, or while the leader has no budget: the refund
-/// was forgotten then, and 13 failovers, each with such a write, dead-lettered a healthy job.
+/// Guards against a healthy job that is dead-lettered after 13 failovers. A claim that is held for
+/// 10 s without a failure is refunded (S12). The commit that stores the refund may fail, for
+/// example in an outage of the store or because the leader's request budget is used up. The refund
+/// must then be part of the next commit.
 #[test]
-fn a_refund_whose_write_failed_is_made_by_the_next_write_and_only_once() {
+fn a_refund_whose_commit_failed_is_part_of_the_next_commit_and_made_only_once() {
     let now = Instant::now();
     let after_s = |seconds: u64| now + Duration::from_secs(seconds);
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     let record = JobRecord { claims: 3, ..job_record(1, 4) };
     scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     let refused = scheduler.due_completion_commits(4, after_s(11)).remove(0);
@@ -197,12 +212,18 @@
     let stored = scheduler.due_completion_commits(4, after_s(13)).remove(0);
     assert_eq!(stored.record.claims, 2, "the refund is still due");
     scheduler.on_completion_committed(&stored, Revision::new(6));
-    assert!(scheduler.due_completion_commits(4, after_s(30)).is_empty(), "refunded once");
-    // Not answered, but carried out: found in the store.
+    assert!(
+        scheduler.due_completion_commits(4, after_s(30)).is_empty(),
+        "the claim is refunded only once"
+    );
+    // A commit that was carried out but not answered is found in the store.
     let record = JobRecord { claims: 2, ..job_record(1, 5) };
     scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(7), Duration::ZERO, now);
     let unanswered = scheduler.due_completion_commits(4, after_s(31)).remove(0);
     let found = (unanswered.record.clone(), TaskSet::default(), Revision::new(8));
     scheduler.on_completion_commit_failed(&unanswered.job, Some(found));
-    assert!(scheduler.due_completion_commits(4, after_s(50)).is_empty(), "refunded once");
+    assert!(
+        scheduler.due_completion_commits(4, after_s(50)).is_empty(),
+        "the claim is refunded only once"
+    );
 }
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -1,7 +1,7 @@
 //! Preemption and overload: no job waits for ever, and none is stopped in turn.
 
 use crate::support::{
-    active_task_count, config, heartbeat, job_record, machine_type, scheduler, second_job_id,
+    config, empty_scheduler, heartbeat, job_record, machine_type, placed_task_count, second_job_id,
 };
 use corkfield_core::Scheduler;
 use corkfield_wire::records::JobRecord;
@@ -68,7 +68,7 @@
         scheduler.on_heartbeat(&heartbeat(second + 1, 1, tasks.clone()), true, now);
         scheduler.run_placement_pass(now);
         if second == 1 {
-            let ahead = active_task_count(&scheduler);
+            let ahead = placed_task_count(&scheduler);
             assert_eq!(ahead, 3, "ahead of others only as far as the guarantee goes");
         }
         for order in
@@ -99,7 +99,7 @@
 
 fn numbered_job(number: u64, tasks: u32, priority: Priority) -> JobRecord {
     let mut job = job_record(tasks, 1);
-    job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
+    job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("a valid job id");
     job.spec.priority = priority;
     job
 }
@@ -107,7 +107,7 @@
 #[test]
 fn under_lasting_overload_the_largest_and_the_low_priority_job_begin_within_minutes() {
     let start = Instant::now();
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, start);
     scheduler.on_machine_record_written("host-1", true);
     let largest = numbered_job(1, 3000, Priority::Normal);
@@ -152,7 +152,7 @@
 #[test]
 fn a_starved_job_begins_after_a_minute_in_capacity_reserved_for_urgent_jobs() {
     let start = Instant::now();
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     let send_heartbeat = |scheduler: &mut Scheduler, sequence: u64, now: Instant| {
         scheduler.on_heartbeat(&heartbeat(sequence, 1, Vec::new()), true, now);
     };
@@ -163,7 +163,7 @@
         [(2, Priority::Normal, 3, 1.0), (3, Priority::High, 1, 2.0), (1, Priority::Normal, 5, 1.0)]
     {
         let mut job = job_record(tasks, 1);
-        job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
+        job.spec.id = JobId::parse(&format!("j-{number:06}")).expect("a valid job id");
         (job.spec.priority, job.spec.cpus) = (priority, cpus);
         scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, start);
         if number == 2 {
@@ -171,12 +171,12 @@
         }
     }
     scheduler.run_placement_pass(start);
-    assert_eq!(active_task_count(&scheduler), 0, "the CPU that is left is kept for the urgent job");
+    assert_eq!(placed_task_count(&scheduler), 0, "the CPU that is left is kept for the urgent job");
     let later = start + Duration::from_secs(61);
     send_heartbeat(&mut scheduler, 2, later);
     scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, false, later);
     scheduler.run_placement_pass(later);
     scheduler.tick(later);
     scheduler.run_placement_pass(later);
-    assert_eq!(active_task_count(&scheduler), 1, "it begins, and no more than that");
+    assert_eq!(placed_task_count(&scheduler), 1, "it begins, and no more than that");
 }
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -1,8 +1,9 @@
-//! Which heartbeats count, when a machine is known to be gone, and when machines are rented.
+//! Tests of heartbeats that are rejected, of proofs that a machine no longer exists, and of
+//! rentals.
 
 use crate::support::{
-    active_task_count, active_tasks, heartbeat, job_record, over_connection, scheduler,
-    scheduler_with_start_sent, second_job_id, task_status,
+    empty_scheduler, heartbeat, heartbeat_over_connection, job_record, placed_task_count,
+    placed_tasks, scheduler_with_start_sent, second_job_id, task_status,
 };
 use corkfield_core::{Action, RentalFailure, Scheduler, Verdict};
 use corkfield_wire::cloud::RentRequest;
@@ -16,40 +17,44 @@
     let now = Instant::now();
     let (mut scheduler, attempt) = scheduler_with_start_sent(now);
     let running = task_status(attempt, TaskPhase::Running, None);
-    scheduler.on_heartbeat(&heartbeat(5, 1, vec![running]), over_connection(1), now);
+    scheduler.on_heartbeat(&heartbeat(5, 1, vec![running]), heartbeat_over_connection(1), now);
     assert_eq!(
-        scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), over_connection(1), now),
+        scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), heartbeat_over_connection(1), now),
         Verdict::Stale,
         "S10"
     );
-    assert_eq!(active_task_count(&scheduler), 1);
-    // A later agent epoch has none of the tasks of the one before.
-    let mut next = heartbeat(1, 1, Vec::new());
-    next.agent_epoch = AgentEpoch::new(2);
-    assert_eq!(scheduler.on_heartbeat(&next, over_connection(1), now), Verdict::Accept);
-    assert!(active_tasks(&scheduler).is_empty());
+    assert_eq!(placed_task_count(&scheduler), 1);
+    // The worker holds no task of an earlier agent epoch.
+    let mut later_epoch = heartbeat(1, 1, Vec::new());
+    later_epoch.agent_epoch = AgentEpoch::new(2);
+    assert_eq!(
+        scheduler.on_heartbeat(&later_epoch, heartbeat_over_connection(1), now),
+        Verdict::Accept
+    );
+    assert!(placed_tasks(&scheduler).is_empty());
 }
 
 #[test]
-fn a_worker_whose_term_goes_back_is_deleted_and_settles_nothing() {
+fn a_machine_whose_worker_reports_a_lower_term_than_before_is_deleted() {
     let now = Instant::now();
     let (mut scheduler, _) = scheduler_with_start_sent(now);
     scheduler.take_actions();
-    // Numbers above the known ones, but a worker never forgets the highest term it has seen.
+    // The number is above the known ones, but a worker never forgets the highest term that it has
+    // received unless it has lost its state.
     assert_eq!(scheduler.on_heartbeat(&heartbeat(5, 0, Vec::new()), true, now), Verdict::Stale);
-    let placed = active_task_count(&scheduler);
-    assert_eq!(placed, 1, "it settles nothing");
+    let placed = placed_task_count(&scheduler);
+    assert_eq!(placed, 1, "the heartbeat proves nothing about the task");
     scheduler.tick(now + Duration::from_secs(1));
-    let returned = Action::DeleteMachines(vec!["host-1".into()]);
-    assert!(scheduler.take_actions().contains(&returned));
+    let deletion = Action::DeleteMachines(vec!["host-1".into()]);
+    assert!(scheduler.take_actions().contains(&deletion));
     scheduler.on_machines_deleted(&["host-1".into()]);
-    assert!(active_tasks(&scheduler).is_empty());
+    assert!(placed_tasks(&scheduler).is_empty());
 }
 
 #[test]
-fn a_machine_whose_first_reply_is_delayed_does_not_expire_meanwhile() {
+fn a_lease_does_not_expire_before_a_delayed_first_answer() {
     let start = Instant::now();
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     let request = RentRequest {
         request: "r-1-1".into(),
         machine_type: "box".into(),
@@ -58,51 +63,57 @@
         count: 1,
     };
     scheduler.on_rental_answered(&request, Ok(vec!["host-1".into()]), start);
-    // It took far longer than a worker's lease to boot.
-    let up = start + Duration::from_secs(50);
-    assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, up), Verdict::Accept);
-    scheduler.tick(up + Duration::from_millis(100));
+    // Booting took far longer than a worker's lease lasts.
+    let booted_at = start + Duration::from_secs(50);
+    assert_eq!(
+        scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, booted_at),
+        Verdict::Accept
+    );
+    scheduler.tick(booted_at + Duration::from_millis(100));
     scheduler.orders_for_answer(
         "host-1",
         AgentEpoch::new(1),
         1,
         true,
-        up + Duration::from_millis(200),
+        booted_at + Duration::from_millis(200),
+    );
+    let next_heartbeat_at = booted_at + Duration::from_secs(2);
+    assert_eq!(
+        scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, next_heartbeat_at),
+        Verdict::Accept
     );
-    let next = up + Duration::from_secs(2);
-    assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, next), Verdict::Accept);
-    // The same when it is back after its lease expired.
-    let lease_expiry = next + Duration::from_secs(20);
+    // The same holds for the first heartbeat after the lease has expired.
+    let lease_expiry = next_heartbeat_at + Duration::from_secs(20);
     scheduler.tick(lease_expiry);
     assert_eq!(
         scheduler.on_heartbeat(&heartbeat(3, 1, Vec::new()), true, lease_expiry),
         Verdict::Stale
     );
-    let mut back = heartbeat(4, 1, Vec::new());
-    back.agent_epoch = AgentEpoch::new(2);
-    assert_eq!(scheduler.on_heartbeat(&back, true, lease_expiry), Verdict::Accept);
+    let mut later_epoch = heartbeat(4, 1, Vec::new());
+    later_epoch.agent_epoch = AgentEpoch::new(2);
+    assert_eq!(scheduler.on_heartbeat(&later_epoch, true, lease_expiry), Verdict::Accept);
     scheduler.tick(lease_expiry + Duration::from_millis(100));
-    back.sequence = 5;
-    assert_eq!(scheduler.on_heartbeat(&back, true, lease_expiry), Verdict::Accept);
+    later_epoch.sequence = 5;
+    assert_eq!(scheduler.on_heartbeat(&later_epoch, true, lease_expiry), Verdict::Accept);
 }
 
 #[test]
-fn a_machine_list_proves_a_machine_gone_only_if_it_describes_a_later_moment() {
+fn a_machine_missing_from_a_list_is_removed_only_if_the_list_was_requested_late_enough() {
     let now = Instant::now();
     let (mut scheduler, _) = scheduler_with_start_sent(now);
-    // Asked soon after the machine was known: it may describe the time before.
+    // Requested soon after the machine became known: the list may describe an earlier moment.
     let soon = now + Duration::from_secs(3);
     scheduler.on_machine_list(&[], soon, soon);
     assert!(scheduler.machine("host-1").is_some(), "S5");
     let later = now + Duration::from_secs(5);
     scheduler.on_machine_list(&[], later, later);
     assert!(scheduler.machine("host-1").is_none());
-    assert!(active_tasks(&scheduler).is_empty());
+    assert!(placed_tasks(&scheduler).is_empty());
     assert_eq!(scheduler.on_heartbeat(&heartbeat(9, 1, Vec::new()), true, later), Verdict::Stale);
 }
 
-/// Rentals of on-demand machines among what the leader asks for.
-fn on_demand_rentals(scheduler: &mut Scheduler) -> Vec<RentRequest> {
+/// Returns the on-demand rentals that the scheduler requests.
+fn take_on_demand_rentals(scheduler: &mut Scheduler) -> Vec<RentRequest> {
     let rentals = scheduler.take_actions().into_iter().filter_map(|action| match action {
         Action::RentMachines(request) if !request.spot => Some(request),
         _ => None,
@@ -111,9 +122,9 @@
 }
 
 #[test]
-fn on_demand_machines_are_requested_only_once_spot_capacity_is_known_to_lack() {
+fn on_demand_machines_are_requested_only_after_a_spot_request_is_refused() {
     let now = Instant::now();
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     scheduler.on_job_claimed(
         job_record(80, 1),
         TaskSet::default(),
@@ -129,16 +140,17 @@
     else {
         panic!("{actions:?}")
     };
-    let more = JobRecord {
+    let second_job = JobRecord {
         spec: JobSpec { id: second_job_id(), ..job_record(400, 1).spec },
         ..job_record(400, 1)
     };
-    scheduler.on_job_claimed(more, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
-    // The spot offer is under way, and so not open; that is no reason to take the expensive one.
+    scheduler.on_job_claimed(second_job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
+    // The spot offer is not available, because a request for it is in flight. That is no reason to
+    // rent expensive machines.
     let soon = now + Duration::from_millis(200);
     scheduler.scale(soon);
-    assert_eq!(on_demand_rentals(&mut scheduler), Vec::new());
+    assert_eq!(take_on_demand_rentals(&mut scheduler), Vec::new());
     scheduler.on_rental_answered(spot, Err(RentalFailure::NoCapacity), soon);
     scheduler.scale(soon);
-    assert!(!on_demand_rentals(&mut scheduler).is_empty(), "no spot machine is to be had");
+    assert!(!take_on_demand_rentals(&mut scheduler).is_empty(), "the cloud has no spot capacity");
 }
--- a/crates/core/tests/scheduler/main.rs
+++ b/crates/core/tests/scheduler/main.rs
@@ -1,4 +1,5 @@
-//! The scheduler alone: heartbeats, records and answers go in, orders and actions come out.
+//! Tests of the scheduler without I/O: they pass in heartbeats, records and answers, and check the
+//! orders and actions that the scheduler returns.
 
 mod claims;
 mod completion;
--- a/crates/core/tests/scheduler/placement.rs
+++ b/crates/core/tests/scheduler/placement.rs
@@ -1,8 +1,8 @@
 //! Where tasks are placed, and what a placement pass costs.
 
 use crate::support::{
-    active_task_count, active_tasks, claim_job, first_job_id, heartbeat, heartbeat_from,
-    job_record, scheduler, scheduler_with_machines,
+    claim_job, empty_scheduler, first_job_id, heartbeat, heartbeat_from, job_record,
+    placed_task_count, placed_tasks, scheduler_with_machines,
 };
 use corkfield_core::{Action, Scheduler};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus};
@@ -13,7 +13,7 @@
 fn one_zone_and_spread_constraints_are_kept() {
     let now = Instant::now();
     for (one_zone, spread, expected) in [(true, false, 4), (false, true, 3)] {
-        let mut scheduler = scheduler(1);
+        let mut scheduler = empty_scheduler(1);
         for (number, zone) in ["z", "y", "z", "y"].into_iter().enumerate() {
             let mut heartbeat = heartbeat(1, 1, Vec::new());
             heartbeat.machine = MachineName::from(format!("host-{number}"));
@@ -25,7 +25,7 @@
         (job.spec.one_zone, job.spec.spread, job.spec.cpus) = (one_zone, spread, 2.0);
         scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
         scheduler.run_placement_pass(now);
-        let job = scheduler.job(&first_job_id()).expect("claimed");
+        let job = scheduler.job(&first_job_id()).expect("a claimed job");
         let in_z = job.placements().values().filter(|placed| {
             scheduler.machine(placed.machine.as_str()).is_some_and(|machine| machine.zone == "z")
         });
@@ -100,7 +100,7 @@
 }
 
 fn tasks_on(scheduler: &Scheduler, machine: &str) -> usize {
-    active_tasks(scheduler).values().filter(|placed| placed.machine.as_str() == machine).count()
+    placed_tasks(scheduler).values().filter(|placed| placed.machine.as_str() == machine).count()
 }
 
 /// A heartbeat without tasks, answered while no start may be sent.
@@ -159,7 +159,7 @@
     ];
     for case in cases {
         let slow = case.slow;
-        let mut scheduler = scheduler(1);
+        let mut scheduler = empty_scheduler(1);
         let now = run_batches_on_both(&mut scheduler, &case, Instant::now());
         send_idle_heartbeat(&mut scheduler, "host-0", 900, now);
         send_idle_heartbeat(&mut scheduler, "host-1", 900, now);
@@ -189,7 +189,7 @@
     }
     scheduler.take_actions();
     let before = scheduler.overview(start);
-    assert_eq!(active_task_count(&scheduler), 160);
+    assert_eq!(placed_task_count(&scheduler), 160);
     let later = start + Duration::from_secs(60);
     for number in 0..40 {
         let name = format!("host-{number}");
--- a/crates/core/tests/scheduler/random_faults/driver.rs
+++ b/crates/core/tests/scheduler/random_faults/driver.rs
@@ -241,7 +241,8 @@
         self.jobs_submitted += 1;
         let tasks = self.rng.random_range(1..14);
         let mut record = JobRecord::new(job_record(tasks, 1).spec, 0);
-        record.spec.id = JobId::parse(&format!("j-{:06}", self.jobs_submitted)).expect("an id");
+        record.spec.id =
+            JobId::parse(&format!("j-{:06}", self.jobs_submitted)).expect("a valid job id");
         record.spec.cpus = [1.0, 1.0, 2.0][self.rng.random_range(0..3)];
         record.spec.priority =
             [Priority::High, Priority::Normal, Priority::Low][self.rng.random_range(0..3)];
--- a/crates/core/tests/scheduler/random_faults/restarts.rs
+++ b/crates/core/tests/scheduler/random_faults/restarts.rs
@@ -52,8 +52,8 @@
         self.held_heartbeats.drain(..excess);
     }
 
-    /// The younger of two machines, as a rule: its known numbers are low, so those of a next process
-    /// pass them soon.
+    /// The younger of two machines, as a rule: its known numbers are low, so those of a next
+    /// process pass them soon.
     fn some_young_machine(&mut self) -> Option<MachineName> {
         let names = [self.some_machine()?, self.some_machine()?];
         names.into_iter().min_by_key(|name| self.workers[name].messages_sent())
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -2,9 +2,9 @@
 //! former process are held back.
 
 use crate::support::{
-    active_task_count, active_tasks, config, first_job_id, heartbeat, heartbeat_from, job_record,
-    over_connection, scheduler, scheduler_with_start_sent, scheduler_with_start_sent_to,
-    task_status,
+    config, empty_scheduler, first_job_id, heartbeat, heartbeat_from, heartbeat_over_connection,
+    job_record, placed_task_count, placed_tasks, scheduler_with_start_sent,
+    scheduler_with_start_sent_to, task_status,
 };
 use corkfield_core::{DirectPurpose, MachineState, Scheduler, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
@@ -29,7 +29,7 @@
 
 /// The machine and the attempt under which the task may be running.
 fn place_of_task(scheduler: &Scheduler) -> Option<(String, Attempt)> {
-    let placed = active_tasks(scheduler).get(&0)?;
+    let placed = placed_tasks(scheduler).get(&0)?;
     Some((placed.machine.to_string(), placed.attempt))
 }
 
@@ -73,10 +73,14 @@
 /// A scheduler whose only task was lost with host-1's process, and was assigned to `host-2`; and
 /// the heartbeat of that process, held back, that shows it as done.
 fn scheduler_with_task_done_before_it_was_lost(now: Instant) -> (Scheduler, WorkerHeartbeat) {
-    let (mut scheduler, attempt) = scheduler_with_start_sent_to(over_connection(1), now);
+    let (mut scheduler, attempt) = scheduler_with_start_sent_to(heartbeat_over_connection(1), now);
     scheduler.on_heartbeat(&heartbeat_from("host-2", 1, Vec::new()), true, now);
     scheduler.on_machine_record_written("host-2", true);
-    scheduler.on_heartbeat(&heartbeat_from("host-1", 3, Vec::new()), over_connection(1), now);
+    scheduler.on_heartbeat(
+        &heartbeat_from("host-1", 3, Vec::new()),
+        heartbeat_over_connection(1),
+        now,
+    );
     scheduler.drain_machine("host-1");
     scheduler.run_placement_pass(now);
     let (machine, _) = place_of_task(&scheduler).expect("placed anew");
@@ -91,7 +95,7 @@
     let now = Instant::now();
     let (mut scheduler, late) = scheduler_with_task_done_before_it_was_lost(now);
     scheduler.on_heartbeat(&late, true, now);
-    assert_eq!(active_task_count(&scheduler), 0);
+    assert_eq!(placed_task_count(&scheduler), 0);
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, now);
     let orders = scheduler.orders_for_answer("host-2", AgentEpoch::FIRST, 2, true, now);
     assert!(orders.is_empty(), "{orders:?}");
@@ -120,7 +124,7 @@
 /// A scheduler under term 7 whose only machine was new to it. It took our term from the answer to
 /// its first heartbeat, and its second one was answered with the start of the only task.
 fn scheduler_with_start_sent_to_new_machine(now: Instant) -> (Scheduler, Attempt) {
-    let mut scheduler = scheduler(7);
+    let mut scheduler = empty_scheduler(7);
     scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, now);
     scheduler.on_machine_record_written("host-1", true);
     assert!(scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 1, true, now).is_empty());
@@ -202,13 +206,13 @@
             scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, number, true, later);
         }
         scheduler.tick(later);
-        let returned = scheduler.machine("host-1").expect("known").state();
+        let returned = scheduler.machine("host-1").expect("a known machine").state();
         let is_returned = returned == MachineState::Deleting;
         assert_eq!(is_returned, round > 3, "after {} s", 5 * round);
         assert_eq!(place_of_task(&scheduler).map(|(_, attempt)| attempt), Some(attempt));
     }
     scheduler.on_machines_deleted(&["host-1".into()]);
-    assert_eq!(active_task_count(&scheduler), 0);
+    assert_eq!(placed_task_count(&scheduler), 0);
 }
 
 /// The former process was in a later agent epoch than the present one: its numbers are above all,
@@ -253,7 +257,7 @@
     let exchange = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, now);
     next.sequence = 2;
     scheduler.on_direct_request_answered(&next, exchange, now);
-    assert_eq!(active_task_count(&scheduler), 0);
+    assert_eq!(placed_task_count(&scheduler), 0);
     assert!(place_after_pass(&mut scheduler, now).is_some_and(|again| again > attempt));
 }
 
@@ -263,7 +267,7 @@
 fn a_held_back_heartbeat_without_our_term_shortens_no_lease() {
     let start = Instant::now();
     let answered = start + Duration::from_secs(5);
-    let mut scheduler = scheduler(7);
+    let mut scheduler = empty_scheduler(7);
     scheduler.on_heartbeat(&heartbeat(1, 0, Vec::new()), true, start);
     scheduler.orders_for_answer("host-1", AgentEpoch::FIRST, 1, true, start);
     scheduler.on_machine_record_written("host-1", true);
@@ -287,7 +291,7 @@
 fn a_task_reported_as_done_and_as_running_before_its_claim_is_done_and_stopped() {
     for (running_on, done_on) in [("host-1", "host-2"), ("host-2", "host-1")] {
         let now = Instant::now();
-        let mut scheduler = scheduler(1);
+        let mut scheduler = empty_scheduler(1);
         scheduler.set_unclaimed_jobs(BTreeSet::from([first_job_id()]));
         let (first, second) = (Attempt::new(1), Attempt::new(2));
         let done = task_status(second, TaskPhase::Exited, Some(ExitCause::Done));
@@ -296,8 +300,8 @@
         let record = job_record(2, 2);
         let finished = TaskSet::default();
         scheduler.on_job_claimed(record, finished, Revision::new(5), Duration::ZERO, now);
-        assert_eq!(active_task_count(&scheduler), 0, "running on {running_on}");
-        assert_eq!(scheduler.job(&first_job_id()).expect("claimed").waiting_tasks(), 1);
+        assert_eq!(placed_task_count(&scheduler), 0, "running on {running_on}");
+        assert_eq!(scheduler.job(&first_job_id()).expect("a claimed job").waiting_tasks(), 1);
         let orders = scheduler.orders_for_answer(running_on, AgentEpoch::FIRST, 1, false, now);
         assert!(matches!(orders[..], [Order::Stop { .. }]), "{orders:?}");
     }
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -1,9 +1,10 @@
 //! When a start is ordered, what settles it, and when its task may be started elsewhere.
 
 use crate::support::{
-    active_task_count, active_tasks, claim_job, first_job_id, heartbeat, heartbeat_from,
-    job_record, over_connection, scheduler, scheduler_with_machines, scheduler_with_start_sent,
-    scheduler_with_start_sent_to, scheduler_with_task_assigned, task_status,
+    claim_job, empty_scheduler, first_job_id, heartbeat, heartbeat_from, heartbeat_over_connection,
+    job_record, placed_task_count, placed_tasks, scheduler_with_machines,
+    scheduler_with_start_sent, scheduler_with_start_sent_to, scheduler_with_task_assigned,
+    task_status,
 };
 use corkfield_core::{Action, Verdict};
 use corkfield_wire::worker::{ExitCause, Order, TaskPhase, TaskStatus, WorkerHeartbeat};
@@ -13,18 +14,18 @@
 #[test]
 fn only_the_workers_own_next_heartbeat_settles_a_start() {
     let now = Instant::now();
-    let (mut scheduler, attempt) = scheduler_with_start_sent_to(over_connection(1), now);
+    let (mut scheduler, attempt) = scheduler_with_start_sent_to(heartbeat_over_connection(1), now);
     // Made while the answer with the start was still under way.
     scheduler.on_heartbeat(&heartbeat(3, 1, Vec::new()), false, now);
-    let placed = active_tasks(&scheduler).get(&0).cloned();
+    let placed = placed_tasks(&scheduler).get(&0).cloned();
     assert_eq!(
         placed.map(|placed| placed.attempt),
         Some(attempt),
         "S3: it may still be carried out"
     );
-    scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), over_connection(1), now);
+    scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), heartbeat_over_connection(1), now);
     scheduler.run_placement_pass(now);
-    let again = active_tasks(&scheduler).get(&0).cloned();
+    let again = placed_tasks(&scheduler).get(&0).cloned();
     assert!(again.is_some_and(|placed| placed.attempt > attempt), "attempts never repeat");
 }
 
@@ -53,10 +54,10 @@
     scheduler.run_placement_pass(now);
     let orders = scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 3, true, now);
     assert!(matches!(orders[..], [Order::Forget { .. }, Order::Start { .. }]), "{orders:?}");
-    let second = active_tasks(&scheduler)[&0].attempt;
+    let second = placed_tasks(&scheduler)[&0].attempt;
     let running = task_status(second, TaskPhase::Running, None);
     scheduler.on_heartbeat(&heartbeat(4, 1, vec![running]), true, now);
-    let active = active_tasks(&scheduler);
+    let active = placed_tasks(&scheduler);
     assert_eq!(active.get(&0).map(|placed| placed.attempt), Some(second));
 }
 
@@ -66,9 +67,9 @@
     let (mut scheduler, _) = scheduler_with_start_sent(now);
     let before = now + Duration::from_secs(12);
     scheduler.tick(before);
-    assert_eq!(active_task_count(&scheduler), 1, "S5");
+    assert_eq!(placed_task_count(&scheduler), 1, "S5");
     scheduler.tick(now + Duration::from_secs(15));
-    assert!(active_tasks(&scheduler).is_empty());
+    assert!(placed_tasks(&scheduler).is_empty());
     // Later heartbeats of that agent epoch are rejected.
     let late = heartbeat(5, 1, Vec::new());
     assert_eq!(scheduler.on_heartbeat(&late, true, now + Duration::from_secs(16)), Verdict::Stale);
@@ -125,7 +126,7 @@
     let mut announced = Vec::new();
     for version in (6..10).map(Revision::new) {
         scheduler.run_placement_pass(now);
-        let job = scheduler.job(&first_job_id()).expect("claimed");
+        let job = scheduler.job(&first_job_id()).expect("a claimed job");
         announced.push((job.placements().len(), job.record.start_watermark));
         assert!(job.placements().keys().all(|index| *index < job.record.start_watermark));
         for completion_commit in scheduler.due_completion_commits(4, now) {
@@ -138,7 +139,7 @@
 #[test]
 fn tasks_of_finished_jobs_are_stopped_and_those_of_unclaimed_jobs_are_not() {
     let now = Instant::now();
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     let running = task_status(Attempt::new(9), TaskPhase::Running, None);
     scheduler.set_unclaimed_jobs([first_job_id()].into());
     scheduler.on_heartbeat(&heartbeat(1, 1, vec![running.clone()]), true, now);
@@ -155,7 +156,7 @@
 fn a_start_assigned_before_a_back_off_leaves_with_the_generation_of_the_new_claim() {
     let now = Instant::now();
     let after_ms = |ms: u64| now + Duration::from_millis(ms);
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     for machine in ["host-1", "host-2"] {
         scheduler.on_heartbeat(&heartbeat_from(machine, 1, Vec::new()), true, now);
         scheduler.on_machine_record_written(machine, true);
@@ -212,7 +213,7 @@
         now,
     );
     scheduler.run_placement_pass(now);
-    assert_eq!(active_task_count(&scheduler), 8, "both machines are full");
+    assert_eq!(placed_task_count(&scheduler), 8, "both machines are full");
     scheduler.on_heartbeat(&heartbeat_from("host-0", 2, Vec::new()), true, now);
     let orders = scheduler.orders_for_answer("host-0", AgentEpoch::new(1), 2, true, now);
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
@@ -222,8 +223,8 @@
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-0", 3, vec![refused]), true, now);
     assert!(!scheduler.has_assigned_tasks("host-1"), "taken back at once");
-    assert_eq!(active_task_count(&scheduler), 0);
+    assert_eq!(placed_task_count(&scheduler), 0);
     claim_job(&mut scheduler, 2, Priority::Normal, 8, now);
     scheduler.run_placement_pass(now);
-    assert_eq!(scheduler.machine("host-1").expect("known").tasks.len(), 4);
+    assert_eq!(scheduler.machine("host-1").expect("a known machine").tasks.len(), 4);
 }
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -1,5 +1,5 @@
-//! Builders of configurations, records and heartbeats, and schedulers in the states that tests
-//! begin with.
+//! Builders for configurations, records and heartbeats, and for schedulers in the initial states
+//! of the tests.
 
 use corkfield_core::{Config, MessageOrigin, Scheduler, TaskPlacement, Verdict};
 use corkfield_wire::cloud::MachineType;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// One team without a quota, and short periods.
+/// Returns a configuration with one team without a guarantee or limit, and with short timeouts.
 pub fn config() -> Config {
     Config {
         teams: vec![Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
@@ -28,7 +28,7 @@
     }
 }
 
-/// The only machine type, of four CPUs.
+/// Returns the only machine type, which has four CPUs.
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "box".into(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// The record of a machine of the only type.
+/// Returns the record of a machine of the only type.
 pub fn machine_record() -> MachineRecord {
     MachineRecord {
         addr: "10.0.0.9:9000".into(),
@@ -55,14 +55,14 @@
     }
 }
 
-/// A scheduler under a term, without machines and jobs.
-pub fn scheduler(term: u64) -> Scheduler {
+/// Creates a scheduler with the given term, without machines and jobs.
+pub fn empty_scheduler(term: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(config(), Term::new(term), 1);
     scheduler.set_machine_types(vec![machine_type()]);
     scheduler
 }
 
-/// A record of the first job, whose tasks may all be started by its present owner.
+/// Returns a record of the first job with a start watermark that lets its owner start all tasks.
 pub fn job_record(tasks: u32, generation: u64) -> JobRecord {
     let text = format!(
         "{{\"name_id\":\"j-000001\",\"pool\":\"c\",\"owner\":\"t\",\"shape\":\"sweep\",\"rank\":\"normal\",\"pieces\":{tasks},\
@@ -70,7 +70,7 @@
          \"apart\":false,\"loaners\":true,\"guess_s\":5.0,\"snapshot_s\":0.0,\"flush_s\":0.0}}"
     );
     let spec = JobSpec::parse(text.as_bytes()).expect("a valid submission");
-    // All may have begun under earlier owners, if there were any.
+    // If there were earlier owners, they may have started all tasks.
     let previous_start_watermark = if generation > 1 { u32::MAX } else { 0 };
     JobRecord {
         generation: Generation::new(generation),
@@ -80,17 +80,17 @@
     }
 }
 
-/// The job that most tests are about.
+/// Returns the id of the job that most tests use.
 pub fn first_job_id() -> JobId {
-    JobId::parse("j-000001").expect("an id")
+    JobId::parse("j-000001").expect("a valid job id")
 }
 
-/// A job beside the first.
+/// Returns the id of a job other than the first.
 pub fn second_job_id() -> JobId {
-    JobId::parse("j-000002").expect("an id")
+    JobId::parse("j-000002").expect("a valid job id")
 }
 
-/// A heartbeat of host-1 in its first agent epoch.
+/// Returns a heartbeat of `host-1` in its first agent epoch.
 pub fn heartbeat(sequence: u64, term: u64, tasks: Vec<TaskStatus>) -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: "host-1".into(),
@@ -106,20 +106,21 @@
     }
 }
 
-/// A heartbeat of a machine by its name, under term 1.
+/// Returns a heartbeat of the named machine, under term 1.
 pub fn heartbeat_from(machine: &str, sequence: u64, tasks: Vec<TaskStatus>) -> WorkerHeartbeat {
     WorkerHeartbeat { machine: machine.into(), ..heartbeat(sequence, 1, tasks) }
 }
 
-/// What a worker says of the first task of the first job.
+/// Returns a worker's status of the first task of the first job.
 pub fn task_status(attempt: Attempt, phase: TaskPhase, cause: Option<ExitCause>) -> TaskStatus {
     let task = TaskId { job: first_job_id(), index: 0 };
     TaskStatus { task, attempt, phase, cause, saved: None }
 }
 
-/// A scheduler that has assigned the only task of the first job to `host-1`; no order has left.
+/// Creates a scheduler that has assigned the only task of the first job to `host-1`, but has not
+/// sent its start.
 pub fn scheduler_with_task_assigned(now: Instant) -> Scheduler {
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(1, 1, Vec::new()), true, now), Verdict::Accept);
     scheduler.on_machine_record_written("host-1", true);
     scheduler.on_job_claimed(
@@ -133,18 +134,20 @@
     scheduler
 }
 
-/// One of the worker's own heartbeats, over a connection with that number.
-pub fn over_connection(number: u64) -> MessageOrigin {
+/// Returns the origin of a heartbeat that the worker sent by itself over the connection with that
+/// number.
+pub fn heartbeat_over_connection(number: u64) -> MessageOrigin {
     MessageOrigin::Heartbeat { connection: Some(ConnectionId { process: 1, number }) }
 }
 
-/// A scheduler that has just sent the start of the only task in the reply to heartbeat 2, and the
-/// attempt of that start.
+/// Creates a scheduler that has just sent the start of the only task with the answer to heartbeat
+/// 2. Also returns the attempt of that start.
 pub fn scheduler_with_start_sent(now: Instant) -> (Scheduler, Attempt) {
     scheduler_with_start_sent_to(true.into(), now)
 }
 
-/// The same for a heartbeat 2 that came in that way.
+/// Creates the same scheduler as [`scheduler_with_start_sent`], with the given origin of
+/// heartbeat 2.
 pub fn scheduler_with_start_sent_to(origin: MessageOrigin, now: Instant) -> (Scheduler, Attempt) {
     let mut scheduler = scheduler_with_task_assigned(now);
     assert_eq!(scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), origin, now), Verdict::Accept);
@@ -153,9 +156,10 @@
     (scheduler, attempt)
 }
 
-/// A scheduler of that many recorded machines, `host-0` and so on, each with one heartbeat.
+/// Creates a scheduler with that many recorded machines, named `host-0` and so on, each of which
+/// has sent one heartbeat.
 pub fn scheduler_with_machines(machines: usize, now: Instant) -> Scheduler {
-    let mut scheduler = scheduler(1);
+    let mut scheduler = empty_scheduler(1);
     for number in 0..machines {
         let name = format!("host-{number}");
         scheduler.on_heartbeat(&heartbeat_from(&name, 1, Vec::new()), true, now);
@@ -164,7 +168,7 @@
     scheduler
 }
 
-/// Claims a job of 400 tasks; those from the watermark on may not be started yet.
+/// Claims a job of 400 tasks. Tasks at or above the start watermark may not be started yet.
 pub fn claim_job(
     scheduler: &mut Scheduler,
     number: usize,
@@ -173,18 +177,18 @@
     now: Instant,
 ) {
     let mut record = JobRecord { start_watermark, ..job_record(400, 1) };
-    record.spec.id = JobId::parse(&format!("j-{number:06}")).expect("an id");
+    record.spec.id = JobId::parse(&format!("j-{number:06}")).expect("a valid job id");
     record.spec.priority = priority;
     record.spec.estimate_s = 300.0;
     scheduler.on_job_claimed(record, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
 }
 
-/// The tasks of the first job that are placed, by index.
-pub fn active_tasks(scheduler: &Scheduler) -> &BTreeMap<u32, TaskPlacement> {
-    scheduler.job(&first_job_id()).expect("claimed").placements()
+/// Returns the placed tasks of the first job, by task index.
+pub fn placed_tasks(scheduler: &Scheduler) -> &BTreeMap<u32, TaskPlacement> {
+    scheduler.job(&first_job_id()).expect("a claimed job").placements()
 }
 
-/// How many tasks of the first job are placed.
-pub fn active_task_count(scheduler: &Scheduler) -> usize {
-    active_tasks(scheduler).len()
+/// Returns the number of placed tasks of the first job.
+pub fn placed_task_count(scheduler: &Scheduler) -> usize {
+    placed_tasks(scheduler).len()
 }
