--- a/crates/core/tests/scheduler/random_faults/driver.rs
+++ b/crates/core/tests/scheduler/random_faults/driver.rs
@@ -1,10 +1,10 @@
-//! Chooses what happens next, and carries it out.
+//! Chooses random events and executes them.
 
 use super::invariants;
 use super::machines::MAX_MACHINES;
-use super::restarts::HeldHeartbeat;
+use super::restarts::DelayedHeartbeat;
 use super::store::Store;
-use super::workers::{Exchange, Fate, Worker};
+use super::workers::{JobBehavior, PendingHeartbeat, Worker};
 use super::writes::{PendingWrite, WriteState};
 use crate::support::{config, job_record, machine_type};
 use corkfield_core::{Config, Scheduler, Verdict};
@@ -18,18 +18,18 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// CPUs that the team with a limit may use.
+/// Limit of the `limited` team, in CPUs.
 pub const CPU_LIMIT: f64 = 6.0;
-/// The part of the heartbeats that are held back while there are troubles.
-const HELD_BACK: f64 = 0.15;
-/// So many unfinished jobs at the most.
+/// Probability that a heartbeat is delayed while faults occur.
+const DELAYED_HEARTBEAT_PROBABILITY: f64 = 0.15;
+/// Maximum number of unfinished jobs.
 const MAX_JOBS: usize = 6;
-/// How long the rest may take once all troubles are over.
-const TIME_TO_FINISH: Duration = Duration::from_secs(600);
-/// A turn of that time.
-const FINISH_TURN: Duration = Duration::from_millis(500);
+/// Time within which all jobs must complete once the faults have ended.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(600);
+/// Duration of one round of that time.
+const COMPLETION_ROUND: Duration = Duration::from_millis(500);
 
-/// The scheduler, and all that it deals with.
+/// A scheduler together with the workers, the store and the users that it interacts with.
 pub struct Driver {
     seed: u64,
     pub(super) rng: SmallRng,
@@ -37,21 +37,22 @@
     pub scheduler: Scheduler,
     pub store: Store,
     pub workers: BTreeMap<MachineName, Worker>,
-    pub(super) fates: BTreeMap<JobId, Fate>,
+    /// What happens to the tasks of each submitted job.
+    pub(super) behaviors: BTreeMap<JobId, JobBehavior>,
     cancelled: Vec<JobId>,
     pub(super) writes: Vec<PendingWrite>,
-    /// Heartbeats that are held back on their way; their senders have given them up.
-    pub(super) held_heartbeats: Vec<HeldHeartbeat>,
-    /// Versions of the jobs' records that the scheduler knew after the step before.
+    /// Heartbeats that are delayed; their senders no longer wait for an answer.
+    pub(super) delayed_heartbeats: Vec<DelayedHeartbeat>,
+    /// Versions of the job records that the scheduler knew after the previous step.
     pub known_versions: BTreeMap<JobId, Revision>,
     term: Term,
     pub(super) machines_started: u32,
     jobs_submitted: u32,
-    /// The part of the heartbeats that are held back.
-    held_back: f64,
+    /// Probability that a heartbeat is delayed; 0 once the faults have ended.
+    delayed_heartbeat_probability: f64,
 }
 
-fn two_teams() -> Config {
+fn config_with_limited_team() -> Config {
     let team = |name: &str, cpus_max: f64| Team {
         name: name.into(),
         cpus: 0.0,
@@ -63,7 +64,7 @@
 }
 
 fn new_scheduler(term: Term, seed: u64) -> Scheduler {
-    let mut scheduler = Scheduler::new(two_teams(), term, seed);
+    let mut scheduler = Scheduler::new(config_with_limited_team(), term, seed);
     scheduler.set_machine_types(vec![machine_type()]);
     scheduler
 }
@@ -77,15 +78,15 @@
             scheduler: new_scheduler(Term::new(1), seed),
             store: Store::default(),
             workers: BTreeMap::new(),
-            fates: BTreeMap::new(),
+            behaviors: BTreeMap::new(),
             cancelled: Vec::new(),
             writes: Vec::new(),
-            held_heartbeats: Vec::new(),
+            delayed_heartbeats: Vec::new(),
             known_versions: BTreeMap::new(),
             term: Term::new(1),
             machines_started: 0,
             jobs_submitted: 0,
-            held_back: HELD_BACK,
+            delayed_heartbeat_probability: DELAYED_HEARTBEAT_PROBABILITY,
         };
         for _ in 0..MAX_MACHINES / 2 {
             driver.start_machine();
@@ -93,43 +94,44 @@
         driver
     }
 
-    /// One random event, and the check of all invariants.
+    /// Executes one random event and checks all invariants.
     pub fn step(&mut self) {
         match self.rng.random_range(0..100) {
-            0..=24 => self.exchange_with_some_worker(),
-            25..=26 => self.restart_amid_held_heartbeats(),
-            27..=29 => self.deliver_some_held_heartbeat(),
-            30..=41 => self.advance_some_worker(),
-            42..=53 => self.pass_time(),
+            0..=24 => self.send_or_answer_heartbeat(),
+            25..=26 => self.restart_worker_with_delayed_heartbeats(),
+            27..=29 => self.deliver_random_delayed_heartbeat(),
+            30..=41 => self.advance_random_worker(),
+            42..=53 => self.advance_clock_randomly(),
             54..=61 => self.begin_claim(),
             62..=67 => self.begin_commits(),
-            68..=79 => self.advance_some_write(),
+            68..=79 => self.advance_random_write(),
             80..=84 => self.submit_job(),
-            85..=89 => self.send_some_fence(),
+            85..=89 => self.send_random_direct_request(),
             90..=91 => self.start_machine(),
-            92 => self.lose_some_machine(),
-            93 => self.silence_some_worker(),
+            92 => self.delete_random_machine(),
+            93 => self.disconnect_random_worker(),
             94 => match self.rng.random_range(0..3) {
-                0 => self.trouble_some_machine(),
-                1 => self.restart_some_worker(),
-                _ => self.drop_some_held_heartbeat(),
+                0 => self.impair_random_machine(),
+                1 => self.restart_random_worker(),
+                _ => self.drop_random_delayed_heartbeat(),
             },
-            95..=96 => self.cancel_some_job(),
-            97 => self.release_some_dead_lettered_job(),
-            98 => self.upload_some_description(),
+            95..=96 => self.cancel_random_job(),
+            97 => self.release_random_dead_lettered_job(),
+            98 => self.upload_random_job_description(),
             _ => {
                 if self.rng.random_bool(0.3) {
                     self.change_leader();
                 }
             }
         }
-        self.carry_out_actions();
-        self.check();
+        self.execute_actions();
+        self.check_invariants();
     }
 
-    pub(super) fn check(&mut self) {
-        if let Err(broken) = invariants::check(self) {
-            panic!("seed {}: {broken}", self.seed);
+    /// Panics if an invariant is violated. Also updates the known versions.
+    pub(super) fn check_invariants(&mut self) {
+        if let Err(violation) = invariants::check(self) {
+            panic!("seed {}: {violation}", self.seed);
         }
         let jobs = self.store.jobs.keys().filter_map(|id| Some((id, self.scheduler.job(id)?)));
         self.known_versions = jobs.map(|(id, job)| (id.clone(), job.version)).collect();
@@ -139,97 +141,104 @@
         Incarnation::from(format!("leader-{}", self.term).as_str())
     }
 
-    pub(super) fn some_machine(&mut self) -> Option<MachineName> {
+    pub(super) fn random_machine(&mut self) -> Option<MachineName> {
         self.workers.keys().choose(&mut self.rng).cloned()
     }
 
-    pub(super) fn fate(fates: &BTreeMap<JobId, Fate>, id: &JobId) -> Fate {
-        fates.get(id).copied().unwrap_or(Fate::Unknown)
+    pub(super) fn behavior_of(behaviors: &BTreeMap<JobId, JobBehavior>, id: &JobId) -> JobBehavior {
+        behaviors.get(id).copied().unwrap_or(JobBehavior::Unknown)
     }
 
-    /// A worker sends its next heartbeat, or its last one is answered.
-    fn exchange_with_some_worker(&mut self) {
-        let Some(name) = self.some_machine() else { return };
-        let waits = self.workers[&name].exchange.is_some();
-        if waits || (self.send_heartbeat(&name) && self.rng.random_bool(0.7)) {
+    /// Makes a random worker send its next heartbeat, or answers its pending one.
+    fn send_or_answer_heartbeat(&mut self) {
+        let Some(name) = self.random_machine() else { return };
+        let is_pending = self.workers[&name].pending_heartbeat.is_some();
+        if is_pending || (self.send_heartbeat(&name) && self.rng.random_bool(0.7)) {
             self.answer(&name);
         }
     }
 
-    /// A worker sends its heartbeat, if it can; whether it was accepted.
+    /// Makes a worker send a heartbeat if it can. Returns whether the heartbeat was accepted.
     fn send_heartbeat(&mut self, name: &MachineName) -> bool {
         let now = self.now;
-        let worker = self.workers.get_mut(name).expect("a machine that is up");
-        if !worker.may_send(now) {
+        let worker = self.workers.get_mut(name).expect("an existing machine");
+        if !worker.can_send_heartbeat(now) {
             return false;
         }
-        if self.rng.random_bool(self.held_back) {
-            self.held_heartbeats.push(HeldHeartbeat::sent_by(worker));
+        if self.rng.random_bool(self.delayed_heartbeat_probability) {
+            self.delayed_heartbeats.push(DelayedHeartbeat::send_from(worker));
             return false;
         }
         let (heartbeat, origin) = (worker.next_message(), worker.origin());
         if self.scheduler.on_heartbeat(&heartbeat, origin, now) != Verdict::Accept {
-            worker.give_up_exchange();
+            worker.abandon_heartbeat();
             return false;
         }
         let (agent_epoch, sequence) = (heartbeat.agent_epoch, heartbeat.sequence);
-        worker.exchange =
-            Some(Exchange { agent_epoch, sequence, sent_at: now, is_answered: false });
+        worker.pending_heartbeat =
+            Some(PendingHeartbeat { agent_epoch, sequence, sent_at: now, is_answered: false });
         true
     }
 
-    /// Answers the heartbeat that a worker waits with; some answers are lost.
+    /// Answers the heartbeat for which a worker awaits an answer; some answers are lost.
     fn answer(&mut self, name: &MachineName) {
-        let worker = self.workers.get_mut(name).expect("a machine that is up");
-        let Some(sent) = worker.begin_answer() else { return };
+        let worker = self.workers.get_mut(name).expect("an existing machine");
+        let Some(pending) = worker.mark_answered() else { return };
         if self.rng.random_bool(0.8) {
             self.scheduler.run_placement_pass(self.now);
         }
-        // S4: without a proof of fresh state no start leaves.
+        // S4: no start may be sent while the controller's lease may have expired.
         let may_start = self.rng.random_bool(0.8);
         let orders = self.scheduler.orders_for_answer(
             name.as_str(),
-            sent.agent_epoch,
-            sent.sequence,
+            pending.agent_epoch,
+            pending.sequence,
             may_start,
             self.now,
         );
         self.check_orders(&orders);
         let is_lost = self.rng.random_bool(0.1);
-        let worker = self.workers.get_mut(name).expect("a machine that is up");
-        if !is_lost && self.now >= worker.silent_until {
-            let fates = &self.fates;
-            worker.take_answer(self.scheduler.term(), orders, |id| Self::fate(fates, id));
+        let worker = self.workers.get_mut(name).expect("an existing machine");
+        if !is_lost && self.now >= worker.disconnected_until {
+            let behaviors = &self.behaviors;
+            worker.accept_answer(self.scheduler.term(), orders, |id| {
+                Self::behavior_of(behaviors, id)
+            });
         }
     }
 
+    /// Checks that starts carry the generation of their job's record and are below the start
+    /// watermark.
     pub(super) fn check_orders(&self, orders: &[Order]) {
         for order in orders {
             let Order::Start { task, attempt } = order else { continue };
-            let record =
-                &self.scheduler.job(&task.job).expect("a start is of a claimed job").record;
+            let record = &self
+                .scheduler
+                .job(&task.job)
+                .expect("a start must belong to a claimed job")
+                .record;
             let seed = self.seed;
             assert_eq!(attempt.generation(), record.generation, "seed {seed}: start of {task}");
             assert!(task.index < record.start_watermark, "seed {seed}: S7, start of {task}");
         }
     }
 
-    fn advance_some_worker(&mut self) {
-        let Some(name) = self.some_machine() else { return };
-        let worker = self.workers.get_mut(&name).expect("a machine that is up");
-        let fates = &self.fates;
-        worker.advance_tasks(|id| Self::fate(fates, id));
+    fn advance_random_worker(&mut self) {
+        let Some(name) = self.random_machine() else { return };
+        let worker = self.workers.get_mut(&name).expect("an existing machine");
+        let behaviors = &self.behaviors;
+        worker.advance_tasks(|id| Self::behavior_of(behaviors, id));
     }
 
-    fn pass_time(&mut self) {
-        let by = Duration::from_millis(self.rng.random_range(50..900));
-        self.advance_clock(by);
+    fn advance_clock_randomly(&mut self) {
+        let elapsed = Duration::from_millis(self.rng.random_range(50..900));
+        self.advance_clock(elapsed);
     }
 
-    pub(super) fn advance_clock(&mut self, by: Duration) {
-        self.now += by;
+    pub(super) fn advance_clock(&mut self, elapsed: Duration) {
+        self.now += elapsed;
         for worker in self.workers.values_mut() {
-            worker.pass_time(self.now);
+            worker.expire_timeouts(self.now);
         }
         self.scheduler.tick(self.now);
     }
@@ -249,104 +258,111 @@
         if self.rng.random_bool(0.5) {
             record.spec.team = "limited".into();
         }
-        let fate = match self.rng.random_range(0..10) {
-            0..=1 => Fate::Fails,
-            2..=3 => Fate::Unknown,
-            _ => Fate::Completes,
+        let behavior = match self.rng.random_range(0..10) {
+            0..=1 => JobBehavior::Fails,
+            2..=3 => JobBehavior::Unknown,
+            _ => JobBehavior::Completes,
         };
-        self.fates.insert(record.spec.id.clone(), fate);
+        self.behaviors.insert(record.spec.id.clone(), behavior);
         self.store.put(record);
     }
 
-    fn cancel_some_job(&mut self) {
+    fn cancel_random_job(&mut self) {
         let Some(id) = self.store.jobs.keys().choose(&mut self.rng).cloned() else { return };
         self.store.jobs.remove(&id);
         self.cancelled.push(id.clone());
         self.scheduler.close_job(&id);
     }
 
-    fn release_some_dead_lettered_job(&mut self) {
-        let dead = self.store.jobs.values().filter(|stored| stored.record.dead_lettered);
-        let Some(record) = dead.choose(&mut self.rng).map(|stored| stored.record.clone()) else {
+    fn release_random_dead_lettered_job(&mut self) {
+        let dead_lettered = self.store.jobs.values().filter(|stored| stored.record.dead_lettered);
+        let Some(record) = dead_lettered.choose(&mut self.rng).map(|stored| stored.record.clone())
+        else {
             return;
         };
         self.store.put(JobRecord { dead_lettered: false, claims: 0, owner: None, ..record });
     }
 
-    /// The user of a job that workers did not know uploads its description.
-    fn upload_some_description(&mut self) {
-        let unknown = self.fates.iter_mut().filter(|(_, fate)| **fate == Fate::Unknown);
-        if let Some((_, fate)) = unknown.choose(&mut self.rng) {
-            *fate = Fate::Completes;
+    /// Uploads the description of a random job that workers did not know.
+    fn upload_random_job_description(&mut self) {
+        let unknown =
+            self.behaviors.iter_mut().filter(|(_, behavior)| **behavior == JobBehavior::Unknown);
+        if let Some((_, behavior)) = unknown.choose(&mut self.rng) {
+            *behavior = JobBehavior::Completes;
         }
     }
 
-    /// Another controller leads, under a higher term. Writes of the one before are still under
-    /// way.
+    /// Replaces the leader by another controller with a higher term. Requests of the previous
+    /// leader that the store has not received yet stay in flight.
     fn change_leader(&mut self) {
         self.term = self.term.next();
         for pending in &mut self.writes {
-            pending.given_up = true;
+            pending.is_abandoned = true;
         }
-        self.writes.retain(|pending| matches!(pending.state, WriteState::Travelling));
+        self.writes.retain(|pending| matches!(pending.state, WriteState::RequestInTransit));
         for worker in self.workers.values_mut() {
-            worker.give_up_exchange();
+            worker.abandon_heartbeat();
         }
         self.scheduler = new_scheduler(self.term, self.seed);
         self.known_versions.clear();
         for (name, record) in &self.store.machines {
             self.scheduler.add_recorded_machine(name.as_str(), record, Duration::ZERO, self.now);
         }
-        self.close_what_is_over();
+        self.close_ended_jobs();
     }
 
-    /// All troubles are over: what can complete has to be done within some minutes.
-    pub fn end_troubles(&mut self) {
-        self.held_back = 0.0;
-        for fate in self.fates.values_mut() {
-            *fate = Fate::Completes;
+    /// Ends all faults and runs until every job has completed.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a job does not complete in time.
+    pub fn complete_all_jobs(&mut self) {
+        self.delayed_heartbeat_probability = 0.0;
+        for behavior in self.behaviors.values_mut() {
+            *behavior = JobBehavior::Completes;
         }
         for worker in self.workers.values_mut() {
-            (worker.is_faulty, worker.has_notice) = (false, false);
-            worker.silent_until = self.now;
+            (worker.is_faulty, worker.has_interruption_notice) = (false, false);
+            worker.disconnected_until = self.now;
         }
-        let deadline = self.now + TIME_TO_FINISH;
+        let deadline = self.now + COMPLETION_TIMEOUT;
         while !self.store.jobs.is_empty() {
             if self.now >= deadline {
-                panic!("seed {}: {}", self.seed, invariants::describe_stuck(self));
+                panic!("seed {}: {}", self.seed, invariants::describe_unfinished_jobs(self));
             }
-            self.finish_turn();
+            self.run_completion_round();
         }
-        for id in self.fates.keys() {
-            let is_over = self.store.done.contains(id) || self.cancelled.contains(id);
-            assert!(is_over, "seed {}: {id} is lost", self.seed);
+        for id in self.behaviors.keys() {
+            let has_ended = self.store.done.contains(id) || self.cancelled.contains(id);
+            assert!(has_ended, "seed {}: {id} is neither done nor cancelled", self.seed);
         }
     }
 
-    fn finish_turn(&mut self) {
+    /// Runs one round without faults: answers all heartbeats and all writes.
+    fn run_completion_round(&mut self) {
         self.start_machine();
-        self.release_some_dead_lettered_job();
+        self.release_random_dead_lettered_job();
         for name in self.workers.keys().cloned().collect::<Vec<_>>() {
-            // Machines that the scheduler returned before their turn are gone.
+            // The scheduler may have deleted the machine earlier in this round.
             let Some(worker) = self.workers.get_mut(&name) else { continue };
-            let fates = &self.fates;
-            worker.advance_tasks(|id| Self::fate(fates, id));
+            let behaviors = &self.behaviors;
+            worker.advance_tasks(|id| Self::behavior_of(behaviors, id));
             self.send_heartbeat(&name);
             self.answer(&name);
-            self.carry_out_actions();
-            self.check();
+            self.execute_actions();
+            self.check_invariants();
         }
         for _ in 0..MAX_JOBS {
             self.begin_claim();
             self.begin_commits();
             while !self.writes.is_empty() {
-                self.advance_some_write();
-                self.check();
+                self.advance_random_write();
+                self.check_invariants();
             }
-            self.send_some_fence();
+            self.send_random_direct_request();
         }
-        self.carry_out_actions();
-        self.advance_clock(FINISH_TURN);
-        self.check();
+        self.execute_actions();
+        self.advance_clock(COMPLETION_ROUND);
+        self.check_invariants();
     }
 }
--- a/crates/core/tests/scheduler/random_faults/invariants.rs
+++ b/crates/core/tests/scheduler/random_faults/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after each step.
+//! Invariants that must hold after each step.
 
 use super::driver::{Driver, CPU_LIMIT};
 use corkfield_core::{Job, JobState, MachineTaskState};
@@ -6,19 +6,19 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// The first invariant that does not hold.
+/// Checks all invariants. Returns a description of the first one that is violated.
 pub fn check(driver: &Driver) -> Result<(), String> {
     check_workers(driver)?;
     for id in driver.store.jobs.keys() {
         if let Some(job) = driver.scheduler.job(id) {
             check_record(driver, id, job)?;
-            check_places(driver, id, job)?;
+            check_placements(driver, id, job)?;
         }
     }
     check_machines(driver)
 }
 
-/// No task runs on two machines, and the limited team keeps its limit.
+/// Checks that no task runs on two machines and that the limited team stays within its limit.
 fn check_workers(driver: &Driver) -> Result<(), String> {
     let mut running: BTreeSet<&TaskId> = BTreeSet::new();
     let mut limited_cpus = 0.0;
@@ -39,20 +39,20 @@
     Ok(())
 }
 
-/// What is known of a job's record never goes back.
+/// Checks that the known version of a job's record never decreases.
 fn check_record(driver: &Driver, id: &JobId, job: &Job) -> Result<(), String> {
-    let before = driver.known_versions.get(id).copied().unwrap_or_default();
-    if job.version < before {
-        return Err(format!("{id}: version {:?} after {before:?}", job.version));
+    let previous = driver.known_versions.get(id).copied().unwrap_or_default();
+    if job.version < previous {
+        return Err(format!("{id}: version {:?} after {previous:?}", job.version));
     }
     Ok(())
 }
 
-/// Each place of a task is on a machine.
-fn check_places(driver: &Driver, id: &JobId, job: &Job) -> Result<(), String> {
+/// Checks that every placed task of a job is on its machine.
+fn check_placements(driver: &Driver, id: &JobId, job: &Job) -> Result<(), String> {
     for (index, placement) in job.placements() {
         let machine = driver.scheduler.machine(placement.machine.as_str());
-        let is_there = machine.is_some_and(|machine| {
+        let is_on_machine = machine.is_some_and(|machine| {
             machine.tasks.iter().any(|(key, task)| {
                 key.task.job == *id
                     && key.task.index == *index
@@ -60,26 +60,29 @@
                     && task.uses_resources()
             })
         });
-        if !is_there {
+        if !is_on_machine {
             return Err(format!("{id}/{index} is placed on {}, which lacks it", placement.machine));
         }
     }
     Ok(())
 }
 
-/// Each task on a machine that is not to be stopped is where its job knows it, and starts are
-/// assigned only for jobs that may start, under the generation of their record.
+/// Checks that every task on a machine that is not to be stopped is placed there by its job, and
+/// that tasks are assigned only for jobs that may start, under the generation of their record.
 fn check_machines(driver: &Driver) -> Result<(), String> {
     let machines = driver.workers.keys().chain(driver.store.machines.keys());
     for machine in machines.filter_map(|name| driver.scheduler.machine(name.as_str())) {
         for (key, machine_task) in machine.tasks.iter().filter(|(_, task)| task.uses_resources()) {
             let Some(job) = driver.scheduler.job(&key.task.job) else { continue };
             let task = &key.task;
-            let placed = job.placements().get(&task.index).is_some_and(|placement| {
+            let is_placed = job.placements().get(&task.index).is_some_and(|placement| {
                 placement.machine == machine.name && placement.attempt == key.attempt
             });
-            if !placed && machine_task.stop_grace.is_none() && job.is_live() {
-                return Err(format!("{task} takes room on {} without a place", machine.name));
+            if !is_placed && machine_task.stop_grace.is_none() && job.is_live() {
+                return Err(format!(
+                    "{task} uses resources on {} without being placed there",
+                    machine.name
+                ));
             }
             if machine_task.state != MachineTaskState::Assigned {
                 continue;
@@ -98,14 +101,14 @@
     Ok(())
 }
 
-/// What is not done, for a run that did not end.
-pub fn describe_stuck(driver: &Driver) -> String {
-    let mut text = String::from("not done in the end:");
+/// Describes the jobs that did not complete in time.
+pub fn describe_unfinished_jobs(driver: &Driver) -> String {
+    let mut text = String::from("jobs that did not complete:");
     for (id, stored) in &driver.store.jobs {
         let record = &stored.record;
         let _ = write!(
             text,
-            " [{id}: {} of {} done, generation {:?}, claims {}, version {:?}, known as ",
+            " [{id}: {} of {} done, generation {:?}, claims {}, version {:?}, in the scheduler: ",
             record.done, record.spec.tasks, record.generation, record.claims, stored.version
         );
         let _ = match driver.scheduler.job(id) {
@@ -116,7 +119,7 @@
                 job.version,
                 job.placements().len()
             ),
-            None => write!(text, "nothing]"),
+            None => write!(text, "unknown]"),
         };
     }
     text
--- a/crates/core/tests/scheduler/random_faults/mod.rs
+++ b/crates/core/tests/scheduler/random_faults/mod.rs
@@ -1,6 +1,6 @@
-//! A seeded random driver: one scheduler after another among workers and a store that fail in any
-//! order. After each step the invariants of [`invariants`] must hold; at the end, once all
-//! troubles are over, every job that can complete must be done.
+//! Random fault injection with a seed: successive leaders' schedulers work with workers and a store
+//! that fail in any order. After each step the invariants of [`invariants`] must hold. At the end,
+//! when no more faults occur, every job that was not cancelled must complete.
 //!
 //! A failure prints its seed. `CONTRIBUTING.md` has the command for a longer range of seeds.
 
@@ -14,14 +14,14 @@
 
 use driver::Driver;
 
-/// Steps of one run before the troubles end.
+/// Number of steps of one run before the faults end.
 const STEPS: u32 = 1500;
-/// Seeds that CI runs.
+/// Seeds of the test that runs by default.
 const CI_SEEDS: std::ops::Range<u64> = 0..400;
-/// Seeds of the longer range, unless [`SEEDS_VARIABLE`] names others.
+/// Seeds of the ignored test, unless [`SEEDS_VARIABLE`] sets others.
 const MANY_SEEDS: std::ops::Range<u64> = 1_000..5_000;
-/// Environment variable with other seeds for the longer range: the first, and the one after the
-/// last, as in `17..18`.
+/// Environment variable that sets the seeds of the ignored test: the first seed and the one after
+/// the last, for example `17..18`.
 const SEEDS_VARIABLE: &str = "CORKFIELD_SEEDS";
 
 fn run_seeds(seeds: std::ops::Range<u64>) {
@@ -30,23 +30,23 @@
         for _ in 0..STEPS {
             driver.step();
         }
-        driver.end_troubles();
+        driver.complete_all_jobs();
     }
 }
 
-fn chosen_seeds() -> Option<std::ops::Range<u64>> {
+fn seeds_from_environment() -> Option<std::ops::Range<u64>> {
     let text = std::env::var(SEEDS_VARIABLE).ok()?;
     let (first, end) = text.split_once("..").expect("seeds as in 17..18");
     Some(first.parse().expect("the first seed")..end.parse().expect("the seed after the last"))
 }
 
 #[test]
-fn invariants_hold_whatever_fails_in_whatever_order() {
+fn invariants_hold_under_random_faults() {
     run_seeds(CI_SEEDS);
 }
 
 #[test]
-#[ignore = "thousands of seeds, for minutes"]
+#[ignore = "runs thousands of seeds, which takes minutes"]
 fn invariants_hold_over_many_seeds() {
-    run_seeds(chosen_seeds().unwrap_or(MANY_SEEDS));
+    run_seeds(seeds_from_environment().unwrap_or(MANY_SEEDS));
 }
--- a/crates/core/tests/scheduler/random_faults/store.rs
+++ b/crates/core/tests/scheduler/random_faults/store.rs
@@ -1,11 +1,12 @@
-//! A stand-in for the store and for the leader's part in claims and completion commits.
+//! Fake of the key-value store, and the writes with which a leader claims jobs and stores finished
+//! tasks.
 
 use corkfield_core::CompletionCommit;
 use corkfield_wire::records::{JobRecord, MachineRecord};
 use corkfield_wire::{Incarnation, JobId, MachineName, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A stored record, and the revision that wrote it.
+/// A stored job record, and the revision that wrote it.
 #[derive(Clone)]
 pub struct StoredJob {
     pub record: JobRecord,
@@ -15,18 +16,21 @@
 /// A conditional write of one job's record.
 #[derive(Clone)]
 pub enum Write {
-    /// A claim.
+    /// A claim: the record to store, and the version that the write is conditional on.
     Claim(Box<StoredJob>),
     /// A completion commit.
     Commit(Box<CompletionCommit>),
 }
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Default)]
 pub struct Store {
     revision: Revision,
+    /// Unfinished jobs.
     pub jobs: BTreeMap<JobId, StoredJob>,
+    /// Jobs that are done.
     pub done: BTreeSet<JobId>,
+    /// Records of machines that may hold tasks.
     pub machines: BTreeMap<MachineName, MachineRecord>,
 }
 
@@ -36,24 +40,25 @@
         self.revision
     }
 
-    /// Stores a record, whatever was there.
+    /// Stores a record unconditionally.
     pub fn put(&mut self, record: JobRecord) {
         let version = self.next_revision();
         self.jobs.insert(record.spec.id.clone(), StoredJob { record, version });
     }
 
-    /// Whether the job is stored at that version.
-    fn is_at(&self, id: &JobId, version: Revision) -> bool {
+    /// Returns whether the job is stored at that version.
+    fn is_stored_at(&self, id: &JobId, version: Revision) -> bool {
         self.jobs.get(id).is_some_and(|stored| stored.version == version)
     }
 
-    /// Carries out a write if its condition holds; the version of what it wrote.
+    /// Applies a write if its condition holds. Returns the new version, or `None` if the write is
+    /// refused.
     pub fn apply(&mut self, write: &Write) -> Option<Revision> {
         let (id, condition) = match write {
             Write::Claim(claim) => (&claim.record.spec.id, claim.version),
             Write::Commit(commit) => (&commit.job, commit.version),
         };
-        if !self.is_at(id, condition) {
+        if !self.is_stored_at(id, condition) {
             return None;
         }
         match write {
@@ -68,8 +73,9 @@
         Some(self.revision)
     }
 
-    /// The record as a claim of that owner would store it, conditional on its present version.
-    pub fn claim_of(
+    /// Builds a claim of the job for that owner, conditional on the current version of its record.
+    /// Returns `None` if the job is not stored.
+    pub fn build_claim(
         &self,
         id: &JobId,
         owner: &Incarnation,
--- a/crates/core/tests/scheduler/random_faults/workers.rs
+++ b/crates/core/tests/scheduler/random_faults/workers.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for workers: they run tasks, send heartbeats and carry out orders as the protocol
-//! says.
+//! Fake workers, which run tasks, send heartbeats and execute orders according to the protocol.
 
 use corkfield_core::MessageOrigin;
 use corkfield_wire::worker::{
@@ -9,21 +8,22 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// How long a worker keeps its tasks after the heartbeat that was answered last.
+/// Duration of a worker's lease, counted from the time at which it sent its last answered
+/// heartbeat.
 pub const LEASE: Duration = Duration::from_secs(12);
-/// An answer that takes longer is not taken.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
-/// How many one-CPU tasks fit on a machine.
-const PLACES: usize = 4;
+/// Time after which a worker no longer accepts the answer to a heartbeat.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of tasks on a machine.
+const TASK_CAPACITY: usize = 4;
 
-/// What becomes of a job's tasks.
+/// What happens to a job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fate {
-    /// They complete.
+pub enum JobBehavior {
+    /// The tasks complete.
     Completes,
-    /// They fail on every machine.
+    /// The tasks fail on every machine.
     Fails,
-    /// Workers know no such job.
+    /// Workers refuse to start the tasks, because they don't know the job.
     Unknown,
 }
 
@@ -33,34 +33,35 @@
     cause: Option<ExitCause>,
 }
 
-/// A heartbeat that waits for its answer.
+/// A heartbeat for which a worker awaits the answer.
 #[derive(Clone, Copy)]
-pub struct Exchange {
+pub struct PendingHeartbeat {
     pub agent_epoch: AgentEpoch,
     pub sequence: u64,
     pub sent_at: Instant,
-    /// It was answered; the worker does not know if the answer is lost.
+    /// Whether the controller has answered the heartbeat; the answer may be lost.
     pub is_answered: bool,
 }
 
-/// A machine's worker.
+/// The worker of a machine.
 pub struct Worker {
     name: MachineName,
     agent_epoch: AgentEpoch,
     sequence: u64,
     term: Term,
-    /// The number of the connection that its heartbeats go over.
+    /// Number of the connection over which the worker sends its heartbeats.
     connection: u64,
     tasks: BTreeMap<(TaskId, Attempt), Task>,
+    /// When the worker sent the last heartbeat whose answer it accepted.
     renewed_at: Instant,
-    /// The heartbeat that it sent last, while it waits for the answer.
-    pub exchange: Option<Exchange>,
-    /// It neither sends nor receives anything until then.
-    pub silent_until: Instant,
-    /// Every task that it starts fails.
+    /// The worker's last heartbeat, while the worker awaits the answer.
+    pub pending_heartbeat: Option<PendingHeartbeat>,
+    /// Time until which the worker neither sends nor receives anything.
+    pub disconnected_until: Instant,
+    /// Whether every task fails on the machine.
     pub is_faulty: bool,
-    /// The cloud has announced that it takes the machine back.
-    pub has_notice: bool,
+    /// Whether the cloud has announced that it will reclaim the machine.
+    pub has_interruption_notice: bool,
 }
 
 impl Worker {
@@ -73,64 +74,70 @@
             connection: 1,
             tasks: BTreeMap::new(),
             renewed_at: now,
-            exchange: None,
-            silent_until: now,
+            pending_heartbeat: None,
+            disconnected_until: now,
             is_faulty: false,
-            has_notice: false,
+            has_interruption_notice: false,
         }
     }
 
-    /// The machine is back within an instant: its worker counts anew and knows nothing.
+    /// Restarts the worker at once: it loses its tasks and its term, and numbers its messages from
+    /// the beginning.
     pub fn restart(&mut self, now: Instant) {
         self.agent_epoch = AgentEpoch::FIRST;
         (self.sequence, self.term) = (0, Term::default());
         self.tasks.clear();
         self.renewed_at = now;
-        self.give_up_exchange();
+        self.abandon_heartbeat();
     }
 
-    /// It waits for no answer any more, and closes its connection.
-    pub fn give_up_exchange(&mut self) {
-        self.exchange = None;
+    /// Stops waiting for the answer to the last heartbeat and closes the connection.
+    pub fn abandon_heartbeat(&mut self) {
+        self.pending_heartbeat = None;
         self.connection += 1;
     }
 
-    /// How its next heartbeat goes.
+    /// Returns the origin of the worker's next heartbeat.
     pub fn origin(&self) -> MessageOrigin {
         let connection = ConnectionId { process: 1, number: self.connection };
         MessageOrigin::Heartbeat { connection: Some(connection) }
     }
 
-    /// Messages that its present process has sent.
+    /// Returns the number of messages that the worker's current process has sent.
     pub fn messages_sent(&self) -> u64 {
         self.sequence
     }
 
-    /// Whether it sends a heartbeat if it is its turn.
-    pub fn may_send(&self, now: Instant) -> bool {
-        now >= self.silent_until && self.exchange.is_none()
+    /// Returns whether the worker can send a heartbeat now.
+    pub fn can_send_heartbeat(&self, now: Instant) -> bool {
+        now >= self.disconnected_until && self.pending_heartbeat.is_none()
     }
 
-    /// Ends its lease if that is over, and a heartbeat that was not answered in time.
-    pub fn pass_time(&mut self, now: Instant) {
+    /// Stops all tasks if the lease has expired, and abandons a heartbeat that was not answered in
+    /// time.
+    pub fn expire_timeouts(&mut self, now: Instant) {
         if now.duration_since(self.renewed_at) > LEASE {
             self.tasks.clear();
             self.agent_epoch = self.agent_epoch.next();
             self.renewed_at = now;
         }
-        if self.exchange.is_some_and(|sent| now.duration_since(sent.sent_at) > ANSWER_LIMIT) {
-            self.give_up_exchange();
+        if self
+            .pending_heartbeat
+            .is_some_and(|pending| now.duration_since(pending.sent_at) > ANSWER_TIMEOUT)
+        {
+            self.abandon_heartbeat();
         }
     }
 
-    /// The heartbeat that is to be answered; from now on it counts as answered.
-    pub fn begin_answer(&mut self) -> Option<Exchange> {
-        let sent = self.exchange.as_mut().filter(|sent| !sent.is_answered)?;
-        sent.is_answered = true;
-        Some(*sent)
+    /// Marks the pending heartbeat as answered and returns it. Returns `None` if there is none or
+    /// it was answered before.
+    pub fn mark_answered(&mut self) -> Option<PendingHeartbeat> {
+        let pending = self.pending_heartbeat.as_mut().filter(|pending| !pending.is_answered)?;
+        pending.is_answered = true;
+        Some(*pending)
     }
 
-    /// Its next message, with a new number.
+    /// Returns the worker's next message, with a new number.
     pub fn next_message(&mut self) -> WorkerHeartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), state)| TaskStatus {
@@ -149,38 +156,52 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             term: self.term,
-            notice_s: self.has_notice.then_some(30.0),
+            notice_s: self.has_interruption_notice.then_some(30.0),
             tasks: tasks.collect(),
         }
     }
 
-    /// Takes the answer to the heartbeat that it waits for.
-    pub fn take_answer(&mut self, term: Term, orders: Vec<Order>, fate: impl Fn(&JobId) -> Fate) {
-        let Some(sent) = self.exchange.take() else { return };
-        if term < self.term || sent.agent_epoch != self.agent_epoch {
+    /// Accepts the answer to the pending heartbeat, unless it has a lower term than the worker
+    /// knows or belongs to an earlier agent epoch.
+    pub fn accept_answer(
+        &mut self,
+        term: Term,
+        orders: Vec<Order>,
+        behavior_of: impl Fn(&JobId) -> JobBehavior,
+    ) {
+        let Some(pending) = self.pending_heartbeat.take() else { return };
+        if term < self.term || pending.agent_epoch != self.agent_epoch {
             return;
         }
         self.term = term;
-        self.renewed_at = self.renewed_at.max(sent.sent_at);
-        self.execute(orders, fate);
+        self.renewed_at = self.renewed_at.max(pending.sent_at);
+        self.execute_orders(orders, behavior_of);
     }
 
-    /// Takes direct orders, unless their term or agent epoch is not the present one.
-    pub fn take_direct_orders(&mut self, term: Term, agent_epoch: AgentEpoch, orders: Vec<Order>) {
+    /// Accepts direct orders, unless they have a lower term than the worker knows or are for
+    /// another agent epoch.
+    pub fn accept_direct_orders(
+        &mut self,
+        term: Term,
+        agent_epoch: AgentEpoch,
+        orders: Vec<Order>,
+    ) {
         if term >= self.term && agent_epoch == self.agent_epoch {
             self.term = term;
-            self.execute(orders, |_| Fate::Unknown);
+            self.execute_orders(orders, |_| JobBehavior::Unknown);
         }
     }
 
-    fn execute(&mut self, orders: Vec<Order>, fate: impl Fn(&JobId) -> Fate) {
+    fn execute_orders(&mut self, orders: Vec<Order>, behavior_of: impl Fn(&JobId) -> JobBehavior) {
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
-                    let job_fate = fate(&task.job);
-                    self.start(task, attempt, job_fate);
+                    let behavior = behavior_of(&task.job);
+                    self.start_task(task, attempt, behavior);
+                }
+                Order::Stop { task, attempt, .. } => {
+                    self.exit_task(&(task, attempt), ExitCause::Stopped)
                 }
-                Order::Stop { task, attempt, .. } => self.end(&(task, attempt), ExitCause::Stopped),
                 Order::Forget { task, attempt } => {
                     let key = (task, attempt);
                     if self.tasks.get(&key).is_some_and(|state| state.phase == TaskPhase::Exited) {
@@ -191,16 +212,17 @@
         }
     }
 
-    fn start(&mut self, task: TaskId, attempt: Attempt, fate: Fate) {
+    fn start_task(&mut self, task: TaskId, attempt: Attempt, behavior: JobBehavior) {
         if self.tasks.contains_key(&(task.clone(), attempt)) {
             return;
         }
-        let mut present = self.tasks.iter().filter(|(_, state)| state.phase != TaskPhase::Exited);
-        let cause = if fate == Fate::Unknown {
+        let mut live_tasks =
+            self.tasks.iter().filter(|(_, state)| state.phase != TaskPhase::Exited);
+        let cause = if behavior == JobBehavior::Unknown {
             Some(ExitCause::Unknown)
-        } else if present.clone().any(|((other, _), _)| *other == task) {
+        } else if live_tasks.clone().any(|((other, _), _)| *other == task) {
             Some(ExitCause::Busy)
-        } else if present.by_ref().count() >= PLACES {
+        } else if live_tasks.by_ref().count() >= TASK_CAPACITY {
             Some(ExitCause::NoRoom)
         } else {
             None
@@ -209,7 +231,7 @@
         self.tasks.insert((task, attempt), Task { phase, cause });
     }
 
-    fn end(&mut self, key: &(TaskId, Attempt), cause: ExitCause) {
+    fn exit_task(&mut self, key: &(TaskId, Attempt), cause: ExitCause) {
         if let Some(state) = self.tasks.get_mut(key) {
             if state.phase != TaskPhase::Exited {
                 (state.phase, state.cause) = (TaskPhase::Exited, Some(cause));
@@ -217,13 +239,14 @@
         }
     }
 
-    /// Takes each task to its next phase.
-    pub fn advance_tasks(&mut self, fate: impl Fn(&JobId) -> Fate) {
+    /// Advances each task to its next phase.
+    pub fn advance_tasks(&mut self, behavior_of: impl Fn(&JobId) -> JobBehavior) {
         for ((task, _), state) in &mut self.tasks {
             match state.phase {
                 TaskPhase::Fetching => state.phase = TaskPhase::Running,
                 TaskPhase::Running => {
-                    let completes = fate(&task.job) == Fate::Completes && !self.is_faulty;
+                    let completes =
+                        behavior_of(&task.job) == JobBehavior::Completes && !self.is_faulty;
                     let cause = if completes { ExitCause::Done } else { ExitCause::Error };
                     (state.phase, state.cause) = (TaskPhase::Exited, Some(cause));
                 }
@@ -232,7 +255,7 @@
         }
     }
 
-    /// The tasks that run.
+    /// Returns the running tasks.
     pub fn running_tasks(&self) -> impl Iterator<Item = &TaskId> {
         let running = self.tasks.iter().filter(|(_, state)| state.phase == TaskPhase::Running);
         running.map(|((task, _), _)| task)
--- a/crates/core/tests/scheduler/random_faults/writes.rs
+++ b/crates/core/tests/scheduler/random_faults/writes.rs
@@ -1,4 +1,4 @@
-//! Writes to the store: claims and completion commits, carried out and answered in any order.
+//! Writes to the store: claims and completion commits, which are applied and answered in any order.
 
 use super::driver::Driver;
 use super::store::{StoredJob, Write};
@@ -8,51 +8,51 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A job is dead-lettered after so many claims.
+/// A job is dead-lettered if it is claimed more often than this without progress.
 const CLAIM_LIMIT: u32 = 4;
-/// So many completion commits under way at the most.
+/// Maximum number of completion commits in flight.
 const MAX_COMMITS: usize = 6;
 
-/// What becomes of a write to the store.
+/// State of a write to the store.
 pub(super) enum WriteState {
-    /// Not carried out yet.
-    Travelling,
-    /// Carried out at that version, or refused; the answer is under way.
-    Answering(Option<Revision>),
+    /// The store has not received the write yet.
+    RequestInTransit,
+    /// The write was applied at that version, or refused if `None`; its answer is in transit.
+    AnswerInTransit(Option<Revision>),
 }
 
-/// A write that the leader has not seen answered.
+/// A write whose answer the leader has not received.
 pub(super) struct PendingWrite {
     pub(super) write: Write,
     pub(super) state: WriteState,
-    /// Nobody waits for its answer any more.
-    pub(super) given_up: bool,
+    /// Whether nobody waits for the answer any more.
+    pub(super) is_abandoned: bool,
 }
 
 impl Driver {
-    /// The leader looks through the job records, and claims one that is due.
+    /// Begins the claim of a random job that must be claimed, unless a claim is in flight.
     pub(super) fn begin_claim(&mut self) {
-        self.close_what_is_over();
-        let claims_under_way =
-            self.writes.iter().any(|w| matches!(w.write, Write::Claim(_)) && !w.given_up);
-        if claims_under_way {
+        self.close_ended_jobs();
+        let is_claim_in_flight =
+            self.writes.iter().any(|w| matches!(w.write, Write::Claim(_)) && !w.is_abandoned);
+        if is_claim_in_flight {
             return;
         }
-        let due = self.due_jobs();
+        let due = self.jobs_to_claim();
         let Some(id) = due.into_iter().choose(&mut self.rng) else { return };
         let starts_soon =
             self.scheduler.may_start_soon(&self.store.jobs[&id].record.spec, self.now);
-        if let Some(write) = self.store.claim_of(&id, &self.owner(), starts_soon, CLAIM_LIMIT) {
+        if let Some(write) = self.store.build_claim(&id, &self.owner(), starts_soon, CLAIM_LIMIT) {
             self.writes.push(PendingWrite {
                 write,
-                state: WriteState::Travelling,
-                given_up: false,
+                state: WriteState::RequestInTransit,
+                is_abandoned: false,
             });
         }
     }
 
-    /// Closes what the store no longer holds, and says what is not claimed yet.
-    pub(super) fn close_what_is_over(&mut self) {
+    /// Closes jobs that the store no longer holds, and updates which jobs are not claimed yet.
+    pub(super) fn close_ended_jobs(&mut self) {
         let Self { scheduler, store, .. } = self;
         scheduler.close_ended_jobs(|id| store.jobs.contains_key(id));
         let unclaimed = store.jobs.keys().filter(|id| scheduler.job(id).is_none()).cloned();
@@ -60,7 +60,7 @@
         scheduler.set_unclaimed_jobs(unclaimed);
     }
 
-    pub(super) fn due_jobs(&self) -> Vec<JobId> {
+    pub(super) fn jobs_to_claim(&self) -> Vec<JobId> {
         let is_due = |(_, stored): &(&JobId, &StoredJob)| {
             self.scheduler.needs_claim(&stored.record, stored.version)
         };
@@ -68,97 +68,100 @@
     }
 
     pub(super) fn begin_commits(&mut self) {
-        let under_way = self.writes.iter().filter(|w| matches!(w.write, Write::Commit(_))).count();
-        let most = MAX_COMMITS.saturating_sub(under_way);
-        for commit in self.scheduler.due_completion_commits(most, self.now) {
+        let commits_in_flight =
+            self.writes.iter().filter(|w| matches!(w.write, Write::Commit(_))).count();
+        let max_new_commits = MAX_COMMITS.saturating_sub(commits_in_flight);
+        for commit in self.scheduler.due_completion_commits(max_new_commits, self.now) {
             let write = Write::Commit(Box::new(commit));
             self.writes.push(PendingWrite {
                 write,
-                state: WriteState::Travelling,
-                given_up: false,
+                state: WriteState::RequestInTransit,
+                is_abandoned: false,
             });
         }
     }
 
-    /// A write is carried out, answered, or goes unanswered: in any order.
-    pub(super) fn advance_some_write(&mut self) {
+    /// Applies a random write, delivers its answer, or loses the answer.
+    pub(super) fn advance_random_write(&mut self) {
         if self.writes.is_empty() {
             return;
         }
         let position = self.rng.random_range(0..self.writes.len());
         let pending = &mut self.writes[position];
         match pending.state {
-            WriteState::Travelling => {
-                let loses_answer = !pending.given_up && self.rng.random_bool(0.15);
+            WriteState::RequestInTransit => {
+                let loses_answer = !pending.is_abandoned && self.rng.random_bool(0.15);
                 if loses_answer && self.rng.random_bool(0.5) {
-                    // Unanswered, and carried out later.
-                    pending.given_up = true;
+                    // The leader gives up waiting for the answer, and the write is applied later.
+                    pending.is_abandoned = true;
                     let write = pending.write.clone();
-                    self.find_out(&write);
+                    self.read_back(&write);
                     return;
                 }
                 let version = self.store.apply(&pending.write);
-                pending.state = WriteState::Answering(version);
-                if pending.given_up || loses_answer {
-                    let given_up = pending.given_up;
+                pending.state = WriteState::AnswerInTransit(version);
+                if pending.is_abandoned || loses_answer {
+                    let is_abandoned = pending.is_abandoned;
                     let write = self.writes.swap_remove(position).write;
-                    if !given_up {
-                        self.find_out(&write);
+                    if !is_abandoned {
+                        self.read_back(&write);
                     }
                 }
             }
-            WriteState::Answering(version) => {
+            WriteState::AnswerInTransit(version) => {
                 let write = self.writes.swap_remove(position).write;
-                self.take_write_answer(&write, version);
+                self.handle_write_answer(&write, version);
             }
         }
     }
 
-    pub(super) fn take_write_answer(&mut self, write: &Write, version: Option<Revision>) {
+    pub(super) fn handle_write_answer(&mut self, write: &Write, version: Option<Revision>) {
         match (write, version) {
-            (Write::Claim(claim), Some(version)) => self.take_up(claim.record.clone(), version),
+            (Write::Claim(claim), Some(version)) => self.apply_claim(claim.record.clone(), version),
             (Write::Claim(_), None) => {}
             (Write::Commit(commit), Some(version)) => {
                 self.scheduler.on_completion_committed(commit, version);
             }
-            (Write::Commit(_), None) => self.find_out(write),
+            (Write::Commit(_), None) => self.read_back(write),
         }
     }
 
-    /// Reads what became of a write that was refused or not answered.
-    pub(super) fn find_out(&mut self, write: &Write) {
+    /// Handles a write that was refused or not answered: reads the stored record and passes it to
+    /// the scheduler.
+    pub(super) fn read_back(&mut self, write: &Write) {
         let owner = self.owner();
         match write {
             Write::Claim(claim) => {
-                let Some(found) = self.store.jobs.get(&claim.record.spec.id).cloned() else {
+                let Some(stored) = self.store.jobs.get(&claim.record.spec.id).cloned() else {
                     return;
                 };
-                let is_ours = found.record.owner == claim.record.owner
-                    && found.record.generation == claim.record.generation;
+                let is_ours = stored.record.owner == claim.record.owner
+                    && stored.record.generation == claim.record.generation;
                 if is_ours {
-                    self.take_up(claim.record.clone(), found.version);
+                    self.apply_claim(claim.record.clone(), stored.version);
                 }
             }
             Write::Commit(commit) => {
                 let id = &commit.job;
-                let found = self.store.jobs.get(id).cloned();
+                let stored = self.store.jobs.get(id).cloned();
                 let generation = commit.record.generation;
-                let found = match found {
-                    Some(found) if found.record.generation == generation => {
-                        Some((found.record.clone(), found.record.finished, found.version))
+                let stored = match stored {
+                    Some(stored) if stored.record.generation == generation => {
+                        Some((stored.record.clone(), stored.record.finished, stored.version))
                     }
-                    Some(found) if found.record.owner.as_ref() == Some(&owner) => None,
+                    Some(stored) if stored.record.owner.as_ref() == Some(&owner) => None,
                     _ => {
                         self.scheduler.close_job(id);
                         None
                     }
                 };
-                self.scheduler.on_completion_commit_failed(id, found);
+                self.scheduler.on_completion_commit_failed(id, stored);
             }
         }
     }
 
-    pub(super) fn take_up(&mut self, record: JobRecord, version: Revision) {
+    /// Passes a stored claim to the scheduler.
+    pub(super) fn apply_claim(&mut self, record: JobRecord, version: Revision) {
         let id = record.spec.id.clone();
         let finished = record.finished.clone();
         self.scheduler.on_job_claimed(record, finished, version, Duration::ZERO, self.now);
