--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -22,7 +22,7 @@
 
 impl Job {
     /// Returns the urgency of the commit that is due, or `None` if none is. Commits that only store
-    /// progress are made less often than those that somebody waits for.
+    /// progress are made less often than awaited ones.
     pub(crate) fn commit_urgency(&self, now: Instant) -> Option<CommitUrgency> {
         if self.completion.is_committing() || !self.is_live() {
             return None;
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -10,13 +10,13 @@
 
 impl Scheduler {
     /// Returns whether the job must be claimed, given its record as stored at `version`. The caller
-    /// must not ask while a claim of the job is in progress.
+    /// must not call this while a claim of the job is in flight.
     ///
-    /// A job must be claimed if it is unknown, if it waits for its next claim, or if somebody else
-    /// has changed its record since our claim: another controller, or an operator who released the
-    /// job. A record with our own owner and an unknown generation comes from a claim of ours that
-    /// was carried out late, after its answer was lost. No other controller claims such a job, so
-    /// it is claimed again.
+    /// A job must be claimed if it is unknown, if it waits for its next claim, or if its record was
+    /// changed since our claim by another controller or by an operator who released the job. A
+    /// record with our own owner and an unknown generation comes from a claim of ours that was
+    /// carried out late, after its answer was lost. No other controller claims such a job, so it is
+    /// claimed again.
     pub fn needs_claim(&self, record: &JobRecord, version: Revision) -> bool {
         let Some(job) = self.cluster.jobs.get(&record.spec.id) else {
             return true;
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -85,7 +85,7 @@
 
     /// Begins a direct request to a machine: the caller is about to send it.
     ///
-    /// The caller must report the outcome with [`Self::on_direct_orders_answer`] or
+    /// The caller must report the outcome with [`Self::on_direct_request_answered`] or
     /// [`Self::on_direct_request_failed`].
     pub fn begin_direct_request(
         &mut self,
--- a/crates/core/tests/scheduler/random_faults/mod.rs
+++ b/crates/core/tests/scheduler/random_faults/mod.rs
@@ -1,6 +1,6 @@
-//! Random fault injection with a seed: successive leaders' schedulers work with workers and a store
-//! that fail in any order. After each step the invariants of [`invariants`] must hold. At the end,
-//! when no more faults occur, every job that was not cancelled must complete.
+//! Random fault injection with a seed: the schedulers of successive leaders work with workers and a
+//! store, which fail in any order. After each step the invariants of [`invariants`] must hold. At
+//! the end, when no more faults occur, every job that was not cancelled must complete.
 //!
 //! A failure prints its seed. `CONTRIBUTING.md` has the command for a longer range of seeds.
 
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -26,9 +26,9 @@
     );
     scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), heartbeat_over_connection(1), now);
     scheduler.run_placement_pass(now);
-    let replaced = placed_tasks(&scheduler).get(&0).cloned();
+    let new_placement = placed_tasks(&scheduler).get(&0).cloned();
     assert!(
-        replaced.is_some_and(|placement| placement.attempt > attempt),
+        new_placement.is_some_and(|placement| placement.attempt > attempt),
         "a new attempt has a higher number"
     );
 }
@@ -44,7 +44,7 @@
     );
     assert!(
         scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 1, true, now).is_empty(),
-        "S3: a newer heartbeat has arrived"
+        "a newer heartbeat has arrived"
     );
     assert_eq!(scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, true, now).len(), 1);
 }
@@ -82,7 +82,7 @@
     );
 }
 
-/// Returns a heartbeat of another machine, which has its own address.
+/// Returns a heartbeat of the named machine, with another address than `host-1` has.
 fn second_machine_heartbeat(name: &str, sequence: u64) -> WorkerHeartbeat {
     WorkerHeartbeat { addr: "10.0.0.10:9000".into(), ..heartbeat_from(name, sequence, Vec::new()) }
 }
