--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -195,10 +195,11 @@
     assert_eq!(version, Revision::new(7), "the version of our claim");
 }
 
-/// Guards against a healthy job that is dead-lettered after 13 failovers. A claim that is held for
-/// 10 s without a failure is refunded (S12). The commit that stores the refund may fail, for
-/// example in an outage of the store or because the leader's request budget is used up. The refund
-/// must then be part of the next commit.
+/// Guards against a healthy job that is dead-lettered because refunds were forgotten, which took 13
+/// failovers, each with a failed commit. A claim that is held for 10 s without a failure is
+/// refunded (S12). The commit that stores the refund may fail, for example in an outage of the
+/// store or because the leader's request budget is used up. The refund must then be part of the
+/// next commit.
 #[test]
 fn a_refund_whose_commit_failed_is_part_of_the_next_commit_and_made_only_once() {
     let now = Instant::now();
