--- a/crates/core/tests/scheduler/claims.rs
+++ b/crates/core/tests/scheduler/claims.rs
@@ -39,7 +39,10 @@
     let claimed_by_other = JobRecord { owner: Some("n1-7".into()), ..our_record() };
     for record in [&released, &claimed_by_other] {
         assert!(needs_claim(record, LATER_VERSION), "{record:?}");
-        assert!(!needs_claim(record, KNOWN_VERSION), "a lagging replica shows a known version: {record:?}");
+        assert!(
+            !needs_claim(record, KNOWN_VERSION),
+            "a lagging replica shows a known version: {record:?}"
+        );
     }
     assert!(
         !needs_claim(&our_record(), LATER_VERSION),
