--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -31,7 +31,7 @@
         let interval = Duration::from_secs_f64(interval_s);
         loop {
             let requested_at = now();
-            match context.env.cloud.machines().await {
+            match context.env.cloud.list_machines().await {
                 Ok(list) => {
                     self.scheduler.borrow_mut().on_machine_list(&list, requested_at, now());
                     context.leadership.actions_pending.notify_one();
@@ -46,7 +46,7 @@
     /// service, so that a new leader has them while the cloud does not answer.
     pub(super) async fn refresh_machine_types(&self) {
         loop {
-            let pause = match self.context.env.cloud.types().await {
+            let pause = match self.context.env.cloud.list_machine_types().await {
                 Ok(types) => {
                     self.update_machine_types(types).await;
                     TYPES_INTERVAL
@@ -69,9 +69,7 @@
         }
         let value = store_value(&MachineTypesRecord { types });
         let transaction = self.leader_transaction().put(MACHINE_TYPES_KEY, value);
-        if let Err(error) =
-            self.context.env.state.transaction(RequestClass::Claim, &transaction).await
-        {
+        if let Err(error) = self.context.env.state.commit(RequestClass::Claim, &transaction).await {
             tracing::debug!(%error, "can't store the machine types");
         }
     }
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -133,7 +133,7 @@
             commits.push(job_commit.commit);
         }
         let state = &self.context.env.state;
-        match state.transaction(RequestClass::Completion, &transaction).await {
+        match state.commit(RequestClass::Completion, &transaction).await {
             Ok(version) => self.on_committed(&commits, version).await,
             Err(error) => self.on_failed(&commits, &error).await,
         }
@@ -161,7 +161,7 @@
             // A conflict names the records whose conditions failed. The others are unchanged.
             let may_have_changed = match error {
                 StateError::Conflict(failed) => failed.contains(&job_key(id)),
-                StateError::NoAnswer(_) => true,
+                StateError::NoResponse(_) => true,
                 _ => false,
             };
             let found = if may_have_changed {
@@ -172,7 +172,7 @@
             let found = found.map(|job| (job.record, job.finished, job.version));
             self.scheduler.borrow_mut().on_completion_commit_failed(id, found);
         }
-        if !matches!(error, StateError::Conflict(_) | StateError::NoAnswer(_)) {
+        if !matches!(error, StateError::Conflict(_) | StateError::NoResponse(_)) {
             tokio::time::sleep(REFUSAL_PAUSE).await;
         }
     }
@@ -236,7 +236,7 @@
         let transaction = part
             .iter()
             .fold(Transaction::default(), |transaction, key| transaction.delete(key.clone()));
-        let _ = context.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
+        let _ = context.env.state.commit(RequestClass::Housekeeping, &transaction).await;
     }
 }
 
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -70,7 +70,7 @@
         };
         let transaction = self.leader_transaction().put(LEADER_KEY, store_value(&record));
         tracing::info!(%successor, "no heartbeats; handing over leadership");
-        self.context.env.state.transaction(RequestClass::Lease, &transaction).await.is_ok()
+        self.context.env.state.commit(RequestClass::Lease, &transaction).await.is_ok()
     }
 
     /// Returns whether no heartbeat was accepted for so long that workers may be unable to reach
@@ -105,6 +105,6 @@
     let transaction = Transaction::default()
         .when(LEADER_KEY, leader_version)
         .put(transfer_request_key(context.env.name.as_str()), store_value(&request));
-    let _ = context.env.state.transaction(RequestClass::Housekeeping, &transaction).await;
+    let _ = context.env.state.commit(RequestClass::Housekeeping, &transaction).await;
     tokio::time::sleep(TRANSFER_REQUEST_PAUSE).await;
 }
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -99,7 +99,7 @@
         }
         let (context, scheduler) = (self.context.clone(), self.scheduler.clone());
         tokio::task::spawn_local(async move {
-            match context.env.cloud.delete(machines.clone()).await {
+            match context.env.cloud.delete_machines(machines.clone()).await {
                 Ok(()) => {
                     scheduler.borrow_mut().on_machines_deleted(&machines);
                     context.leadership.actions_pending.notify_one();
@@ -127,10 +127,10 @@
     request: &RentRequest,
 ) -> Result<Vec<MachineName>, RentalFailure> {
     for _ in 0..MAX_RENTAL_ATTEMPTS {
-        match env.cloud.rent(request).await {
+        match env.cloud.rent_machines(request).await {
             Ok(machines) => return Ok(machines),
             Err(CloudError::NoCapacity) => return Err(RentalFailure::NoCapacity),
-            Err(CloudError::NoAnswer(error)) => {
+            Err(CloudError::NoResponse(error)) => {
                 // If the cloud carried the request out, it answers the repeated request with the
                 // same machines, as both have the same name.
                 tracing::debug!(%error, request = %request.request, "rental request not answered");
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -83,8 +83,7 @@
         let wait = self.env.settings.watch_timeout();
         let after = self.replica.contents.borrow().revision();
         let started = now();
-        let read =
-            self.env.state.changes(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await;
+        let read = self.env.state.watch(RequestClass::Claim, REPLICATED_PREFIX, after, wait).await;
         match read {
             Ok(events) => {
                 let waited = now().saturating_duration_since(started);
@@ -95,7 +94,7 @@
                 // the load balancer that it isn't ready.
                 (!is_quiet).then(|| self.watch_pause())
             }
-            Err(StateError::TooOld) => {
+            Err(StateError::RevisionTooOld) => {
                 self.replica.synced.set(false);
                 None
             }
@@ -126,7 +125,7 @@
         let read = self
             .env
             .state
-            .changes(RequestClass::Reading, REPLICATED_PREFIX, after, Duration::ZERO)
+            .watch(RequestClass::Query, REPLICATED_PREFIX, after, Duration::ZERO)
             .await;
         match read {
             Ok(events) => {
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -98,7 +98,7 @@
     /// with status 429.
     async fn store_new_job(&self, id: &JobId, transaction: &Transaction) -> Response {
         loop {
-            match self.env.state.transaction(RequestClass::Submission, transaction).await {
+            match self.env.state.commit(RequestClass::Submission, transaction).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "job accepted");
                     return json(201, &job_view(id, JobStatus::Queued, 0, 0));
@@ -107,7 +107,7 @@
                 Err(StateError::Conflict(_)) => {
                     return self.stored_job_or(id, retry_later("not now")).await
                 }
-                Err(StateError::NoAnswer(_) | StateError::Refused(429)) => {
+                Err(StateError::NoResponse(_) | StateError::Refused(429)) => {
                     self.env.sleep_random(STORE_RETRY_MS).await;
                 }
                 Err(error) => {
