--- a/crates/cloud/src/client.rs
+++ b/crates/cloud/src/client.rs
@@ -4,8 +4,8 @@
 use corkfield_http::{Client, ConnectionSizing, Network, Reply};
 use corkfield_state::{RateLimiter, RequestClass};
 use corkfield_wire::cloud::{
-    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest, MAX_LIST,
-    PATH_DELETE, PATH_MACHINES, PATH_TYPES,
+    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentRequest,
+    MAX_MACHINES_PER_PAGE, PATH_DELETE, PATH_MACHINES, PATH_TYPES,
 };
 use corkfield_wire::MachineName;
 use serde::de::{DeserializeOwned, IgnoredAny};
@@ -62,11 +62,11 @@
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             let after = machines.last().map(|m| format!("after={}&", m.name)).unwrap_or_default();
-            let target = format!("{PATH_MACHINES}?{after}limit={MAX_LIST}");
+            let target = format!("{PATH_MACHINES}?{after}limit={MAX_MACHINES_PER_PAGE}");
             let page: MachineList = self.get(RequestClass::Reading, &target).await?;
             let is_empty = page.machines.is_empty();
             machines.extend(page.machines);
-            if !page.more || is_empty {
+            if !page.has_more || is_empty {
                 return Ok(machines);
             }
         }
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -310,14 +310,17 @@
 
     /// The time that a running task is given when it is stopped: enough to save, if it can.
     pub(crate) fn stop_grace(&self) -> Duration {
-        let grace_s =
-            if self.saves_checkpoints() { self.spec().save_s + SAVE_MARGIN_S } else { 0.0 };
+        let grace_s = if self.saves_checkpoints() {
+            self.spec().checkpoint_save_s + SAVE_MARGIN_S
+        } else {
+            0.0
+        };
         Duration::try_from_secs_f64(grace_s).unwrap_or_default()
     }
 
     /// Whether its tasks save checkpoints.
     pub(crate) fn saves_checkpoints(&self) -> bool {
-        self.spec().checkpoint_s > 0.0
+        self.spec().checkpoint_interval_s > 0.0
     }
 
     /// What all of its tasks that are not done take together.
--- a/crates/core/src/machine/receipt.rs
+++ b/crates/core/src/machine/receipt.rs
@@ -61,7 +61,7 @@
         self.addr.clone_from(&heartbeat.addr);
         let gap = self.heard_at.map(|at| now.saturating_duration_since(at));
         self.heard_at = Some(now);
-        self.notice = heartbeat.notice_s.is_some();
+        self.notice = heartbeat.termination_notice_s.is_some();
         if self.state == MachineState::Booting {
             self.enter(MachineState::Up);
             self.lease.about_to_answer(now);
--- a/crates/core/src/placement/preemption/loss.rs
+++ b/crates/core/src/placement/preemption/loss.rs
@@ -51,8 +51,8 @@
 fn lost_run_time_s(owner: &Job, running: bool, ran_s: f64) -> f64 {
     if !running {
         0.0
-    } else if owner.spec().checkpoint_s > 0.0 {
-        owner.spec().save_s
+    } else if owner.spec().checkpoint_interval_s > 0.0 {
+        owner.spec().checkpoint_save_s
     } else {
         ran_s
     }
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -39,7 +39,7 @@
             Some(zone) => zone.clone(),
             None => roomiest_zone(capacity, candidates, &Need::per_task(spec)),
         });
-        Self { tasks_by_zone, required, max_tasks_per_zone: spec.zone_cap() }
+        Self { tasks_by_zone, required, max_tasks_per_zone: spec.max_tasks_per_zone() }
     }
 
     /// Whether another task may be placed in that zone.
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -7,7 +7,7 @@
 use super::{Scaling, ScalingDecisions};
 use crate::cluster::Cluster;
 use crate::float_order::compare;
-use corkfield_wire::cloud::{RentRequest, MAX_RENT};
+use corkfield_wire::cloud::{RentRequest, MAX_MACHINES_PER_RENTAL};
 use std::time::Instant;
 
 impl Scaling {
@@ -90,7 +90,7 @@
             machine_type: offer.machine_type.name.clone(),
             zone: offer.zone.to_owned(),
             spot: offer.spot,
-            count: machines.min(MAX_RENT),
+            count: machines.min(MAX_MACHINES_PER_RENTAL),
         };
         tracing::debug!(?request, "renting machines");
         self.rentals_in_flight.insert(request.request.clone(), request.clone());
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -91,14 +91,14 @@
         let storable = if record.is_chunked() {
             let storable = StorableTasks::in_chunks(job);
             let stored = u32::try_from(storable.tasks.len()).unwrap_or(0);
-            record.done = record.done.saturating_add(stored);
+            record.finished_count = record.finished_count.saturating_add(stored);
             storable
         } else {
             record.finished = job.finished().clone();
-            record.done = record.finished.len();
+            record.finished_count = record.finished.len();
             StorableTasks::in_record(job)
         };
-        record.running = job.running;
+        record.running_count = job.running;
         if job.take_watermark_raise() {
             record.raise_start_watermark();
         }
@@ -113,7 +113,7 @@
         CompletionCommit {
             job: record.spec.id.clone(),
             version: job.version,
-            completes_job: record.done >= record.spec.tasks,
+            completes_job: record.finished_count >= record.spec.tasks,
             record,
             chunks: storable.chunks.into_iter().collect(),
             tasks: storable.tasks,
@@ -132,7 +132,7 @@
         };
         job.commit_succeeded(record, tasks, version);
         if *completes_job {
-            tracing::debug!(job = %id, tasks = record.done, "job done");
+            tracing::debug!(job = %id, tasks = record.finished_count, "job done");
             self.close_job(id);
         }
     }
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -27,12 +27,12 @@
                 );
                 self.on_task_failure(name, id, now);
             }
-            Some(ExitCause::NoRoom | ExitCause::Busy) => {
+            Some(ExitCause::NoRoom | ExitCause::OtherAttemptPresent) => {
                 if let Some(machine) = self.cluster.machines.get_mut(name) {
                     machine.health.note_refusal(now + REFUSAL_PAUSE);
                 }
             }
-            Some(ExitCause::Unknown) => {
+            Some(ExitCause::NoSuchTask) => {
                 self.pause_job(id, now + UNKNOWN_TASK_PAUSE);
             }
             _ => {}
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -142,7 +142,7 @@
         }
         self.sync_tasks(heartbeat, context);
         self.reconciliation.mark_reconciled(name.as_str(), context.received_at);
-        if heartbeat.notice_s.is_some() {
+        if heartbeat.termination_notice_s.is_some() {
             self.stop_with_checkpoints(name.as_str());
         }
     }
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, Scheduler};
 use crate::machine::{Machine, MachineState, MachineTask, Recorded, TaskAttempt};
-use corkfield_wire::cloud::{ListedMachine, ListedState, MachineType, MAX_DELETE};
+use corkfield_wire::cloud::{ListedMachine, ListedState, MachineType, MAX_MACHINES_PER_DELETION};
 use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -145,7 +145,7 @@
         if is_retry_due {
             self.last_deletion_retry = Some(now);
         }
-        for names in names_to_delete.chunks(MAX_DELETE) {
+        for names in names_to_delete.chunks(MAX_MACHINES_PER_DELETION) {
             self.actions.push(Action::DeleteMachines(names.to_vec()));
         }
     }
--- a/crates/core/tests/scheduler/completion.rs
+++ b/crates/core/tests/scheduler/completion.rs
@@ -76,7 +76,7 @@
         }
     }
     assert_eq!(stored, 50_000);
-    assert_eq!(scheduler.job(&first_job_id()).expect("claimed").record.done, 50_000);
+    assert_eq!(scheduler.job(&first_job_id()).expect("claimed").record.finished_count, 50_000);
 }
 
 #[test]
--- a/crates/core/tests/scheduler/random_faults/invariants.rs
+++ b/crates/core/tests/scheduler/random_faults/invariants.rs
@@ -106,7 +106,11 @@
         let _ = write!(
             text,
             " [{id}: {} of {} done, generation {:?}, claims {}, version {:?}, known as ",
-            record.done, record.spec.tasks, record.generation, record.claims, stored.version
+            record.finished_count,
+            record.spec.tasks,
+            record.generation,
+            record.claims,
+            stored.version
         );
         let _ = match driver.scheduler.job(id) {
             Some(job) => write!(
--- a/crates/core/tests/scheduler/random_faults/workers.rs
+++ b/crates/core/tests/scheduler/random_faults/workers.rs
@@ -149,7 +149,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             term: self.term,
-            notice_s: self.has_notice.then_some(30.0),
+            termination_notice_s: self.has_notice.then_some(30.0),
             tasks: tasks.collect(),
         }
     }
@@ -197,9 +197,9 @@
         }
         let mut present = self.tasks.iter().filter(|(_, state)| state.phase != TaskPhase::Exited);
         let cause = if fate == Fate::Unknown {
-            Some(ExitCause::Unknown)
+            Some(ExitCause::NoSuchTask)
         } else if present.clone().any(|((other, _), _)| *other == task) {
-            Some(ExitCause::Busy)
+            Some(ExitCause::OtherAttemptPresent)
         } else if present.by_ref().count() >= PLACES {
             Some(ExitCause::NoRoom)
         } else {
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -95,7 +95,8 @@
         assert!(scheduler.has_assigned_tasks("host-1"));
         // While no start may leave, say in an outage of the store, its machine has to go.
         if notice {
-            let noticed = WorkerHeartbeat { notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
+            let noticed =
+                WorkerHeartbeat { termination_notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
             scheduler.on_heartbeat(&noticed, true, later);
         } else {
             scheduler.drain_machine("host-1");
@@ -173,7 +174,7 @@
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
-    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
+    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::NoSuchTask));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-1", 3, vec![refused]), true, after_ms(100));
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, after_ms(2000));
@@ -218,7 +219,7 @@
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
-    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
+    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::NoSuchTask));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-0", 3, vec![refused]), true, now);
     assert!(!scheduler.has_assigned_tasks("host-1"), "taken back at once");
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -131,7 +131,7 @@
             agent_epoch: AgentEpoch::new(1),
             sequence: self.sequence,
             term: self.term,
-            notice_s: None,
+            termination_notice_s: None,
             tasks: tasks.collect(),
         };
         serde_json::to_vec(&heartbeat).unwrap_or_default()
--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -38,7 +38,7 @@
     /// `seed` determines all random numbers of the process.
     pub fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
         let platform = &settings.platform;
-        let params = &platform.params;
+        let params = &platform.service;
         Self {
             name: platform.node.clone(),
             process: SmallRng::seed_from_u64(!seed).random(),
@@ -65,7 +65,7 @@
 
     /// How long ago another controller noted this time of day, at the least.
     pub fn min_age(&self, noted_ms: u64) -> Duration {
-        let off_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
+        let off_ms = 2.0 * self.settings.platform.service.max_clock_error_ms.max(0.0);
         let age = Duration::from_millis(unix_time_ms().saturating_sub(noted_ms));
         age.saturating_sub(Duration::try_from_secs_f64(off_ms / 1000.0).unwrap_or_default())
     }
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -146,7 +146,7 @@
     fn take_up(&self, claim: StoredClaim) {
         let version = claim.version;
         for record in claim.records {
-            if record.is_chunked() && record.done > 0 {
+            if record.is_chunked() && record.finished_count > 0 {
                 self.read_finished(record, version);
             } else {
                 let finished = record.finished.clone();
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -22,7 +22,7 @@
     /// Reads the cloud's list of machines again and again.
     pub(super) async fn poll_machine_list(&self) {
         let context = &self.context;
-        let requests_per_s = context.env.settings.platform.params.cloud.rps.max(0.1);
+        let requests_per_s = context.env.settings.platform.service.cloud.rps.max(0.1);
         let interval_s = (LIST_INTERVAL_REQUESTS / requests_per_s)
             .clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
         let interval = Duration::from_secs_f64(interval_s);
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -40,7 +40,7 @@
     /// Stores finished tasks and first starts as they become due.
     pub(super) async fn store_completions(&self) {
         let context = &self.context;
-        let params = &context.env.settings.platform.params;
+        let params = &context.env.settings.platform.service;
         let max_changes = params.state.txn_ops.max(MIN_CHANGES) as usize;
         let in_flight = InFlight::default();
         loop {
@@ -72,7 +72,10 @@
         let id = &commit.job;
         let mut transaction = Transaction::default().when(job_key(id), commit.version);
         if commit.completes_job {
-            let record = FinalRecord { status: JobStatus::Done, done: commit.record.done };
+            let record = FinalRecord {
+                status: JobStatus::Done,
+                finished_count: commit.record.finished_count,
+            };
             transaction = transaction.delete(job_key(id)).put(final_key(id), store_value(&record));
         } else {
             transaction = transaction.put(job_key(id), store_value(&commit.record));
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -47,7 +47,7 @@
     commit.completes_job = true;
     let id = commit.job.clone();
     let transaction = JobCommit::new(commit).transaction;
-    let record = FinalRecord { status: JobStatus::Done, done: 0 };
+    let record = FinalRecord { status: JobStatus::Done, finished_count: 0 };
     let expected = Transaction::default()
         .when(job_key(&id), Revision::new(7))
         .delete(job_key(&id))
--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -36,6 +36,6 @@
 
     /// How many changes a transaction of the state service may have; one at least.
     pub(super) fn max_transaction_changes(&self) -> usize {
-        self.env.settings.platform.params.state.txn_ops.max(1) as usize
+        self.env.settings.platform.service.state.txn_ops.max(1) as usize
     }
 }
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -71,7 +71,7 @@
 
     /// Whether no heartbeat came for so long that workers may not reach this controller.
     fn is_quiet(&self) -> bool {
-        let workers = &self.context.env.settings.platform.params.workers;
+        let workers = &self.context.env.settings.platform.service.workers;
         let limit = workers.heartbeat_interval().mul_f64(QUIET_HEARTBEAT_INTERVALS) + QUIET_GRACE;
         self.context.leadership.time_since_heartbeat().is_some_and(|quiet| quiet >= limit)
     }
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -65,7 +65,7 @@
     RateBudget { requests: LEADER_REQUESTS, writes: LEADER_WRITES, burst_s: LEADER_BURST_S };
 
 fn standby_budget(env: &Environment) -> RateBudget {
-    let others = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
+    let others = f64::from(env.settings.platform.service.size.saturating_sub(1).max(1));
     RateBudget {
         requests: (1.0 - LEADER_REQUESTS) / others,
         writes: (1.0 - LEADER_WRITES) / others,
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -5,7 +5,7 @@
 use crate::environment::Environment;
 use corkfield_cloud::CloudError;
 use corkfield_core::RentalFailure;
-use corkfield_wire::cloud::{RentRequest, MAX_RENT};
+use corkfield_wire::cloud::{RentRequest, MAX_MACHINES_PER_RENTAL};
 use corkfield_wire::MachineName;
 use std::time::{Duration, Instant};
 
@@ -74,7 +74,7 @@
             let outcome = rent(&context.env, &request).await;
             let filled = is_filled(&request, &outcome);
             scheduler.borrow_mut().rental_answered(&request, outcome, now());
-            if filled && request.count >= MAX_RENT {
+            if filled && request.count >= MAX_MACHINES_PER_RENTAL {
                 scaling_wanted.notify_one();
             }
         });
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -90,7 +90,7 @@
         let echoed_sent = self.peers.echoed_sent(&heartbeat, self.env.process);
         // Its newest read was begun no longer ago than that.
         let read = echoed_sent
-            .filter(|_| heartbeat.store_answers)
+            .filter(|_| heartbeat.is_store_reachable)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
         if let Some(read) = read {
             self.outbox.has_read(heartbeat.node.as_str(), read);
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -50,7 +50,7 @@
     async fn serve(&self, peer: &str, stream: Stream) {
         let (reader, writer) = split(stream);
         let (frames, queued) = self.links.opened(peer);
-        let keep = self.env.settings.platform.params.workers.cancel();
+        let keep = self.env.settings.platform.service.workers.cancel_timeout();
         let queue_frame = |frame| frames.try_send(frame).is_ok();
         tokio::select! {
             () = self.send_heartbeats(peer, &frames) => {}
@@ -95,9 +95,9 @@
             number: self.peers.record_sent(peer),
             last_received_number: last_received_number.number,
             last_received_process: last_received_number.process,
-            attests_outage: self.attests_for(peer),
-            leading: self.leadership.is_leading(),
-            store_answers: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
+            is_outage_attestation: self.attests_for(peer),
+            is_leader: self.leadership.is_leading(),
+            is_store_reachable: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
             leader: leader.and_then(|record| record.node.clone()),
             term: leader.map_or(Term::default(), |record| record.term),
         }
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -49,9 +49,9 @@
         number: 1,
         last_received_number: 0,
         last_received_process: 0,
-        attests_outage: false,
-        leading,
-        store_answers: true,
+        is_outage_attestation: false,
+        is_leader: leading,
+        is_store_reachable: true,
         leader: None,
         term: Term::new(1),
     };
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::now;
 use corkfield_wire::peer::PeerHeartbeat;
-use corkfield_wire::settings::Platform;
+use corkfield_wire::settings::PlatformSettings;
 use corkfield_wire::{ControllerName, Term};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -68,7 +68,7 @@
         let process_since = before.as_ref().map_or(received, |before| before.process_since);
         let attested = before.and_then(|before| before.attested);
         // It was sent after what it echoes had come, and so after that was sent.
-        let attested = attested.max(echoed_sent.filter(|_| heartbeat.attests_outage));
+        let attested = attested.max(echoed_sent.filter(|_| heartbeat.is_outage_attestation));
         last.insert(peer, LastHeartbeat { heartbeat, received, process_since, attested });
     }
 
@@ -108,11 +108,11 @@
     /// process before it confirmed is not known.
     pub fn attestation_age(
         &self,
-        platform: &Platform,
+        platform: &PlatformSettings,
         term: Term,
         proven_at: Instant,
     ) -> Option<Duration> {
-        if platform.peers.len() + 1 < platform.params.size as usize {
+        if platform.peers.len() + 1 < platform.service.size as usize {
             return None;
         }
         let last = self.last.borrow();
@@ -127,7 +127,10 @@
 
     /// Whether another controller has answers from the state service.
     pub fn somebody_has_store(&self) -> bool {
-        self.last.borrow().values().any(|last| last.heartbeat.store_answers && last.is_recent())
+        self.last
+            .borrow()
+            .values()
+            .any(|last| last.heartbeat.is_store_reachable && last.is_recent())
     }
 
     /// Whether others were heard of, and none of them has answers from the state service: it is
@@ -135,13 +138,13 @@
     pub fn nobody_has_store(&self) -> bool {
         let last = self.last.borrow();
         let mut others = last.values().filter(|last| last.is_recent()).peekable();
-        others.peek().is_some() && others.all(|last| !last.heartbeat.store_answers)
+        others.peek().is_some() && others.all(|last| !last.heartbeat.is_store_reachable)
     }
 
     /// Whether that controller says that it leads.
     pub fn says_it_leads(&self, peer: &str) -> bool {
         let last = self.last.borrow();
-        last.get(peer).is_some_and(|last| last.heartbeat.leading && last.is_recent())
+        last.get(peer).is_some_and(|last| last.heartbeat.is_leader && last.is_recent())
     }
 }
 
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -5,7 +5,7 @@
     process: u64,
     last_received_number: u64,
     last_received_process: u64,
-    attests_outage: bool,
+    is_outage_attestation: bool,
 ) -> PeerHeartbeat {
     PeerHeartbeat {
         node: ControllerName::from("q"),
@@ -14,9 +14,9 @@
         number: 1,
         last_received_number,
         last_received_process,
-        attests_outage,
-        leading: false,
-        store_answers: false,
+        is_outage_attestation,
+        is_leader: false,
+        is_store_reachable: false,
         leader: None,
         term: Term::new(5),
     }
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -7,7 +7,7 @@
     Versioned, CONTROLLERS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY,
     TRANSFER_REQUESTS_PREFIX,
 };
-use corkfield_wire::store::{Event, Events, Item};
+use corkfield_wire::store::{Event, Item, WatchAnswer};
 use corkfield_wire::{ControllerName, JobId, Revision};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -147,7 +147,7 @@
 
     /// Applies the events that are newer than the contents. Two reads may overlap; what the first
     /// brought is skipped, so that an older value never replaces a newer one.
-    pub(super) fn apply_events(&mut self, events: Events) -> ReadChanges {
+    pub(super) fn apply_events(&mut self, events: WatchAnswer) -> ReadChanges {
         let mut changes = ReadChanges::default();
         for event in events.events {
             match event {
--- a/crates/corkfield/src/replica/contents/tests.rs
+++ b/crates/corkfield/src/replica/contents/tests.rs
@@ -14,9 +14,11 @@
     };
     let delete = |number| Event::Delete { key: key.clone(), version: Revision::new(number) };
     let mut contents = ReplicaContents::default();
-    contents.apply_events(Events { revision: Revision::new(3), events: vec![put(2), delete(3)] });
-    contents.apply_events(Events { revision: Revision::new(2), events: vec![put(2)] });
+    contents
+        .apply_events(WatchAnswer { revision: Revision::new(3), events: vec![put(2), delete(3)] });
+    contents.apply_events(WatchAnswer { revision: Revision::new(2), events: vec![put(2)] });
     assert!(contents.controllers.is_empty(), "the older read came last");
-    contents.apply_events(Events { revision: Revision::new(4), events: vec![delete(3), put(4)] });
+    contents
+        .apply_events(WatchAnswer { revision: Revision::new(4), events: vec![delete(3), put(4)] });
     assert_eq!(contents.controllers["n"].version, Revision::new(4));
 }
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -5,7 +5,7 @@
 use crate::environment::Environment;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{JobRecord, Versioned, REPLICATED_PREFIX};
-use corkfield_wire::store::Events;
+use corkfield_wire::store::WatchAnswer;
 use corkfield_wire::JobId;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -136,7 +136,7 @@
 
     /// Takes what a read begun at `started` brought. It is a proof of fresh state (S6) only once
     /// the observer has it.
-    fn take_events(&self, events: Events, started: Instant) {
+    fn take_events(&self, events: WatchAnswer, started: Instant) {
         let changes = self.replica.contents.borrow_mut().apply_events(events);
         self.observer.jobs_ended(&changes.ended);
         self.replica.proof.prove(started);
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -60,13 +60,13 @@
     let value = serde_json::to_value(&record).expect("serializable");
     let put = Event::Put { key: job_key(&id), value, version: Revision::new(1) };
     let first = now();
-    follower.take_events(Events { revision: Revision::new(1), events: vec![put] }, first);
+    follower.take_events(WatchAnswer { revision: Revision::new(1), events: vec![put] }, first);
     assert!(follower.replica.contents.borrow().jobs.contains_key(&id));
     assert_eq!(follower.replica.proven_at(), Some(first));
     tokio::time::advance(Duration::from_secs(1)).await;
     let second = now();
     let delete = Event::Delete { key: job_key(&id), version: Revision::new(2) };
-    follower.take_events(Events { revision: Revision::new(2), events: vec![delete] }, second);
+    follower.take_events(WatchAnswer { revision: Revision::new(2), events: vec![delete] }, second);
     assert_eq!(follower.replica.proven_at(), Some(second));
     let ended = observer.ended.borrow();
     let seen = ended.last().expect("the observer was told");
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -7,7 +7,7 @@
 pub use operator::{schema, Operator, OperatorError};
 
 use corkfield_core::Config;
-use corkfield_wire::settings::{Platform, SettingsError};
+use corkfield_wire::settings::{PlatformSettings, SettingsError};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// What the platform says: names, addresses, limits, teams.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// What the operators chose.
     pub operator: Operator,
 }
@@ -101,7 +101,7 @@
 impl Settings {
     /// Reads and checks the platform's file and, if there is one, the operators'.
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Self, LoadError> {
-        let platform = Platform::parse(&read(config)?)
+        let platform = PlatformSettings::parse(&read(config)?)
             .map_err(|error| LoadError::Platform { path: config.to_owned(), error })?;
         let operator = match operator {
             Some(path) => Operator::parse(&read(path)?)
@@ -125,7 +125,7 @@
 
     /// The memory that the platform grants, in MB, if it says so.
     fn memory_mb(&self) -> Option<f64> {
-        let memory_mb = self.platform.params.limits.memory_mb;
+        let memory_mb = self.platform.service.limits.memory_mb;
         (memory_mb.is_finite() && memory_mb > 0.0).then_some(memory_mb)
     }
 
@@ -142,7 +142,7 @@
     /// How long a controller without fresh state goes on answering heartbeats (S6): after that a
     /// worker's whole lease still has to pass before a cancellation's time is over.
     pub fn answer_limit(&self) -> Duration {
-        let workers = &self.platform.params.workers;
+        let workers = &self.platform.service.workers;
         let left = workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - ANSWER_MARGIN_S;
         Duration::from_secs_f64(left.max(MIN_ANSWER_LIMIT_S))
     }
@@ -164,7 +164,7 @@
     /// The parts of the sockets that this process may have open. What is left is for the state
     /// service, the cloud and the other controllers.
     pub fn sockets(&self) -> Sockets {
-        let all = match self.platform.params.limits.max_connections {
+        let all = match self.platform.service.limits.max_connections {
             0 => DEFAULT_MAX_CONNECTIONS,
             given => given as usize,
         };
@@ -179,11 +179,11 @@
 
     /// The configuration of the scheduler.
     pub fn scheduler_config(&self) -> Config {
-        let params = &self.platform.params;
+        let params = &self.platform.service;
         Config {
             teams: params.teams.clone(),
             objectives: params.objectives.clone(),
-            worker_lease: params.workers.lease(),
+            worker_lease: params.workers.lease_duration(),
             heartbeat_interval: params.workers.heartbeat_interval(),
             answer_limit: self.answer_limit(),
             list_lag: Duration::from_secs_f64(params.cloud.list_lag_s),
@@ -201,8 +201,8 @@
                 "controller {} in zone {}, {} controllers, {} teams",
                 platform.node,
                 platform.zone,
-                platform.params.size,
-                platform.params.teams.len(),
+                platform.service.size,
+                platform.service.teams.len(),
             ),
             self.sockets().summary(),
             format!("users and workers: {}", platform.listen),
--- a/crates/corkfield/src/settings/tests.rs
+++ b/crates/corkfield/src/settings/tests.rs
@@ -18,7 +18,7 @@
          [settings.state]\nrps = 9.0\nwrite_rps = 9.0\nvalue_kb = 16.0\ntxn_ops = 12\n\
          [settings.cloud]\nrps = 3.0\n[settings.limits]\n{limits}\n"
     );
-    let platform = Platform::parse(&text).unwrap();
+    let platform = PlatformSettings::parse(&text).unwrap();
     Settings { platform, operator: Operator::default() }
 }
 
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -59,12 +59,13 @@
                 }
                 Err(reason) => return self.unavailable(id, &reason),
             };
-            let cancelled = FinalRecord { status: JobStatus::Cancelled, done: record.done };
+            let cancelled =
+                FinalRecord { status: JobStatus::Cancelled, finished_count: record.finished_count };
             match self.store_cancelled(id, version, &cancelled).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "cancelled");
                     self.record_final(id, &cancelled).await;
-                    return json(200, &view(id, cancelled.status, cancelled.done, 0));
+                    return json(200, &view(id, cancelled.status, cancelled.finished_count, 0));
                 }
                 Err(
                     StateError::Conflict(_) | StateError::NoAnswer(_) | StateError::Refused(429),
@@ -107,7 +108,7 @@
         let value = store_value(&record);
         let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
         match self.env.state.transaction(RequestClass::Submission, &transaction).await {
-            Ok(_) => json(200, &view(id, JobStatus::Queued, record.done, 0)),
+            Ok(_) => json(200, &view(id, JobStatus::Queued, record.finished_count, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "can't release");
                 retry_later(NO_STORE)
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -42,10 +42,13 @@
     /// The answer to a user who asks for the job; `None` if there is none.
     pub(super) fn response(&self, id: &JobId) -> Option<Response> {
         match self {
-            Self::Unfinished { record, .. } => {
-                Some(json(200, &view(id, record.status(), record.done, record.running)))
+            Self::Unfinished { record, .. } => Some(json(
+                200,
+                &view(id, record.status(), record.finished_count, record.running_count),
+            )),
+            Self::Final(record) => {
+                Some(json(200, &view(id, record.status, record.finished_count, 0)))
             }
-            Self::Final(record) => Some(json(200, &view(id, record.status, record.done, 0))),
             Self::Unknown => None,
         }
     }
@@ -53,7 +56,7 @@
 
 /// A job as users see it, with the numbers of its tasks that are done and running.
 pub(super) fn view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
-    JobView { id: id.clone(), status, done: Some(done), running: Some(running) }
+    JobView { id: id.clone(), status, finished_count: Some(done), running_count: Some(running) }
 }
 
 impl UserRequests {
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -9,7 +9,7 @@
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{final_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::user::BadSubmission;
+use corkfield_wire::user::SubmissionError;
 use corkfield_wire::{JobId, JobSpec, JobStatus, Revision};
 
 /// Pause after a submission could not be stored, in milliseconds; drawn at random.
@@ -31,7 +31,7 @@
         let run = async {
             match parsed {
                 Ok(spec) => self.accept(spec).await,
-                Err(BadSubmission { id, reason }) => self.refuse(id.as_ref(), 400, &reason).await,
+                Err(SubmissionError { id, reason }) => self.refuse(id.as_ref(), 400, &reason).await,
             }
         };
         tokio::time::timeout(CHANGE_LIMIT, run).await.unwrap_or_else(|_| retry_later(NO_STORE))
@@ -74,7 +74,7 @@
     }
 
     fn admit(&self, spec: &JobSpec) -> Admission {
-        let teams = &self.env.settings.platform.params.teams;
+        let teams = &self.env.settings.platform.service.teams;
         let contents = self.replica.contents.borrow();
         let crowded = contents.jobs.len() >= self.env.settings.max_jobs();
         match contents.types.as_ref().map(|types| check_schedulable(spec, teams, types)) {
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -138,7 +138,7 @@
         let history = Rc::new(ExecutionHistory::default());
         history.cancel_limit.set(Duration::from_secs_f64(CANCEL_S));
         let settings = controller_settings(0, grants, operator.clone());
-        history.set_teams(settings.platform.params.teams);
+        history.set_teams(settings.platform.service.teams);
         let store = Rc::new(FakeStore::default());
         store.start_lease_expiry();
         let store_refuses = (0..CONTROLLERS.len()).map(|_| Rc::default()).collect::<Vec<_>>();
--- a/crates/corkfield/tests/scenarios/cluster/settings.rs
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -4,7 +4,7 @@
 use corkfield::settings::{Operator, Settings};
 use corkfield_fakes::WorkerSettings;
 use corkfield_wire::cloud::MachineType;
-use corkfield_wire::settings::Platform;
+use corkfield_wire::settings::PlatformSettings;
 use corkfield_wire::{ControllerName, MachineName};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 /// The settings of a controller, as they are deployed.
 pub fn controller_settings(controller: usize, grants: Grants, operator: Operator) -> Settings {
     let text = settings_text(controller, grants);
-    let platform = Platform::parse(&text).expect("the settings are valid");
+    let platform = PlatformSettings::parse(&text).expect("the settings are valid");
     Settings { platform, operator }
 }
 
--- a/crates/corkfield/tests/scenarios/held_back_heartbeats.rs
+++ b/crates/corkfield/tests/scenarios/held_back_heartbeats.rs
@@ -79,8 +79,8 @@
     let newest = held.last().expect("some were held back");
     let newest: WorkerHeartbeat = serde_json::from_slice(newest).expect("a heartbeat");
     assert!(newest.tasks.is_empty() && newest.term != Term::default());
-    let (sequence, notice_s) = (newest.sequence + HIGHER_BY, Some(NOTICE_S));
-    WorkerHeartbeat { sequence, agent_epoch, notice_s, ..newest }
+    let (sequence, termination_notice_s) = (newest.sequence + HIGHER_BY, Some(NOTICE_S));
+    WorkerHeartbeat { sequence, agent_epoch, termination_notice_s, ..newest }
 }
 
 async fn deliver(cluster: &Cluster, heartbeat: &WorkerHeartbeat, way: Way) {
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -101,11 +101,11 @@
         job.memory_gb = 0.1;
         assert_eq!(cluster.submit(&job, 0.4).await, 201);
         sleep_s(40.0).await;
-        let before = cluster.job_record(&job.id).expect("unfinished").done;
+        let before = cluster.job_record(&job.id).expect("unfinished").finished_count;
         let leader = cluster.leader();
         cluster.restart(leader, 0.3).await;
         sleep_s(20.0).await;
-        let after = cluster.job_record(&job.id).expect("unfinished").done;
+        let after = cluster.job_record(&job.id).expect("unfinished").finished_count;
         assert!(before > 500 && after > before, "{before} then {after}");
         assert!(cluster.store.largest_value() < 16 * 1024);
         assert!(cluster.store.most_changes() <= 12);
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -227,7 +227,7 @@
             .collect();
         let more = listed.len() > limit;
         listed.truncate(limit);
-        json_response(200, &MachineList { machines: listed, more })
+        json_response(200, &MachineList { machines: listed, has_more: more })
     }
 }
 
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -246,7 +246,7 @@
         let wrong = spec.zone.as_ref().is_some_and(|only| only != zone)
             || *spot && !spec.spot
             || spec.one_zone && in_zone < job_zones.len()
-            || in_zone > spec.zone_cap() as usize;
+            || in_zone > spec.max_tasks_per_zone() as usize;
         if wrong {
             let (machine, zone) = (MachineName::from(machine), zone.clone());
             self.note(Violation::WrongPlace { task: task.clone(), machine, zone, job_zones });
--- a/crates/fakes/src/store/data.rs
+++ b/crates/fakes/src/store/data.rs
@@ -1,7 +1,7 @@
 //! Keys, leases and events of the store: transactions on conditions, without any I/O.
 
 use crate::now;
-use corkfield_wire::store::{Change, Event, Failed, Item, Transaction};
+use corkfield_wire::store::{Change, Event, FailedConditions, Item, Transaction};
 use corkfield_wire::Revision;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
     /// A change names a lease that does not exist.
     UnknownLease,
     /// The versions of these keys are not those of the conditions.
-    ConditionsFailed(Failed),
+    ConditionsFailed(FailedConditions),
 }
 
 /// One page of a list of keys.
@@ -159,7 +159,7 @@
             .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
-            let failed = Failed { failed, revision: self.revision };
+            let failed = FailedConditions { failed, revision: self.revision };
             return Err(TransactionError::ConditionsFailed(failed));
         }
         if !transaction.changes.is_empty() {
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -5,8 +5,8 @@
 use crate::{empty_response, json_response, now, numeric_parameter, query_parameter, sleep};
 use corkfield_http::{serve, Limits, Network, Request, Response};
 use corkfield_wire::store::{
-    Events, Grant, GrantRequest, Page, RevisionAnswer, Transaction, PATH_KEYS, PATH_LEASES,
-    PATH_RENEW, PATH_TXN, PATH_WATCH,
+    LeaseAnswer, LeaseRequest, Page, RevisionAnswer, Transaction, WatchAnswer, PATH_KEYS,
+    PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
 use corkfield_wire::Revision;
 use data::{StoreData, TransactionError};
@@ -203,11 +203,11 @@
     }
 
     fn grant_lease(&self, body: &[u8]) -> Response {
-        let Ok(grant) = serde_json::from_slice::<GrantRequest>(body) else {
+        let Ok(grant) = serde_json::from_slice::<LeaseRequest>(body) else {
             return empty_response(400);
         };
         let lease = self.data.borrow_mut().grant_lease(Duration::from_millis(grant.ttl_ms));
-        json_response(200, &Grant { lease })
+        json_response(200, &LeaseAnswer { lease })
     }
 
     /// Requests whose path names a key or a lease.
@@ -251,7 +251,7 @@
         let data = self.data.borrow();
         let page = data.page(prefix, after, limit);
         let revision = data.revision;
-        json_response(200, &Page { items: page.items, more: page.more, revision })
+        json_response(200, &Page { items: page.items, has_more: page.more, revision })
     }
 
     async fn watch(&self, target: &str, refuses: &Cell<bool>) -> Response {
@@ -268,7 +268,7 @@
             // A watch stays open, and waits, while its client is refused.
             let refused = self.down.get() || refuses.get();
             if !refused && (!events.is_empty() || now() >= until) {
-                return json_response(200, &Events { revision, events });
+                return json_response(200, &WatchAnswer { revision, events });
             }
             let left = until.saturating_duration_since(now()).max(MIN_WATCH_WAIT);
             let _ = tokio::time::timeout(left, changed).await;
--- a/crates/fakes/src/worker/execution.rs
+++ b/crates/fakes/src/worker/execution.rs
@@ -105,7 +105,7 @@
             }
         }
         let cause = match self.history.plan(&task.job) {
-            None => Some(ExitCause::Unknown),
+            None => Some(ExitCause::NoSuchTask),
             Some(plan) if self.used_cpus(state) + plan.spec.cpus > self.settings.cpus => {
                 Some(ExitCause::NoRoom)
             }
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -258,7 +258,7 @@
             agent_epoch: state.agent_epoch,
             sequence: state.sequence,
             term: state.term,
-            notice_s: state.notice_s,
+            termination_notice_s: state.notice_s,
             tasks: tasks.collect(),
         }
     }
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -4,8 +4,8 @@
 use crate::rate_limiter::{RateLimiter, RequestClass};
 use corkfield_http::{Client, ConnectionSizing, MalformedReply, Network, Reply};
 use corkfield_wire::store::{
-    Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction, PATH_KEYS,
-    PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
+    FailedConditions, Item, LeaseAnswer, LeaseRequest, Page, RevisionAnswer, Transaction,
+    WatchAnswer, PATH_KEYS, PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
 use corkfield_wire::Revision;
 use serde::Serialize;
@@ -106,7 +106,7 @@
             let revision = *first_revision.get_or_insert(page.revision);
             let is_empty = page.items.is_empty();
             items.extend(page.items);
-            if !page.more || is_empty {
+            if !page.has_more || is_empty {
                 return Ok((items, revision));
             }
         }
@@ -130,7 +130,7 @@
         let body = encode(transaction)?;
         let reply = self.send(class, PATH_TXN, &body, ANSWER_TIMEOUT).await?;
         match reply.status {
-            409 => Err(StateError::Conflict(reply.json::<Failed>()?.failed)),
+            409 => Err(StateError::Conflict(reply.json::<FailedConditions>()?.failed)),
             400 if reply.body_contains("no such lease") => Err(StateError::NoSuchLease),
             _ => Ok(reply.success::<RevisionAnswer>()?.revision),
         }
@@ -143,9 +143,9 @@
     /// If the request is refused, has no answer or a malformed one.
     pub async fn grant(&self, ttl: Duration) -> Result<u64, StateError> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let body = encode(&GrantRequest { ttl_ms })?;
+        let body = encode(&LeaseRequest { ttl_ms })?;
         let reply = self.send(RequestClass::Lease, PATH_LEASES, &body, ANSWER_TIMEOUT).await?;
-        Ok(reply.success::<Grant>()?.lease)
+        Ok(reply.success::<LeaseAnswer>()?.lease)
     }
 
     /// Renews a lease; waits for the answer for at most `limit`.
@@ -176,7 +176,7 @@
         prefix: &str,
         after: Revision,
         wait: Duration,
-    ) -> Result<Events, StateError> {
+    ) -> Result<WatchAnswer, StateError> {
         let wait_ms = wait.as_millis();
         let target = format!("{PATH_WATCH}?prefix={prefix}&after={after}&wait_ms={wait_ms}");
         let reply = match self.read(class, &target, wait + ANSWER_TIMEOUT).await {
--- a/crates/state/src/client/tests.rs
+++ b/crates/state/src/client/tests.rs
@@ -23,7 +23,7 @@
     addr
 }
 
-async fn changes_of(size: usize) -> Result<Events, StateError> {
+async fn changes_of(size: usize) -> Result<WatchAnswer, StateError> {
     let addr = start_service(size).await;
     let client = StateClient::new(Rc::new(Tcp), addr, 100.0, 40.0, 1024 * 1024);
     assert!(client.list(RequestClass::Claim, "c/").await.is_ok(), "pages can be read");
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -10,11 +10,11 @@
 /// Path of deletions.
 pub const PATH_DELETE: &str = "/hosts/delete";
 /// Most machines that one request may rent.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Most machines that one request may delete.
-pub const MAX_DELETE: usize = 100;
+pub const MAX_MACHINES_PER_DELETION: usize = 100;
 /// Most machines that one page of the list holds.
-pub const MAX_LIST: u32 = 500;
+pub const MAX_MACHINES_PER_PAGE: u32 = 500;
 
 /// A machine type and its present prices.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
     /// Spot machines in place of on-demand ones.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, at most [`MAX_RENT`]; fewer may be rented.
+    /// How many, at most [`MAX_MACHINES_PER_RENTAL`]; fewer may be rented.
     #[serde(rename = "number")]
     pub count: u32,
 }
@@ -138,5 +138,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether more follow (`truncated`).
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/crates/wire/src/job_id.rs
+++ b/crates/wire/src/job_id.rs
@@ -1,6 +1,6 @@
 //! The id of a job.
 
-use crate::text::ParsedText;
+use crate::parse_visitor::ParseVisitor;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
@@ -56,6 +56,6 @@
 
 impl<'de> Deserialize<'de> for JobId {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_str(ParsedText { parse: Self::parse, expected: "job id" })
+        deserializer.deserialize_str(ParseVisitor { parse: Self::parse, expected: "job id" })
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -10,12 +10,12 @@
 pub mod cloud;
 pub mod ids;
 mod job_id;
+mod parse_visitor;
 pub mod peer;
 pub mod records;
 pub mod settings;
 pub mod store;
 pub mod task_set;
-mod text;
 pub mod user;
 pub mod worker;
 
--- a/crates/wire/src/text.rs
+++ b/crates/wire/src/parse_visitor.rs
@@ -4,14 +4,14 @@
 use std::fmt;
 
 /// Reads a text and parses it.
-pub(crate) struct ParsedText<T> {
+pub(crate) struct ParseVisitor<T> {
     /// Parses the text; none if it is malformed.
     pub parse: fn(&str) -> Option<T>,
     /// What it should be, for errors.
     pub expected: &'static str,
 }
 
-impl<T> Visitor<'_> for ParsedText<T> {
+impl<T> Visitor<'_> for ParseVisitor<T> {
     type Value = T;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -26,11 +26,11 @@
     /// The sender has had no answer from the state service for a while, knows of no leader but the
     /// receiver, and every cancellation that it confirmed to a user was acknowledged by the
     /// receiver (S11).
-    pub attests_outage: bool,
+    pub is_outage_attestation: bool,
     /// It is the leader, or takes itself for the leader.
-    pub leading: bool,
+    pub is_leader: bool,
     /// The state service answered this controller a moment ago.
-    pub store_answers: bool,
+    pub is_store_reachable: bool,
     /// The leader that it knows of.
     pub leader: Option<ControllerName>,
     /// That leader's term; 0 without one.
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -35,11 +35,11 @@
     #[serde(default, skip_serializing_if = "TaskSet::is_empty")]
     pub finished: TaskSet,
     /// How many tasks are finished.
-    #[serde(default)]
-    pub done: u32,
+    #[serde(rename = "done", default)]
+    pub finished_count: u32,
     /// How many tasks ran at the last write, for display.
-    #[serde(default)]
-    pub running: u32,
+    #[serde(rename = "running", default)]
+    pub running_count: u32,
     /// No task from this number on was ever ordered to start. Raised before any is (S7). Stored
     /// as `begun`.
     #[serde(rename = "begun", default = "all_tasks")]
@@ -65,8 +65,8 @@
             claims: 0,
             accepted_ms,
             finished: TaskSet::default(),
-            done: 0,
-            running: 0,
+            finished_count: 0,
+            running_count: 0,
             start_watermark: 0,
             previous_start_watermark: 0,
             dead_lettered: false,
@@ -102,7 +102,7 @@
 
     /// What the job's user is told. A dead-lettered job reads as queued.
     pub fn status(&self) -> JobStatus {
-        if self.running > 0 && !self.dead_lettered {
+        if self.running_count > 0 && !self.dead_lettered {
             JobStatus::Running
         } else {
             JobStatus::Queued
@@ -116,5 +116,6 @@
     /// [`JobStatus::Done`] or [`JobStatus::Cancelled`].
     pub status: JobStatus,
     /// How many tasks had finished.
-    pub done: u32,
+    #[serde(rename = "done")]
+    pub finished_count: u32,
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -18,7 +18,8 @@
 
 /// The whole file.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Platform {
+#[serde(expecting = "struct Platform")]
+pub struct PlatformSettings {
     /// Name of this controller's node (`node_name`).
     #[serde(rename = "node_name")]
     pub node: ControllerName,
@@ -38,7 +39,7 @@
     pub endpoints: Endpoints,
     /// What the service is to do, and within which limits (`settings`).
     #[serde(rename = "settings")]
-    pub params: ServiceSettings,
+    pub service: ServiceSettings,
 }
 
 /// Another controller.
@@ -74,7 +75,7 @@
     pub zones: Vec<String>,
     /// Most that the time of day may be wrong, in milliseconds (`clock_error_ms`).
     #[serde(rename = "clock_error_ms", default)]
-    pub clock_off_ms: f64,
+    pub max_clock_error_ms: f64,
     /// The teams, with their guarantees and limits.
     #[serde(default)]
     pub teams: Vec<Team>,
@@ -82,16 +83,16 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Times that workers keep to.
-    pub workers: Workers,
-    /// Limits of the state service.
+    pub workers: WorkerTimes,
+    /// ProcessLimits of the state service.
     #[serde(default)]
     pub state: StateLimits,
-    /// Limits of the cloud.
+    /// ProcessLimits of the cloud.
     #[serde(default)]
     pub cloud: CloudLimits,
-    /// Limits of each controller's process.
+    /// ProcessLimits of each controller's process.
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: ProcessLimits,
 }
 
 /// A team's guarantee and limit. The team may use what it is guaranteed at any time, and borrow
@@ -132,16 +133,18 @@
 
 /// Times that workers keep to.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+#[serde(expecting = "struct Workers")]
+pub struct WorkerTimes {
     /// Interval between a worker's heartbeats, in seconds.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// A worker without an answer for this long kills its tasks, in seconds.
     pub lease_s: f64,
     /// Time within which the tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service, for all controllers together. Limits of 0, and those that are not
+/// ProcessLimits of the state service, for all controllers together. ProcessLimits of 0, and those that are not
 /// given, get defaults that a small service bears.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
@@ -156,7 +159,7 @@
     pub txn_ops: u32,
 }
 
-/// Limits of the cloud.
+/// ProcessLimits of the cloud.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second. 0 or not given: a default.
@@ -167,9 +170,10 @@
     pub list_lag_s: f64,
 }
 
-/// Limits of a controller's process. 0 or not given: no limit is known.
+/// ProcessLimits of a controller's process. 0 or not given: no limit is known.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct Limits {
+#[serde(expecting = "struct Limits")]
+pub struct ProcessLimits {
     /// Share of one core.
     #[serde(default)]
     pub cpu_share: f64,
@@ -181,7 +185,7 @@
     pub max_connections: u32,
 }
 
-impl Platform {
+impl PlatformSettings {
     /// Reads the file's text, fills in defaults and checks the values.
     ///
     /// # Errors
@@ -190,7 +194,7 @@
     /// its bounds.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut platform: Self = toml::from_str(text)?;
-        platform.params.fill_defaults();
+        platform.service.fill_defaults();
         platform.check()?;
         Ok(platform)
     }
@@ -215,19 +219,19 @@
     }
 }
 
-impl Workers {
+impl WorkerTimes {
     /// A worker without an answer for this long kills its tasks.
-    pub fn lease(&self) -> Duration {
+    pub fn lease_duration(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
     /// Interval between a worker's heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
-        Duration::from_secs_f64(self.report_s)
+        Duration::from_secs_f64(self.heartbeat_interval_s)
     }
 
     /// After a user was told of a cancellation its tasks have to be gone within this time.
-    pub fn cancel(&self) -> Duration {
+    pub fn cancel_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
 }
--- a/crates/wire/src/settings/tests.rs
+++ b/crates/wire/src/settings/tests.rs
@@ -10,12 +10,12 @@
 fn limits_that_are_missing_or_zero_get_defaults_and_wrong_ones_are_named() {
     let zero = format!("{LEAST}[settings.state]\nrps = 0.0\n[settings.cloud]\nrps = 0.0\n");
     for text in [LEAST, &zero] {
-        let params = Platform::parse(text).expect("valid").params;
-        assert!(params.state.rps > 0.0 && params.state.write_rps > 0.0);
-        assert!(params.state.value_kb >= 8.0 && params.state.txn_ops >= 4);
-        assert!(params.cloud.rps > 0.0 && params.size == 7);
+        let service = PlatformSettings::parse(text).expect("valid").service;
+        assert!(service.state.rps > 0.0 && service.state.write_rps > 0.0);
+        assert!(service.state.value_kb >= 8.0 && service.state.txn_ops >= 4);
+        assert!(service.cloud.rps > 0.0 && service.size == 7);
     }
     let wrong = format!("{LEAST}[settings.state]\nrps = -1.0\n");
-    let error = Platform::parse(&wrong).expect_err("negative").to_string();
+    let error = PlatformSettings::parse(&wrong).expect_err("negative").to_string();
     assert!(error.contains("settings.state.rps"), "{error}");
 }
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -1,6 +1,6 @@
 //! Which settings are refused.
 
-use super::{Platform, ServiceSettings};
+use super::{PlatformSettings, ServiceSettings};
 
 /// The largest number that is taken for a rate, a size or a time.
 const MAX_NUMBER: f64 = 1e9;
@@ -37,15 +37,15 @@
     }
 }
 
-impl Platform {
+impl PlatformSettings {
     /// Names the first value that is outside its bounds.
     pub(super) fn check(&self) -> Result<(), SettingsError> {
-        self.params.check_positive()?;
+        self.service.check_positive()?;
         let name = self.node.as_str();
         let name_fits =
             !name.is_empty() && name.len() <= MAX_NODE_NAME && !name.contains([' ', '/']);
         require(name_fits, "node_name", "must be 1 to 100 bytes without spaces or slashes")?;
-        self.params.check_bounds()
+        self.service.check_bounds()
     }
 }
 
@@ -53,7 +53,7 @@
     fn check_positive(&self) -> Result<(), SettingsError> {
         let positive = [
             ("settings.size", f64::from(self.size)),
-            ("settings.workers.report_s", self.workers.report_s),
+            ("settings.workers.report_s", self.workers.heartbeat_interval_s),
             ("settings.workers.lease_s", self.workers.lease_s),
             ("settings.workers.cancel_s", self.workers.cancel_s),
             ("settings.state.rps", self.state.rps),
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -42,7 +42,7 @@
     pub items: Vec<Item>,
     /// Whether more follow (`truncated`).
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The revision that the page was read at.
     #[serde(rename = "generation")]
     pub revision: Revision,
@@ -135,7 +135,7 @@
 
 /// The answer to a transaction whose conditions failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failed {
+pub struct FailedConditions {
     /// The keys that have other versions than required.
     pub failed: Vec<String>,
     /// The store's revision.
@@ -145,7 +145,7 @@
 
 /// The answer to a request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseAnswer {
     /// The new lease's number.
     #[serde(rename = "claim")]
     pub lease: u64,
@@ -153,7 +153,7 @@
 
 /// A request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantRequest {
+pub struct LeaseRequest {
     /// Time for which it is to last without a renewal, in milliseconds (100 to 600,000).
     pub ttl_ms: u64,
 }
@@ -187,7 +187,7 @@
 
 /// The answer to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Events {
+pub struct WatchAnswer {
     /// The revision up to which all changes are reported; the next watch begins after it.
     #[serde(rename = "generation")]
     pub revision: Revision,
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -3,7 +3,7 @@
 mod submission;
 
 pub use crate::job_id::JobId;
-pub use submission::BadSubmission;
+pub use submission::SubmissionError;
 
 use serde::{Deserialize, Serialize};
 
@@ -97,10 +97,10 @@
     pub estimate_s: f64,
     /// Interval of progress between checkpoints, in seconds; 0 if tasks can't save any.
     #[serde(rename = "snapshot_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "flush_s")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// When the job should be complete, in seconds from its submission; none without a deadline.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -108,7 +108,7 @@
 
 impl JobSpec {
     /// Most tasks that `spread` allows in one zone at a time.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -151,11 +151,11 @@
     #[serde(rename = "status")]
     pub status: JobStatus,
     /// How many tasks are done, for display.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub done: Option<u32>,
+    #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
+    pub finished_count: Option<u32>,
     /// How many tasks run, for display.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub running: Option<u32>,
+    #[serde(rename = "running", default, skip_serializing_if = "Option::is_none")]
+    pub running_count: Option<u32>,
 }
 
 /// Any answer that is not a success.
--- a/crates/wire/src/user/submission.rs
+++ b/crates/wire/src/user/submission.rs
@@ -14,7 +14,7 @@
 /// an accepted submission can still be recognised (S2).
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
-pub struct BadSubmission {
+pub struct SubmissionError {
     /// The job's id, if that much could be read.
     pub id: Option<JobId>,
     /// The text that the user is given.
@@ -23,7 +23,7 @@
 
 /// What is wrong with a submission. Users read these texts; fields have the protocol's names.
 #[derive(Debug, thiserror::Error)]
-enum SubmissionFault {
+enum SubmissionErrorKind {
     #[error("body is not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     #[error("body is not an object")]
@@ -41,9 +41,9 @@
     Amount { field: &'static str },
 }
 
-impl SubmissionFault {
-    fn of_job(self, id: Option<JobId>) -> BadSubmission {
-        BadSubmission { id, reason: self.to_string() }
+impl SubmissionErrorKind {
+    fn with_job_id(self, id: Option<JobId>) -> SubmissionError {
+        SubmissionError { id, reason: self.to_string() }
     }
 }
 
@@ -53,28 +53,28 @@
     /// # Errors
     ///
     /// If the body is no JSON object, or a field is missing or invalid; names the first fault.
-    pub fn parse(body: &[u8]) -> Result<Self, BadSubmission> {
+    pub fn parse(body: &[u8]) -> Result<Self, SubmissionError> {
         let value: serde_json::Value = serde_json::from_slice(body)
-            .map_err(|error| SubmissionFault::NotJson(error).of_job(None))?;
+            .map_err(|error| SubmissionErrorKind::NotJson(error).with_job_id(None))?;
         if !value.is_object() {
-            return Err(SubmissionFault::NotAnObject.of_job(None));
+            return Err(SubmissionErrorKind::NotAnObject.with_job_id(None));
         }
         let id = value["name_id"].as_str().and_then(JobId::parse);
         let spec: Self = serde_json::from_value(value)
-            .map_err(|error| SubmissionFault::Field(error).of_job(id.clone()))?;
-        spec.check().map_err(|fault| fault.of_job(id))?;
+            .map_err(|error| SubmissionErrorKind::Field(error).with_job_id(id.clone()))?;
+        spec.check().map_err(|fault| fault.with_job_id(id))?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), SubmissionFault> {
+    fn check(&self) -> Result<(), SubmissionErrorKind> {
         self.check_names()?;
         if self.tasks == 0 || self.tasks > MAX_TASKS {
-            return Err(SubmissionFault::TaskCount);
+            return Err(SubmissionErrorKind::TaskCount);
         }
         self.check_amounts()
     }
 
-    fn check_names(&self) -> Result<(), SubmissionFault> {
+    fn check_names(&self) -> Result<(), SubmissionErrorKind> {
         check_name("pool", &self.class)?;
         check_name("owner", &self.team)?;
         check_name("bundle", &self.image)?;
@@ -83,7 +83,7 @@
         }
         if let Some(types) = &self.types {
             if types.is_empty() || types.len() > MAX_TYPES {
-                return Err(SubmissionFault::TypeCount);
+                return Err(SubmissionErrorKind::TypeCount);
             }
             for name in types {
                 check_name("flavours", name)?;
@@ -92,29 +92,29 @@
         Ok(())
     }
 
-    fn check_amounts(&self) -> Result<(), SubmissionFault> {
+    fn check_amounts(&self) -> Result<(), SubmissionErrorKind> {
         let amounts = [
             ("vcpus", self.cpus),
             ("accelerators", self.gpus),
             ("mem_gb", self.memory_gb),
             ("image_gb", self.image_gb),
             ("guess_s", self.estimate_s),
-            ("snapshot_s", self.checkpoint_s),
-            ("flush_s", self.save_s),
+            ("snapshot_s", self.checkpoint_interval_s),
+            ("flush_s", self.checkpoint_save_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         for (field, amount) in amounts {
             if !amount.is_finite() || !(0.0..=MAX_AMOUNT).contains(&amount) {
-                return Err(SubmissionFault::Amount { field });
+                return Err(SubmissionErrorKind::Amount { field });
             }
         }
         Ok(())
     }
 }
 
-fn check_name(field: &'static str, name: &str) -> Result<(), SubmissionFault> {
+fn check_name(field: &'static str, name: &str) -> Result<(), SubmissionErrorKind> {
     if name.is_empty() || name.len() > MAX_NAME {
-        return Err(SubmissionFault::NameLength { field });
+        return Err(SubmissionErrorKind::NameLength { field });
     }
     Ok(())
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{AgentEpoch, Attempt, ControllerName, MachineName, Term};
 use crate::job_id::JobId;
-use crate::text::ParsedText;
+use crate::parse_visitor::ParseVisitor;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
@@ -38,7 +38,7 @@
 
 impl<'de> Deserialize<'de> for TaskId {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_str(ParsedText { parse: Self::parse, expected: "task id" })
+        deserializer.deserialize_str(ParseVisitor { parse: Self::parse, expected: "task id" })
     }
 }
 
@@ -82,10 +82,10 @@
     NoRoom,
     /// Start refused: the task is on the machine under another attempt (`in_use`).
     #[serde(rename = "in_use")]
-    Busy,
+    OtherAttemptPresent,
     /// Start refused: no such job or task (`no_such`).
     #[serde(rename = "no_such")]
-    Unknown,
+    NoSuchTask,
     /// A cause that this version doesn't know.
     #[serde(other)]
     Other,
@@ -140,7 +140,7 @@
     pub term: Term,
     /// Seconds until the cloud takes the machine away; none without such a notice.
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub termination_notice_s: Option<f64>,
     /// All tasks on the machine, and those that exited and were not yet forgotten.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -12,9 +12,9 @@
         number: 6,
         last_received_number: 7,
         last_received_process: 8,
-        attests_outage: true,
-        leading: false,
-        store_answers: true,
+        is_outage_attestation: true,
+        is_leader: false,
+        is_store_reachable: true,
         leader: Some(ControllerName::from("worker-1")),
         term: Term::new(41),
     }
@@ -28,9 +28,9 @@
         number: u64::MAX,
         last_received_number: 0,
         last_received_process: 0,
-        attests_outage: false,
-        leading: true,
-        store_answers: false,
+        is_outage_attestation: false,
+        is_leader: true,
+        is_store_reachable: false,
         leader: None,
         term: Term::new(0),
     }
@@ -57,9 +57,9 @@
             "0600000000000000",                           // number
             "0700000000000000",                           // last_received_number
             "0800000000000000",                           // last_received_process
-            "01",                                         // attests_outage
-            "00",                                         // leading
-            "01",                                         // store_answers
+            "01",                                         // is_outage_attestation
+            "00",                                         // is_leader
+            "01",                                         // is_store_reachable
             "0108000000776f726b65722d31",                 // scheduler
             "2900000000000000",                           // term
         ),
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -3,7 +3,8 @@
 
 use corkfield_wire::cloud::{ListedState, MachineList, MachineNames, MachineTypes, RentRequest};
 use corkfield_wire::store::{
-    Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction,
+    FailedConditions, Item, LeaseAnswer, LeaseRequest, Page, RevisionAnswer, Transaction,
+    WatchAnswer,
 };
 use corkfield_wire::user::{ErrorView, JobKind, JobView};
 use corkfield_wire::worker::{
@@ -63,10 +64,13 @@
     assert_eq!((spec.cpus, spec.gpus, spec.memory_gb), (8.0, 1.0, 64.0));
     assert_eq!((spec.image.as_str(), spec.image_gb), ("img-07", 6.2));
     assert_eq!((spec.one_zone, spec.spread, spec.spot), (true, false, true));
-    assert_eq!((spec.estimate_s, spec.checkpoint_s, spec.save_s), (240.0, 30.0, 4.0));
+    assert_eq!(
+        (spec.estimate_s, spec.checkpoint_interval_s, spec.checkpoint_save_s),
+        (240.0, 30.0, 4.0)
+    );
     let view: JobView =
         round_trip(r#"{"name_id":"j-000412","status":"running","done":3,"running":13}"#);
-    assert_eq!((view.done, view.running), (Some(3), Some(13)));
+    assert_eq!((view.finished_count, view.running_count), (Some(3), Some(13)));
     round_trip::<JobView>(r#"{"name_id":"j-000412","status":"aborted"}"#);
     round_trip::<ErrorView>(r#"{"error":"no such job"}"#);
     let statuses: Vec<JobStatus> = spellings(&["pending", "running", "done", "aborted"]);
@@ -86,12 +90,12 @@
         "vcpus":1,"accelerators":0,"mem_gb":1,"bundle":"i","image_gb":1,"flavours":null,
         "same_place":false,"apart":true,"loaners":false,"guess_s":1,"snapshot_s":0,"flush_s":0}"#,
     );
-    assert_eq!((spec.zone_cap(), &spec.types, &spec.deadline_s), (5, &None, &None));
+    assert_eq!((spec.max_tasks_per_zone(), &spec.types, &spec.deadline_s), (5, &None, &None));
     spec.tasks = 1;
-    assert_eq!(spec.zone_cap(), 1);
+    assert_eq!(spec.max_tasks_per_zone(), 1);
     spec.tasks = 9;
     spec.spread = false;
-    assert_eq!(spec.zone_cap(), 9);
+    assert_eq!(spec.max_tasks_per_zone(), 9);
 }
 
 #[test]
@@ -116,7 +120,7 @@
     assert_eq!(heartbeat.tasks[1], exited);
     let least: WorkerHeartbeat =
         read(r#"{"host":"h","addr":"a","flavour":"g8","site":"a","tenure":1,"serial":2}"#);
-    assert_eq!((least.spot, least.term, least.notice_s), (false, Term::new(0), None));
+    assert_eq!((least.spot, least.term, least.termination_notice_s), (false, Term::new(0), None));
     assert!(least.tasks.is_empty());
 }
 
@@ -137,8 +141,8 @@
             ExitCause::Stopped,
             ExitCause::Error,
             ExitCause::NoRoom,
-            ExitCause::Busy,
-            ExitCause::Unknown,
+            ExitCause::OtherAttemptPresent,
+            ExitCause::NoSuchTask,
         ]
     );
     assert_eq!(read::<ExitCause>("\"odd\""), ExitCause::Other);
@@ -174,7 +178,7 @@
         r#"{"hosts":[{"name_id":"host-000231","addr":"10.1.0.232:9000","flavour":"g8",
         "site":"a","loaners":true,"status":"running","age_s":61.5}],"truncated":false}"#,
     );
-    assert_eq!((list.machines[0].state, list.more), (ListedState::Running, false));
+    assert_eq!((list.machines[0].state, list.has_more), (ListedState::Running, false));
     let states: Vec<ListedState> = spellings(&["starting", "running", "failed"]);
     assert_eq!(states, [ListedState::Booting, ListedState::Running, ListedState::Failed]);
     assert_eq!(read::<ListedState>("\"odd\""), ListedState::Other);
@@ -190,7 +194,7 @@
     assert_eq!((item.version, item.lease), (Revision::new(412), Some(7)));
     let page: Page =
         round_trip(r#"{"items":[{"k":"a","v":null,"stamp":1}],"truncated":true,"generation":431}"#);
-    assert_eq!((page.more, page.revision), (true, Revision::new(431)));
+    assert_eq!((page.has_more, page.revision), (true, Revision::new(431)));
     let transaction = Transaction::default()
         .when("a/b", Revision::new(0))
         .put("a/b", json!({"x": 1}))
@@ -203,10 +207,10 @@
     assert_eq!(serde_json::to_value(&transaction).unwrap(), expected);
     assert_eq!(serde_json::from_value::<Transaction>(expected).unwrap(), transaction);
     assert_eq!(round_trip::<RevisionAnswer>(r#"{"generation":432}"#).revision, Revision::new(432));
-    round_trip::<Failed>(r#"{"failed":["a/b"],"generation":431}"#);
-    assert_eq!(round_trip::<Grant>(r#"{"claim":7}"#).lease, 7);
-    round_trip::<GrantRequest>(r#"{"ttl_ms":5000}"#);
-    let events: Events = round_trip(
+    round_trip::<FailedConditions>(r#"{"failed":["a/b"],"generation":431}"#);
+    assert_eq!(round_trip::<LeaseAnswer>(r#"{"claim":7}"#).lease, 7);
+    round_trip::<LeaseRequest>(r#"{"ttl_ms":5000}"#);
+    let events: WatchAnswer = round_trip(
         r#"{"generation":433,"log":[{"put":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
     );
     assert_eq!((events.revision, events.events.len()), (Revision::new(433), 2));
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file: what is read, which limits get defaults, and how wrong values are named.
 
-use corkfield_wire::settings::Platform;
+use corkfield_wire::settings::PlatformSettings;
 use std::time::Duration;
 
 const SETTINGS: &str = r#"
@@ -57,7 +57,7 @@
 
 #[test]
 fn every_field_is_read_under_its_own_spelling() {
-    let platform = Platform::parse(SETTINGS).expect("valid");
+    let platform = PlatformSettings::parse(SETTINGS).expect("valid");
     assert_eq!((platform.node.as_str(), platform.zone.as_str()), ("worker-0", "lahore"));
     assert_eq!(platform.listen.to_string(), "10.0.0.1:8080");
     assert_eq!(platform.peer_listen.to_string(), "10.0.0.1:8081");
@@ -66,35 +66,35 @@
     assert_eq!(peer.addr.to_string(), "10.0.0.2:8081");
     assert_eq!(platform.endpoints.cloud.to_string(), "10.2.0.2:8443");
     assert_eq!(platform.endpoints.state.to_string(), "10.2.0.1:2379");
-    let params = &platform.params;
-    assert_eq!(params.size, 3);
-    assert_eq!(params.zones, ["karachi", "lahore"]);
-    assert_eq!(params.clock_off_ms, 1000.0);
-    assert_eq!((params.teams[0].cpus, params.teams[0].cpus_max), (72.0, 232.0));
-    assert_eq!((params.teams[0].gpus, params.teams[0].gpus_max), (0.0, 0.0));
-    assert_eq!(params.objectives[0].kind, "finished");
-    assert_eq!(params.objectives[0].class.as_deref(), Some("trace-decode"));
-    assert_eq!(params.objectives[0].within_s, Some(90.0));
-    assert_eq!(params.objectives[0].share, Some(0.8));
-    assert_eq!(params.workers.heartbeat_interval(), Duration::from_secs(3));
-    assert_eq!(params.workers.lease(), Duration::from_secs(26));
-    assert_eq!(params.workers.cancel(), Duration::from_secs(46));
-    assert_eq!((params.state.rps, params.state.write_rps), (150.0, 60.0));
-    assert_eq!((params.state.value_kb, params.state.txn_ops), (16.0, 12));
-    assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (6.0, 4.0));
-    assert_eq!((params.limits.cpu_share, params.limits.memory_mb), (0.04, 72.0));
-    assert_eq!(params.limits.max_connections, 1200);
+    let service = &platform.service;
+    assert_eq!(service.size, 3);
+    assert_eq!(service.zones, ["karachi", "lahore"]);
+    assert_eq!(service.max_clock_error_ms, 1000.0);
+    assert_eq!((service.teams[0].cpus, service.teams[0].cpus_max), (72.0, 232.0));
+    assert_eq!((service.teams[0].gpus, service.teams[0].gpus_max), (0.0, 0.0));
+    assert_eq!(service.objectives[0].kind, "finished");
+    assert_eq!(service.objectives[0].class.as_deref(), Some("trace-decode"));
+    assert_eq!(service.objectives[0].within_s, Some(90.0));
+    assert_eq!(service.objectives[0].share, Some(0.8));
+    assert_eq!(service.workers.heartbeat_interval(), Duration::from_secs(3));
+    assert_eq!(service.workers.lease_duration(), Duration::from_secs(26));
+    assert_eq!(service.workers.cancel_timeout(), Duration::from_secs(46));
+    assert_eq!((service.state.rps, service.state.write_rps), (150.0, 60.0));
+    assert_eq!((service.state.value_kb, service.state.txn_ops), (16.0, 12));
+    assert_eq!((service.cloud.rps, service.cloud.list_lag_s), (6.0, 4.0));
+    assert_eq!((service.limits.cpu_share, service.limits.memory_mb), (0.04, 72.0));
+    assert_eq!(service.limits.max_connections, 1200);
 }
 
 #[test]
 fn limits_that_are_not_given_get_defaults() {
     let cut = SETTINGS.find("[settings.state]").expect("in the text");
-    let params = Platform::parse(&SETTINGS[..cut]).expect("valid").params;
-    assert_eq!((params.state.rps, params.state.write_rps), (100.0, 40.0));
-    assert_eq!((params.state.value_kb, params.state.txn_ops), (16.0, 8));
-    assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (2.0, 0.0));
-    assert_eq!((params.limits.cpu_share, params.limits.memory_mb), (0.0, 0.0));
-    assert_eq!(params.limits.max_connections, 0);
+    let service = PlatformSettings::parse(&SETTINGS[..cut]).expect("valid").service;
+    assert_eq!((service.state.rps, service.state.write_rps), (100.0, 40.0));
+    assert_eq!((service.state.value_kb, service.state.txn_ops), (16.0, 8));
+    assert_eq!((service.cloud.rps, service.cloud.list_lag_s), (2.0, 0.0));
+    assert_eq!((service.limits.cpu_share, service.limits.memory_mb), (0.0, 0.0));
+    assert_eq!(service.limits.max_connections, 0);
 }
 
 #[test]
@@ -122,9 +122,9 @@
     ];
     for (valid, wrong, field, reason) in cases {
         assert!(SETTINGS.contains(valid), "{valid}");
-        let error = Platform::parse(&SETTINGS.replacen(valid, wrong, 1)).expect_err(wrong);
+        let error = PlatformSettings::parse(&SETTINGS.replacen(valid, wrong, 1)).expect_err(wrong);
         assert_eq!(error.to_string(), format!("{field}: {reason}"), "{wrong}");
     }
-    let error = Platform::parse("node_name = 7").expect_err("no settings").to_string();
+    let error = PlatformSettings::parse("node_name = 7").expect_err("no settings").to_string();
     assert!(error.contains("node_name = 7"), "{error}");
 }
--- a/crates/wire/tests/stored_records.rs
+++ b/crates/wire/tests/stored_records.rs
@@ -64,8 +64,8 @@
     let mut record = JobRecord::new(job_spec(1000), ACCEPTED_MS);
     record.claim(Incarnation::from("worker-2.1700000000000.5"));
     record.finished = task_set(&[0, 1, 2, 5, 9, 10]);
-    record.done = 6;
-    record.running = 13;
+    record.finished_count = 6;
+    record.running_count = 13;
     record.claim(Incarnation::from("worker-3.1"));
     record
 }
@@ -135,9 +135,9 @@
 
 #[test]
 fn final_records_keep_their_json() {
-    let done = FinalRecord { status: JobStatus::Done, done: 16 };
+    let done = FinalRecord { status: JobStatus::Done, finished_count: 16 };
     assert_stored_as(&done, fixture!("final_done"));
-    let cancelled = FinalRecord { status: JobStatus::Cancelled, done: 3 };
+    let cancelled = FinalRecord { status: JobStatus::Cancelled, finished_count: 3 };
     assert_stored_as(&cancelled, fixture!("final_cancelled"));
 }
 
--- a/crates/wire/tests/submissions.rs
+++ b/crates/wire/tests/submissions.rs
@@ -1,6 +1,6 @@
 //! Which submissions are refused, and the reason that their users read, word for word.
 
-use corkfield_wire::user::BadSubmission;
+use corkfield_wire::user::SubmissionError;
 use corkfield_wire::{JobId, JobSpec};
 use serde_json::{json, Value};
 
@@ -14,7 +14,7 @@
     })
 }
 
-fn refusal(body: &[u8]) -> BadSubmission {
+fn refusal(body: &[u8]) -> SubmissionError {
     JobSpec::parse(body).expect_err("malformed")
 }
 
