--- a/crates/core/tests/scheduler/random_faults/store.rs
+++ b/crates/core/tests/scheduler/random_faults/store.rs
@@ -80,7 +80,7 @@
         if record.start_watermark > 0 || starts_soon {
             record.claim(owner.clone());
         } else {
-            record.claim_without_starts(owner.clone());
+            record.claim_keeping_start_watermark(owner.clone());
         }
         record.dead_lettered |= record.claims > claim_limit;
         Some(Write::Claim(Box::new(StoredJob { record, version })))
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -164,7 +164,7 @@
         {
             record.claim(owner);
         } else {
-            record.claim_without_starts(owner);
+            record.claim_keeping_start_watermark(owner);
         }
         if record.claims > self.context.env.settings.operator.claim_limit {
             let (job, claims) = (&record.spec.id, record.claims);
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -10,7 +10,8 @@
 use corkfield_core::CompletionCommit;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{
-    final_key, finished_key, finished_prefix, job_key, FinalRecord, JobRecord, CHUNK_TASKS,
+    final_record_key, finished_tasks_key, finished_tasks_prefix, job_key, FinalRecord, JobRecord,
+    CHUNK_TASKS,
 };
 use corkfield_wire::store::Transaction;
 use corkfield_wire::{JobId, JobStatus, Revision, TaskSet};
@@ -76,11 +77,13 @@
                 status: JobStatus::Done,
                 finished_count: commit.record.finished_count,
             };
-            transaction = transaction.delete(job_key(id)).put(final_key(id), store_value(&record));
+            transaction =
+                transaction.delete(job_key(id)).put(final_record_key(id), store_value(&record));
         } else {
             transaction = transaction.put(job_key(id), store_value(&commit.record));
             for (chunk, finished) in &commit.chunks {
-                transaction = transaction.put(finished_key(id, *chunk), store_value(finished));
+                transaction =
+                    transaction.put(finished_tasks_key(id, *chunk), store_value(finished));
             }
         }
         Self { commit, transaction }
@@ -202,7 +205,7 @@
 /// Finished tasks of a job that is too large to keep them in its record; `None` without an answer.
 pub(super) async fn finished_chunks(context: &LeadershipContext, id: &JobId) -> Option<TaskSet> {
     let state = &context.env.state;
-    let (items, _) = state.list(RequestClass::Claim, &finished_prefix(id)).await.ok()?;
+    let (items, _) = state.list(RequestClass::Claim, &finished_tasks_prefix(id)).await.ok()?;
     let mut finished = TaskSet::default();
     for item in items {
         if let Ok(chunk) = serde_json::from_value::<TaskSet>(item.value) {
@@ -215,7 +218,8 @@
 /// Drops the finished tasks of a job that is done; what is left of them does no harm.
 async fn drop_chunks(context: &LeadershipContext, record: &JobRecord) {
     let chunks = record.spec.tasks.div_ceil(CHUNK_TASKS);
-    let keys: Vec<String> = (0..chunks).map(|chunk| finished_key(&record.spec.id, chunk)).collect();
+    let keys: Vec<String> =
+        (0..chunks).map(|chunk| finished_tasks_key(&record.spec.id, chunk)).collect();
     for part in keys.chunks(CHUNKS_PER_DELETION) {
         let transaction = part
             .iter()
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -51,6 +51,6 @@
     let expected = Transaction::default()
         .when(job_key(&id), Revision::new(7))
         .delete(job_key(&id))
-        .put(final_key(&id), store_value(&record));
+        .put(final_record_key(&id), store_value(&record));
     assert_eq!(transaction, expected);
 }
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -10,7 +10,7 @@
 use crate::store_value::store_value;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
+use corkfield_wire::records::{final_record_key, job_key, FinalRecord, JobRecord};
 use corkfield_wire::store::Transaction;
 use corkfield_wire::{JobId, JobStatus, Revision};
 use lookup::{view, LookupError, StoredJob, QUERY_LIMIT};
@@ -90,9 +90,9 @@
         let value = store_value(&cancelled);
         let transaction = Transaction::default()
             .when(job_key(id), version)
-            .when(final_key(id), Revision::NONE)
+            .when(final_record_key(id), Revision::NONE)
             .delete(job_key(id))
-            .put(final_key(id), value);
+            .put(final_record_key(id), value);
         self.env.state.transaction(RequestClass::Claim, &transaction).await
     }
 
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -4,7 +4,7 @@
 use crate::responses::json;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{final_key, FinalRecord, JobRecord, Versioned};
+use corkfield_wire::records::{final_record_key, FinalRecord, JobRecord, Versioned};
 use corkfield_wire::user::JobView;
 use corkfield_wire::{JobId, JobStatus, Revision};
 use std::time::Duration;
@@ -73,7 +73,7 @@
         }
         // Jobs that are over are not followed. One that is neither unfinished nor over now was
         // never accepted: final records are written in the transaction that drops the others.
-        let read = self.env.state.get(RequestClass::Reading, &final_key(id)).await?;
+        let read = self.env.state.get(RequestClass::Reading, &final_record_key(id)).await?;
         let Some(item) = read else {
             return Ok(StoredJob::Unknown);
         };
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -7,7 +7,7 @@
 use corkfield_core::check_schedulable;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{final_key, job_key, JobRecord};
+use corkfield_wire::records::{final_record_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
 use corkfield_wire::user::SubmissionError;
 use corkfield_wire::{JobId, JobSpec, JobStatus, Revision};
@@ -68,7 +68,7 @@
         };
         let transaction = Transaction::default()
             .when(job_key(&id), Revision::NONE)
-            .when(final_key(&id), Revision::NONE)
+            .when(final_record_key(&id), Revision::NONE)
             .put(job_key(&id), value);
         self.store_new(&id, &transaction).await
     }
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{job_spec, scenario, sleep_s, CANCEL_S};
 use corkfield_fakes::JobPlan;
-use corkfield_wire::records::final_key;
+use corkfield_wire::records::final_record_key;
 use corkfield_wire::user::PATH_JOBS;
 use corkfield_wire::{JobStatus, Priority};
 
@@ -18,7 +18,7 @@
             cluster.wait_until_done(&job.id, 60.0).await;
             assert_eq!(cluster.submit(job, 3.0).await, 200);
             assert!(cluster.job_record(&job.id).is_none(), "only a small final record is kept");
-            assert!(cluster.store.value(&final_key(&job.id)).is_some());
+            assert!(cluster.store.value(&final_record_key(&job.id)).is_some());
         }
         // Machines that nobody needs are returned in the end.
         sleep_s(120.0).await;
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,40 +1,43 @@
-//! What the cloud's interface takes and answers.
+//! Messages of the cloud's HTTP interface: machine types, rentals, deletions and the machine list.
+//!
+//! The protocol calls a machine a host, a machine type a flavour, a zone a site, a spot machine a
+//! loaner, and a rental request a booking.
 
 use crate::ids::MachineName;
 use serde::{Deserialize, Serialize};
 
-/// Path of the machine types.
+/// Path that lists the machine types (GET).
 pub const PATH_TYPES: &str = "/flavors";
-/// Path of the machine list (GET) and of rentals (POST).
+/// Path that lists machines (GET) and rents machines (POST).
 pub const PATH_MACHINES: &str = "/hosts";
-/// Path of deletions.
+/// Path that deletes machines (POST).
 pub const PATH_DELETE: &str = "/hosts/delete";
-/// Most machines that one request may rent.
+/// Maximum number of machines that one request may rent.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Most machines that one request may delete.
+/// Maximum number of machines that one request may delete.
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
-/// Most machines that one page of the list holds.
+/// Maximum number of machines in one page of the list.
 pub const MAX_MACHINES_PER_PAGE: u32 = 500;
 
-/// A machine type and its present prices.
+/// A machine type with its current prices.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name (`label`).
+    /// Name of the machine type (`label`).
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs of a machine.
+    /// Number of CPUs of a machine (`vcpus`).
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs of a machine.
+    /// Number of GPUs of a machine (`accelerators`).
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory of a machine, in GB.
+    /// Memory of a machine, in GB (`mem_gb`).
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// Size of its cache of images, in GB.
+    /// Size of a machine's image cache, in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which a machine fetches images, in GB per second.
+    /// Rate at which a machine fetches images, in GB per second (`pull_gb_per_s`).
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine per hour (`rate`).
@@ -43,18 +46,18 @@
     /// Price of a spot machine per hour (`low_price`).
     #[serde(rename = "low_price", default)]
     pub spot_price: f64,
-    /// Nominal boot time, in seconds.
+    /// Nominal boot time of a machine, in seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Names of the zones that offer it.
+    /// Names of the zones that offer this type (`sites`).
     #[serde(rename = "sites", default)]
     pub zones: Vec<String>,
 }
 
-/// The answer with all machine types.
+/// The response that lists all machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// All machine types (`flavours`).
     #[serde(rename = "flavours")]
     pub types: Vec<MachineType>,
 }
@@ -62,81 +65,86 @@
 /// A request to rent machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request (`booking`). A repeat rents nothing, so none may be used twice.
+    /// Unique name of the request (`booking`). The cloud rents nothing for a name that was used
+    /// before.
     #[serde(rename = "booking")]
     pub request: String,
-    /// Name of the machine type.
+    /// Name of the machine type (`flavour`).
     #[serde(rename = "flavour")]
     pub machine_type: String,
-    /// Name of the zone.
+    /// Name of the zone (`site`).
     #[serde(rename = "site")]
     pub zone: String,
-    /// Spot machines in place of on-demand ones.
+    /// Whether to rent spot machines instead of on-demand machines (`loaners`).
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, at most [`MAX_MACHINES_PER_RENTAL`]; fewer may be rented.
+    /// Number of machines (`number`), at most [`MAX_MACHINES_PER_RENTAL`]. The cloud may rent
+    /// fewer.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: the answer to a rental, the body of a deletion.
+/// Names of machines: the response to a rental request, and the body of a deletion request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines (`hosts`).
     #[serde(rename = "hosts")]
     pub machines: Vec<MachineName>,
 }
 
-/// What the list says of a machine (`status`).
+/// State of a machine in the machine list (`status`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedState {
-    /// Rented and not known to be up (`starting`).
+    /// The machine is rented and not known to be up (`starting`).
     #[serde(rename = "starting")]
     Booting,
-    /// Up; also shown for about 30 s after the machine died.
+    /// The machine is up. The list also shows this state for about 30 s after the machine died.
     #[serde(rename = "running")]
     Running,
-    /// It stopped on its own and is not charged any more.
+    /// The machine stopped without a deletion request and is no longer charged.
     #[serde(rename = "failed")]
     Failed,
-    /// A state that this version doesn't know.
+    /// A state that is unknown to this version.
     #[serde(other)]
     Other,
 }
 
-/// A machine in the list.
+/// A machine in the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name; names are in the order of creation.
+    /// Name of the machine (`name_id`). Names sort in the order of creation.
     #[serde(rename = "name_id")]
     pub name: MachineName,
-    /// Address that takes direct orders, `IP:port`.
+    /// Address at which the machine takes direct orders, as `IP:port`.
     #[serde(default)]
     pub addr: String,
-    /// Name of its machine type.
+    /// Name of the machine's type (`flavour`).
     #[serde(rename = "flavour")]
     pub machine_type: String,
-    /// Name of its zone.
+    /// Name of the machine's zone (`site`).
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine (`loaners`).
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// What state it is in.
+    /// State of the machine (`status`).
     #[serde(rename = "status")]
     pub state: ListedState,
-    /// Seconds from the rental request to the moment that the list describes.
+    /// Time from the rental request to the moment that the list describes, in seconds.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// A page of the machine list. It lags, and may be older than one read before.
+/// A page of the machine list.
+///
+/// The list lags behind the machines' actual states, and a page may be older than a page that was
+/// read before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines in order of their names.
+    /// Machines of this page, ordered by name (`hosts`).
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow (`truncated`).
+    /// Whether further pages follow (`truncated`).
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,18 +1,20 @@
-//! Numbers and names that tell things of one kind apart, each with a type of its own, so that
-//! none is taken for another. On the wire and in stored records they are what they wrap.
+//! Newtypes for identifying numbers and names.
+//!
+//! Each kind has its own type, so that the compiler rejects a confusion of two kinds. On the wire
+//! and in stored records, each is encoded as the bare number or string that it wraps.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
 use std::fmt;
 
-/// Low bits of an attempt, which count the attempts of one generation.
-const COUNT_BITS: u32 = 24;
-/// The highest count of attempts in one generation.
-const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
+/// Number of low bits of an [`Attempt`] that hold its count within one generation.
+const ATTEMPT_COUNT_BITS: u32 = 24;
+/// The highest count of an [`Attempt`] within one generation.
+const MAX_ATTEMPT_COUNT: u64 = (1 << ATTEMPT_COUNT_BITS) - 1;
 
-/// Defines the type of a number: how it is made, read, compared, written and shown.
-macro_rules! number {
+/// Defines a newtype around `u64` with its constructor, accessor and formatting.
+macro_rules! number_type {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
         #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -21,12 +23,12 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Takes the bare number.
+            /// Wraps a number.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
 
-            /// The bare number.
+            /// Returns the wrapped number.
             pub const fn get(self) -> u64 {
                 self.0
             }
@@ -38,7 +40,7 @@
             }
         }
 
-        // The bare number: logs show values that contain one.
+        // Formats the number without the type name, because log lines contain the debug format.
         impl fmt::Debug for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 fmt::Debug::fmt(&self.0, f)
@@ -47,8 +49,8 @@
     };
 }
 
-/// Defines the type of a name: how it is made, read, compared, written and shown.
-macro_rules! name {
+/// Defines a newtype around `String` with its conversions, accessor and formatting.
+macro_rules! name_type {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
         #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -57,13 +59,13 @@
         pub struct $name(String);
 
         impl $name {
-            /// The bare name.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
         }
 
-        // So maps whose keys are names are searched by a bare text.
+        // Allows lookups by `&str` in maps that are keyed by names.
         impl Borrow<str> for $name {
             fn borrow(&self) -> &str {
                 &self.0
@@ -88,7 +90,7 @@
             }
         }
 
-        // The bare text: logs show values that contain one.
+        // Formats the text without the type name, because log lines contain the debug format.
         impl fmt::Debug for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 fmt::Debug::fmt(&self.0, f)
@@ -97,100 +99,104 @@
     };
 }
 
-number! {
-    /// The term of a leader: raised by every claim of the leader record, so no two leaders share
-    /// one. The fencing token of workers. 0 is before the first.
+number_type! {
+    /// The term of a leader, and the fencing token of workers. Every claim of the leader record
+    /// raises the term, so no two leaders have the same one. 0 means that there was no leader yet.
     #[derive(BorshSerialize, BorshDeserialize)]
     Term
 }
 
 impl Term {
-    /// The term after this one.
+    /// Returns the next term.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-number! {
-    /// The generation of a job's claim: raised by every claim of the job. 0 is before the first.
+number_type! {
+    /// The generation of a job, which is its fencing token: every claim of the job raises it. 0
+    /// means that the job was not claimed yet.
     Generation
 }
 
 impl Generation {
-    /// The generation after this one.
+    /// Returns the next generation.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-number! {
-    /// The number of an attempt at a task. Attempts never repeat: the generation of the claim that
-    /// they were made under, raised by each claim, is their high part.
+number_type! {
+    /// The number of an attempt to run a task, unique for the task.
+    ///
+    /// The high bits hold the generation of the claim under which the attempt was made, and the
+    /// low 24 bits a count. As every claim raises the generation, numbers never repeat.
     Attempt
 }
 
 impl Attempt {
-    /// The attempt with that count in a generation.
+    /// Returns the attempt with the given count in a generation.
     pub const fn in_generation(generation: Generation, count: u64) -> Self {
-        Self((generation.0 << COUNT_BITS) | (count & MAX_COUNT))
+        Self((generation.0 << ATTEMPT_COUNT_BITS) | (count & MAX_ATTEMPT_COUNT))
     }
 
-    /// The generation of the claim that the attempt was made under.
+    /// Returns the generation of the claim under which the attempt was made.
     pub const fn generation(self) -> Generation {
-        Generation(self.0 >> COUNT_BITS)
+        Generation(self.0 >> ATTEMPT_COUNT_BITS)
     }
 }
 
-number! {
-    /// A revision of the state service's store, and the version of a key: the revision that wrote
-    /// it last.
+number_type! {
+    /// A revision of the state service's store. The version of a key is the revision that last
+    /// wrote the key.
     Revision
 }
 
 impl Revision {
-    /// The version of a key that doesn't exist, and the revision of a store nothing was written to.
+    /// The version of a key that doesn't exist, and the revision of a store without any writes.
     pub const NONE: Self = Self(0);
 
-    /// The revision after this one.
+    /// Returns the next revision.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-number! {
-    /// An agent epoch of a worker: raised each time the worker's lease expires. 0 is before the
-    /// first.
+number_type! {
+    /// The agent epoch of a worker, raised each time the worker's lease expires. 0 is below every
+    /// epoch that a worker uses.
     AgentEpoch
 }
 
 impl AgentEpoch {
-    /// The epoch that a worker begins with.
+    /// The epoch with which a worker begins.
     pub const FIRST: Self = Self(1);
 
-    /// The epoch after this one.
+    /// Returns the next epoch.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-name! {
-    /// An incarnation of a controller: its name and a random part, new with each lease of its
-    /// membership. Jobs are claimed under one. Empty where there is none.
+name_type! {
+    /// An incarnation of a controller: the name of its node and a random suffix. The controller
+    /// draws a new suffix for each lease of its membership, and claims jobs under the incarnation.
+    /// Empty for a controller without a lease.
     #[derive(BorshSerialize, BorshDeserialize)]
     Incarnation
 }
 
-name! {
+name_type! {
     /// The name of a controller's node.
     #[derive(BorshSerialize, BorshDeserialize)]
     ControllerName
 }
 
-name! {
+name_type! {
     /// The name of a machine.
     MachineName
 }
--- a/crates/wire/src/job_id.rs
+++ b/crates/wire/src/job_id.rs
@@ -1,4 +1,4 @@
-//! The id of a job.
+//! Job ids.
 
 use crate::parse_visitor::ParseVisitor;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -7,31 +7,33 @@
 const JOB_ID_PREFIX: &str = "j-";
 const JOB_ID_DIGITS: usize = 20;
 
-/// The id of a job, chosen by its user: `j-` and 1 to 20 digits. It is kept in place, without an
-/// allocation: a leader compares and copies ids for every task of every heartbeat.
+/// The id of a job, chosen by its user: `j-` followed by 1 to 20 digits.
+///
+/// The digits are stored inline, without a heap allocation, because the leader compares and copies
+/// ids for every task of every heartbeat. Ids are ordered by their text.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId {
-    /// The digits as they were sent, leading zeros too, then zero bytes: so ids are in order of
-    /// their text.
+    /// The digits as received, including leading zeros, padded with zero bytes. The padding makes
+    /// the derived order equal to the order of the texts.
     digits: [u8; JOB_ID_DIGITS],
     length: u8,
 }
 
 impl JobId {
-    /// Reads an id; none if the text is not of its form.
+    /// Parses an id; returns `None` if the text is not a valid job id.
     pub fn parse(text: &str) -> Option<Self> {
-        let given = text.strip_prefix(JOB_ID_PREFIX)?.as_bytes();
-        let length_fits = (1..=JOB_ID_DIGITS).contains(&given.len());
-        if !length_fits || !given.iter().all(u8::is_ascii_digit) {
+        let text_digits = text.strip_prefix(JOB_ID_PREFIX)?.as_bytes();
+        let length_fits = (1..=JOB_ID_DIGITS).contains(&text_digits.len());
+        if !length_fits || !text_digits.iter().all(u8::is_ascii_digit) {
             return None;
         }
         let mut digits = [0; JOB_ID_DIGITS];
-        digits[..given.len()].copy_from_slice(given);
-        Some(Self { digits, length: u8::try_from(given.len()).ok()? })
+        digits[..text_digits.len()].copy_from_slice(text_digits);
+        Some(Self { digits, length: u8::try_from(text_digits.len()).ok()? })
     }
 
     fn digits(&self) -> &str {
-        // They were taken from a text, and are ASCII.
+        // `parse` accepts only ASCII digits, so the conversion can't fail.
         std::str::from_utf8(&self.digits[..usize::from(self.length)]).unwrap_or_default()
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,11 @@
-//! Wire formats of corkfield.
+//! Wire formats of corkfield: messages, stored records and the settings file.
 //!
-//! Every name that an outside system uses appears in this crate and nowhere else; the rest of
-//! the project speaks in the field's own terms (lease, term, generation, attempt, spot, zone,
-//! image). Where a field's spelling in the protocol differs, its `serde` attribute holds it.
+//! This crate is the only one that holds the names of outside protocols. Rust names follow the
+//! usual terms of cluster scheduling (lease, term, generation, attempt, spot, zone, image). Where
+//! the protocol spells a name differently, a `serde` attribute holds the protocol's spelling, and
+//! the doc comment of the field or variant gives it in parentheses.
 //!
-//! Architecture invariant: this crate depends on no other of the project, and does no I/O.
+//! Architecture invariant: this crate depends on no other crate of the project and does no I/O.
 #![forbid(unsafe_code)]
 
 pub mod cloud;
--- a/crates/wire/src/parse_visitor.rs
+++ b/crates/wire/src/parse_visitor.rs
@@ -1,13 +1,13 @@
-//! Values that are written as text, read without a copy of the text.
+//! Deserialization of values that are encoded as text, without copying the text.
 
 use serde::de::{Error, Visitor};
 use std::fmt;
 
-/// Reads a text and parses it.
+/// A serde visitor that parses a string into a value.
 pub(crate) struct ParseVisitor<T> {
-    /// Parses the text; none if it is malformed.
+    /// Parses the text; returns `None` if the text is malformed.
     pub parse: fn(&str) -> Option<T>,
-    /// What it should be, for errors.
+    /// What the text must contain, for error messages.
     pub expected: &'static str,
 }
 
@@ -19,7 +19,7 @@
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<T, E> {
-        // Without the text itself, which may be as long as a whole request.
+        // The error omits the text, which may be as long as a whole request.
         (self.parse)(text).ok_or_else(|| E::custom(format_args!("malformed {}", self.expected)))
     }
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,90 +1,94 @@
-//! What controllers say to one another: borsh, each frame led by its length and a version.
+//! Messages between controllers.
+//!
+//! A frame consists of its length, a version byte and a body in borsh encoding. The order of
+//! fields and variants is part of the format.
 
 use crate::ids::{ControllerName, Incarnation, Term};
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Version of the frames; others are refused.
+/// Version of the frame format. Frames of other versions are rejected.
 pub const VERSION: u8 = 2;
-/// No frame may be longer, in bytes.
+/// Maximum length of a frame's version and body together, in bytes.
 pub const MAX_FRAME: usize = 256 * 1024;
 
-/// One controller's view, sent once a second or so.
+/// A heartbeat of one controller to another, sent about once a second.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
-    /// Name of the sender's node.
+    /// Node name of the sender.
     pub node: ControllerName,
-    /// The sender's incarnation; empty while it has no lease.
+    /// Incarnation of the sender; empty while the sender has no lease.
     pub incarnation: Incarnation,
-    /// Drawn anew by each process.
+    /// Random number that identifies the sender's process.
     pub process: u64,
-    /// Counts the heartbeats sent to this receiver.
+    /// Sequence number of this heartbeat among those that the process sent to this receiver.
     pub number: u64,
-    /// The number of the receiver's own heartbeat that came last; 0 if none did.
+    /// Sequence number of the last heartbeat that the sender received from the receiver; 0 if none.
     pub last_received_number: u64,
-    /// The receiver's process that sent that one.
+    /// Process that sent the last heartbeat received from the receiver; 0 if none.
     pub last_received_process: u64,
-    /// The sender has had no answer from the state service for a while, knows of no leader but the
-    /// receiver, and every cancellation that it confirmed to a user was acknowledged by the
-    /// receiver (S11).
+    /// Whether the sender attests to the receiver, as the leader, that the state service is out
+    /// (S6, S11). The sender attests this if it has had no answer from the state service for a
+    /// while, knows of no other leader, and the receiver has acknowledged every cancellation that
+    /// the sender confirmed to a user.
     pub is_outage_attestation: bool,
-    /// It is the leader, or takes itself for the leader.
+    /// Whether the sender is the leader or believes to be the leader.
     pub is_leader: bool,
-    /// The state service answered this controller a moment ago.
+    /// Whether the sender recently had an answer from the state service.
     pub is_store_reachable: bool,
-    /// The leader that it knows of.
+    /// Node name of the leader that the sender knows of.
     pub leader: Option<ControllerName>,
-    /// That leader's term; 0 without one.
+    /// Term of the leader record that the sender knows of; 0 without a record.
     pub term: Term,
 }
 
 /// A message between controllers. The order of the variants is part of the format.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
-    /// The sender's view.
+    /// A heartbeat of the sending controller.
     PeerHeartbeat(PeerHeartbeat),
-    /// A worker's heartbeat, passed on to the leader by a controller that the worker can reach.
+    /// A worker's heartbeat, relayed to the leader by a controller that the worker can reach.
     WorkerHeartbeat {
-        /// Chosen by the sender; its answer carries the same.
+        /// Request number, chosen by the sender and repeated in the answer.
         number: u64,
-        /// The heartbeat's JSON as it came.
+        /// The heartbeat in JSON ([`RelayedHeartbeat`](crate::worker::RelayedHeartbeat)).
         body: Vec<u8>,
     },
-    /// The leader's answer to it.
+    /// The leader's answer to a [`Frame::WorkerHeartbeat`].
     Answer {
-        /// The number of the heartbeat that it answers.
+        /// Request number of the heartbeat that is answered.
         number: u64,
-        /// The HTTP status for the worker.
+        /// HTTP status of the response to the worker.
         status: u16,
-        /// The JSON for the worker.
+        /// JSON body of the response to the worker.
         body: Vec<u8>,
     },
-    /// The state service holds these jobs as cancelled: the sender committed that, or read it
-    /// (S11).
+    /// The state service has recorded the cancellation of these jobs, as the sender knows from its
+    /// own write or from a read (S11).
     Cancelled {
-        /// Ids of the jobs.
+        /// Ids of the cancelled jobs.
         jobs: Vec<String>,
     },
-    /// The receiver of a [`Frame::Cancelled`] has taken it in.
+    /// The receiver of a [`Frame::Cancelled`] confirms that it has processed the frame.
     Acknowledged {
-        /// Ids of the jobs.
+        /// Ids of the cancelled jobs.
         jobs: Vec<String>,
     },
 }
 
-/// Why a frame can't be read.
+/// Errors of decoding a frame.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It is of another version than [`VERSION`].
+    /// The frame's version is not [`VERSION`].
     #[error("unknown peer version {0}")]
     Version(u8),
-    /// It is empty, or its body is no frame.
+    /// The frame is empty, or its body can't be decoded.
     #[error("malformed frame")]
     Malformed,
 }
 
 impl Frame {
-    /// The frame as it goes over the link: length (4 bytes, little endian), version, body. The
-    /// length counts the version and the body.
+    /// Encodes the frame as it is sent: length (4 bytes, little endian), version (1 byte), body.
+    /// The length counts the version and the body.
     pub fn encode(&self) -> Vec<u8> {
         let body = borsh::to_vec(self).unwrap_or_default();
         let length = u32::try_from(body.len() + 1).unwrap_or(u32::MAX);
@@ -94,11 +98,11 @@
         bytes
     }
 
-    /// Reads what follows the length.
+    /// Decodes a frame from the bytes that follow its length.
     ///
     /// # Errors
     ///
-    /// If the version is not [`VERSION`], or the body is no frame.
+    /// Returns an error if the version is not [`VERSION`] or the body can't be decoded.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         match bytes.split_first() {
             Some((&VERSION, body)) => borsh::from_slice(body).map_err(|_| FrameError::Malformed),
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn frames_survive_a_round_trip_and_nonsense_is_refused() {
+fn frames_are_decoded_as_encoded_and_malformed_ones_are_rejected() {
     let frame = Frame::Answer { number: 7, status: 200, body: b"{}".to_vec() };
     let bytes = frame.encode();
     assert_eq!(usize::from(bytes[0]), bytes.len() - 4);
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -1,90 +1,92 @@
-//! What corkfield keeps in the state service: keys, and the records below them.
+//! Records that corkfield stores in the state service, and their keys.
 //!
-//! Keys below `c/` are replicated to every controller: memberships, the leader record, machine
-//! types and unfinished jobs. Final states (`f/`), finished tasks of very large jobs (`d/`) and
-//! machines that may hold tasks (`h/`) are read when they are needed.
+//! Every controller replicates the keys below `c/`: memberships, the leader record, transfer
+//! requests, machine types and unfinished jobs. Final records (`f/`), finished tasks of large jobs
+//! (`d/`) and machines that may hold tasks (`h/`) are read on demand.
 //!
-//! Records outlive the version that wrote them. A field may be renamed here, but its spelling in
-//! the stored JSON stays (`tests/stored_records.rs`).
+//! Records outlive the version that wrote them, so the spelling of a field in the stored JSON never
+//! changes, even if the field is renamed in Rust (`tests/stored_records.rs`).
 
 mod job;
 mod keys;
 
-pub use job::{FinalRecord, JobRecord, CHUNK_TASKS, FIRST_START_WATERMARK};
+pub use job::{FinalRecord, JobRecord, CHUNK_TASKS, MIN_START_WATERMARK_STEP};
 pub use keys::{
-    controller_key, final_key, finished_key, finished_prefix, job_key, machine_key,
-    transfer_request_key, CONTROLLERS_PREFIX, FINAL_RECORDS_PREFIX, FINISHED_TASKS_PREFIX,
-    JOBS_PREFIX, LEADER_KEY, MACHINE_RECORDS_PREFIX, MACHINE_TYPES_KEY, REPLICATED_PREFIX,
-    TRANSFER_REQUESTS_PREFIX,
+    controller_key, final_record_key, finished_tasks_key, finished_tasks_prefix, job_key,
+    machine_key, transfer_request_key, CONTROLLERS_PREFIX, FINAL_RECORDS_PREFIX,
+    FINISHED_TASKS_PREFIX, JOBS_PREFIX, LEADER_KEY, MACHINE_RECORDS_PREFIX, MACHINE_TYPES_KEY,
+    REPLICATED_PREFIX, TRANSFER_REQUESTS_PREFIX,
 };
 
 use crate::cloud::MachineType;
 use crate::ids::{ControllerName, Incarnation, Revision, Term};
 use serde::{Deserialize, Serialize};
 
-/// A record, and the version of its key as it was read or written: what a conditional write of it
-/// rests on.
+/// A record with the version of its key at the time of the read or write. A conditional write of
+/// the record requires this version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned<T> {
     /// The record.
     pub record: T,
-    /// The version of its key.
+    /// The version of the record's key.
     pub version: Revision,
 }
 
-/// A controller's membership of the cluster; its key is attached to the controller's lease.
+/// A controller's membership of the cluster. Its key is attached to the controller's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The controller's incarnation: its name and a random part, new with each lease.
+    /// Incarnation of the controller, which changes with each lease.
     pub incarnation: Incarnation,
-    /// The lease in the state service that the key is attached to.
+    /// Number of the lease in the state service to which the key is attached.
     pub lease: u64,
 }
 
-/// Who is the leader at present, and under which term.
+/// The current leader and its term.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The node that holds the record; none after an orderly hand-over.
+    /// Node of the leader; `None` after an orderly hand-over.
     pub node: Option<ControllerName>,
-    /// The incarnation under which the record was claimed.
+    /// Incarnation under which the record was claimed.
     pub incarnation: Incarnation,
-    /// Raised by every claim of the record, so no two leaders share one. Workers' fencing token.
+    /// Term of the leader, raised by every claim of the record. It is the workers' fencing token.
     pub term: Term,
-    /// The node that should take over, after a hand-over.
+    /// Node that should become the leader after a hand-over.
     #[serde(default)]
     pub successor: Option<ControllerName>,
 }
 
-/// A machine that may hold tasks. Written before the first start on the machine, and deleted
-/// once the machine is surely gone, so a new leader finds every machine that it has to fence
-/// (S7).
+/// A machine that may hold tasks.
+///
+/// The record is written before the first start on the machine and deleted only once the machine
+/// is known to be gone, so that a new leader finds every machine that it has to fence (S7).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Address that takes direct orders, `IP:port`.
+    /// Address at which the machine takes direct orders, as `IP:port`.
     pub addr: String,
-    /// Name of its machine type.
+    /// Name of the machine's type.
     pub machine_type: String,
-    /// Name of its zone.
+    /// Name of the machine's zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Time of day of this record, in milliseconds since 1970. 0 in records of versions that did
-    /// not store it.
+    /// Unix time at which the record was written, in milliseconds; 0 in records of versions that
+    /// did not store the time.
     #[serde(default)]
     pub recorded_ms: u64,
 }
 
-/// Workers came to this controller although it sent them to the leader. Asks the leader to hand
-/// over to it.
+/// A controller's request that the leader hand over to it, made when workers keep reaching this
+/// controller although it redirects them to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferRequest {
-    /// How many requests this controller has made; a higher one makes the request new.
+    /// Number of times that a worker reached this controller in place of the known leader since the
+    /// controller's process began. The number is higher in each new request.
     pub count: u64,
 }
 
-/// The machine types as the cloud listed them last.
+/// The machine types as last listed by the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypesRecord {
-    /// All types, with the prices of that moment.
+    /// All machine types, with their prices at the time of the listing.
     pub types: Vec<MachineType>,
 }
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -1,62 +1,66 @@
-//! Records of jobs: one while the job is unfinished, another once it is over.
+//! Records of jobs: [`JobRecord`] for unfinished jobs, [`FinalRecord`] for ended ones.
 
 use crate::ids::{Generation, Incarnation};
 use crate::task_set::TaskSet;
 use crate::user::{JobSpec, JobStatus};
 use serde::{Deserialize, Serialize};
 
-/// Tasks whose finished numbers share one value; small enough for any sensible value limit.
+/// Number of tasks whose completion is stored in one value, for jobs that are too large to store it
+/// in their record. The text of such a chunk is shorter than 4 KiB, which is below the value limit
+/// of the state service.
 pub const CHUNK_TASKS: u32 = 1024;
 
-/// Tasks of a job that may be started for the first time before its record has to say more.
-pub const FIRST_START_WATERMARK: u32 = 128;
+/// Smallest step by which the start watermark of a job is raised, in tasks.
+pub const MIN_START_WATERMARK_STEP: u32 = 128;
 
-/// The watermark of records that don't have one: any task may have been started.
-fn all_tasks() -> u32 {
+/// Start watermark of records that don't store one: any of the tasks may have been started.
+fn default_start_watermark() -> u32 {
     u32::MAX
 }
 
-/// An unfinished job. Its owner is the controller incarnation that claimed it last; a write
-/// that stores finished tasks is conditional on the record's version, and so on its generation.
+/// An unfinished job.
+///
+/// The owner is the controller incarnation that last claimed the job. Writes that store finished
+/// tasks are conditional on the record's version, and therefore on its generation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The job as it was submitted.
     pub spec: JobSpec,
-    /// Incarnation of the controller that claimed the job last; none before the first claim.
+    /// Incarnation of the controller that last claimed the job; `None` before the first claim.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<Incarnation>,
-    /// Raised by every claim; the guide's fencing token.
+    /// Generation of the job, raised by every claim. It is the job's fencing token.
     pub generation: Generation,
-    /// Claims since the job last made progress (S12).
+    /// Number of claims since the job last made progress (S12).
     pub claims: u32,
-    /// Time of day of the acceptance, in milliseconds since 1970.
+    /// Unix time at which the job was accepted, in milliseconds.
     pub accepted_ms: u64,
-    /// Finished tasks, where the job is small enough to keep them here.
+    /// Finished tasks; empty for jobs that store them in chunks ([`Self::is_chunked`]).
     #[serde(default, skip_serializing_if = "TaskSet::is_empty")]
     pub finished: TaskSet,
-    /// How many tasks are finished.
+    /// Number of finished tasks (`done`).
     #[serde(rename = "done", default)]
     pub finished_count: u32,
-    /// How many tasks ran at the last write, for display.
+    /// Number of tasks that were running at the last write, for display (`running`).
     #[serde(rename = "running", default)]
     pub running_count: u32,
-    /// No task from this number on was ever ordered to start. Raised before any is (S7). Stored
-    /// as `begun`.
-    #[serde(rename = "begun", default = "all_tasks")]
+    /// Lowest index from which on no task was ever ordered to start (`begun`). The watermark is
+    /// raised in the store before a start at or above it is ordered (S7).
+    #[serde(rename = "begun", default = "default_start_watermark")]
     pub start_watermark: u32,
-    /// The same when the job was claimed last: what its owner's predecessors cannot have started.
-    /// Stored as `begun_before`.
-    #[serde(rename = "begun_before", default = "all_tasks")]
+    /// Start watermark at the last claim (`begun_before`). Earlier owners can't have started tasks
+    /// from this index on.
+    #[serde(rename = "begun_before", default = "default_start_watermark")]
     pub previous_start_watermark: u32,
-    /// Dead-lettered at the claim limit, until an operator releases it or its user cancels it
-    /// (S12). Stored as `set_aside`.
+    /// Whether the job is dead-lettered (`set_aside`). This happens at the claim limit and lasts
+    /// until an operator releases the job or its user cancels it (S12).
     #[serde(rename = "set_aside", default)]
     pub dead_lettered: bool,
 }
 
 impl JobRecord {
-    /// The record of a job just accepted, at a time of day in milliseconds since 1970: claimed
-    /// by nobody, nothing started.
+    /// Creates the record of a newly accepted job, which is unclaimed and has no started tasks.
+    /// `accepted_ms` is the Unix time in milliseconds.
     pub fn new(spec: JobSpec, accepted_ms: u64) -> Self {
         Self {
             spec,
@@ -73,34 +77,39 @@
         }
     }
 
-    /// The design's claim: sets the owner, raises the generation and adds one to the count.
+    /// Claims the job and raises its start watermark. A claim sets the owner, raises the generation
+    /// and adds one to the number of claims.
     pub fn claim(&mut self, owner: Incarnation) {
-        self.claim_without_starts(owner);
+        self.claim_keeping_start_watermark(owner);
         self.raise_start_watermark();
     }
 
-    /// The same for a job that nothing of can start soon: no first start is announced.
-    pub fn claim_without_starts(&mut self, owner: Incarnation) {
+    /// Claims the job as [`Self::claim`] does, but keeps the start watermark. Used for jobs that
+    /// have no started tasks and can't start any soon.
+    pub fn claim_keeping_start_watermark(&mut self, owner: Incarnation) {
         self.owner = Some(owner);
         self.generation = self.generation.next();
         self.claims += 1;
         self.previous_start_watermark = self.start_watermark;
     }
 
-    /// Allows more first starts: the more, the more there were.
+    /// Raises the start watermark, so that more tasks may be started for the first time. The step
+    /// grows with the watermark, so that large jobs need few raises.
     pub fn raise_start_watermark(&mut self) {
-        let step = FIRST_START_WATERMARK.max(self.start_watermark.saturating_mul(2));
-        // Never lowered, though a record without a watermark has one above the number of tasks.
-        let highest = self.spec.tasks.max(self.start_watermark);
-        self.start_watermark = self.start_watermark.saturating_add(step).min(highest);
+        let step = MIN_START_WATERMARK_STEP.max(self.start_watermark.saturating_mul(2));
+        // Records of older versions have a watermark above the number of tasks. It must not be
+        // lowered.
+        let max_watermark = self.spec.tasks.max(self.start_watermark);
+        self.start_watermark = self.start_watermark.saturating_add(step).min(max_watermark);
     }
 
-    /// Whether the finished tasks are kept in chunks of [`CHUNK_TASKS`], outside this record.
+    /// Returns whether the finished tasks are stored outside this record, in chunks of
+    /// [`CHUNK_TASKS`] tasks.
     pub fn is_chunked(&self) -> bool {
         self.spec.tasks > CHUNK_TASKS
     }
 
-    /// What the job's user is told. A dead-lettered job reads as queued.
+    /// Returns the status that users see. A dead-lettered job is shown as queued.
     pub fn status(&self) -> JobStatus {
         if self.running_count > 0 && !self.dead_lettered {
             JobStatus::Running
@@ -110,12 +119,12 @@
     }
 }
 
-/// A job that is over; kept for good.
+/// The final state of a job, which is never deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
     /// [`JobStatus::Done`] or [`JobStatus::Cancelled`].
     pub status: JobStatus,
-    /// How many tasks had finished.
+    /// Number of finished tasks (`done`).
     #[serde(rename = "done")]
     pub finished_count: u32,
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over (TOML). Unknown fields are ignored.
+//! The settings file that the platform provides, in TOML. Unknown fields are ignored.
 
 mod validation;
 
@@ -9,35 +9,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Defaults of the limits that are 0 or not given.
+// Defaults of limits that are 0 or missing in the file, in the units of their fields.
 const DEFAULT_STATE_RPS: f64 = 100.0;
 const DEFAULT_STATE_WRITE_RPS: f64 = 40.0;
 const DEFAULT_STATE_VALUE_KB: f64 = 16.0;
 const DEFAULT_STATE_TXN_OPS: u32 = 8;
 const DEFAULT_CLOUD_RPS: f64 = 2.0;
 
-/// The whole file.
+/// The content of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(expecting = "struct Platform")]
 pub struct PlatformSettings {
-    /// Name of this controller's node (`node_name`).
+    /// Node name of this controller (`node_name`).
     #[serde(rename = "node_name")]
     pub node: ControllerName,
-    /// The zone that it is in (`domain`).
+    /// Zone of this controller (`domain`).
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where users, workers and health checks connect (`client_listen`).
+    /// Address on which to accept users, workers and health checks (`client_listen`).
     #[serde(rename = "client_listen")]
     pub listen: SocketAddr,
-    /// Where the other controllers connect (`back`).
+    /// Address on which to accept other controllers (`back`).
     #[serde(rename = "back")]
     pub peer_listen: SocketAddr,
     /// The other controllers (`seeds`).
     #[serde(rename = "seeds", default)]
     pub peers: Vec<Peer>,
-    /// The services that corkfield uses.
+    /// Addresses of the services that corkfield uses.
     pub endpoints: Endpoints,
-    /// What the service is to do, and within which limits (`settings`).
+    /// Targets and limits of the service (`settings`).
     #[serde(rename = "settings")]
     pub service: ServiceSettings,
 }
@@ -45,27 +45,27 @@
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Name of its node.
+    /// Node name of the controller (`node_name`).
     #[serde(rename = "node_name")]
     pub node: ControllerName,
-    /// Its zone.
+    /// Zone of the controller (`domain`).
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Where it takes connections of controllers (`endpoint`).
+    /// Address at which the controller accepts other controllers (`endpoint`).
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
-/// The services that corkfield uses.
+/// Addresses of the services that corkfield uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud's interface.
+    /// Address of the cloud's interface.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
-/// What the service is to do, and within which limits.
+/// Targets and limits of the service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceSettings {
     /// Number of controllers.
@@ -73,7 +73,7 @@
     /// Names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Most that the time of day may be wrong, in milliseconds (`clock_error_ms`).
+    /// Maximum error of a node's time of day, in milliseconds (`clock_error_ms`).
     #[serde(rename = "clock_error_ms", default)]
     pub max_clock_error_ms: f64,
     /// The teams, with their guarantees and limits.
@@ -82,35 +82,35 @@
     /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times that workers keep to.
+    /// Intervals and time limits of workers.
     pub workers: WorkerTimes,
-    /// ProcessLimits of the state service.
+    /// Limits of the state service.
     #[serde(default)]
     pub state: StateLimits,
-    /// ProcessLimits of the cloud.
+    /// Limits of the cloud.
     #[serde(default)]
     pub cloud: CloudLimits,
-    /// ProcessLimits of each controller's process.
+    /// Limits of each controller's process.
     #[serde(default)]
     pub limits: ProcessLimits,
 }
 
-/// A team's guarantee and limit. The team may use what it is guaranteed at any time, and borrow
-/// up to its limit.
+/// A team with its guarantee and limit. The team may use its guaranteed amount at any time, and may
+/// borrow unused resources up to its limit.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// Number of guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs in use at any moment.
+    /// Maximum number of CPUs in use at the same time; 0 for no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Number of guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs in use at any moment.
+    /// Maximum number of GPUs in use at the same time; 0 for no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -118,84 +118,86 @@
 /// A service-level objective.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Objective {
-    /// What it is about: `finished`, `wait` or `guarantee`.
+    /// Kind of the objective: `finished`, `wait` or `guarantee`.
     pub kind: String,
-    /// The class of jobs that it is about; none for all.
+    /// Class of jobs to which the objective applies; `None` for all classes.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time to keep to, in seconds.
+    /// Target time, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The part of the jobs that has to keep to it, 0 to 1.
+    /// Fraction of the jobs that must meet the target time, 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// Times that workers keep to.
+/// Intervals and time limits of workers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(expecting = "struct Workers")]
 pub struct WorkerTimes {
-    /// Interval between a worker's heartbeats, in seconds.
+    /// Interval between a worker's heartbeats, in seconds (`report_s`).
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// A worker without an answer for this long kills its tasks, in seconds.
+    /// Duration of a worker's lease, in seconds. A worker without an answer for this long kills its
+    /// tasks.
     pub lease_s: f64,
-    /// Time within which the tasks of a cancelled job must be gone, in seconds.
+    /// Time after the confirmation of a cancellation within which the job's tasks must be gone, in
+    /// seconds.
     pub cancel_s: f64,
 }
 
-/// ProcessLimits of the state service, for all controllers together. ProcessLimits of 0, and those that are not
-/// given, get defaults that a small service bears.
+/// Limits of the state service, for all controllers together. Limits that are 0 or missing get
+/// defaults that a small service can sustain.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct StateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Puts and deletes per second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// Size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub txn_ops: u32,
 }
 
-/// ProcessLimits of the cloud.
+/// Limits of the cloud.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second. 0 or not given: a default.
+    /// Maximum number of requests per second. If 0 or missing, a default applies.
     #[serde(default)]
     pub rps: f64,
-    /// Usual lag of the machine list, in seconds; it may be twice that.
+    /// Usual lag of the machine list, in seconds. The lag may be up to twice as long.
     #[serde(default)]
     pub list_lag_s: f64,
 }
 
-/// ProcessLimits of a controller's process. 0 or not given: no limit is known.
+/// Limits of a controller's process. A limit that is 0 or missing is unknown.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(expecting = "struct Limits")]
 pub struct ProcessLimits {
-    /// Share of one core.
+    /// Maximum CPU use, as a fraction of one core.
     #[serde(default)]
     pub cpu_share: f64,
-    /// Memory, in MiB (`mem_mb`).
+    /// Maximum memory, in MiB (`mem_mb`).
     #[serde(rename = "mem_mb", default)]
     pub memory_mb: f64,
-    /// Open sockets (`sockets`).
+    /// Maximum number of open sockets (`sockets`).
     #[serde(rename = "sockets", default)]
     pub max_connections: u32,
 }
 
 impl PlatformSettings {
-    /// Reads the file's text, fills in defaults and checks the values.
+    /// Parses the text of the settings file, fills in defaults and validates the values.
     ///
     /// # Errors
     ///
-    /// If the text is no TOML, lacks a field or has one of a wrong type, or a value is outside
-    /// its bounds.
+    /// Returns an error if the text is not valid TOML, a field is missing or has a wrong type, or a
+    /// value is out of range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut platform: Self = toml::from_str(text)?;
         platform.service.fill_defaults();
-        platform.check()?;
+        platform.validate()?;
         Ok(platform)
     }
 }
@@ -220,17 +222,19 @@
 }
 
 impl WorkerTimes {
-    /// A worker without an answer for this long kills its tasks.
+    /// Returns the duration of a worker's lease. A worker without an answer for this long kills its
+    /// tasks.
     pub fn lease_duration(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s)
     }
 
-    /// Interval between a worker's heartbeats.
+    /// Returns the interval between a worker's heartbeats.
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_secs_f64(self.heartbeat_interval_s)
     }
 
-    /// After a user was told of a cancellation its tasks have to be gone within this time.
+    /// Returns the time after the confirmation of a cancellation within which the job's tasks must
+    /// be gone.
     pub fn cancel_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -1,36 +1,37 @@
-//! Which settings are refused.
+//! Validation of the settings.
 
 use super::{PlatformSettings, ServiceSettings};
 
-/// The largest number that is taken for a rate, a size or a time.
+/// Maximum value of a rate, size or time.
 const MAX_NUMBER: f64 = 1e9;
-/// The largest lag of the machine list that is taken, in seconds.
+/// Maximum lag of the machine list, in seconds.
 const MAX_LIST_LAG_S: f64 = 1e6;
-/// Longest name of a node, in bytes.
+/// Maximum length of a node name, in bytes.
 const MAX_NODE_NAME: usize = 100;
-/// Fewest changes that a transaction must take.
+/// Minimum number of changes that the state service must accept in one transaction.
 const MIN_TXN_OPS: u32 = 4;
-/// Smallest size of a value that the state service must take, in KiB.
+/// Minimum size of a value that the state service must accept, in KiB.
 const MIN_VALUE_KB: f64 = 8.0;
 
-/// Why settings are refused.
+/// Errors of parsing the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is no TOML, or a field is missing or of another type.
+    /// The text is not valid TOML, or a field is missing or has a wrong type.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
-    /// A value is outside its bounds.
+    /// A value is out of range.
     #[error("{field}: {reason}")]
     Field {
-        /// The field, as the file spells it.
+        /// Path of the field, as spelled in the file.
         field: &'static str,
-        /// What its value must be.
+        /// Requirement that the value violates.
         reason: &'static str,
     },
 }
 
-fn require(holds: bool, field: &'static str, reason: &'static str) -> Result<(), SettingsError> {
-    if holds {
+/// Returns an error that names the field unless `is_valid`.
+fn require(is_valid: bool, field: &'static str, reason: &'static str) -> Result<(), SettingsError> {
+    if is_valid {
         Ok(())
     } else {
         Err(SettingsError::Field { field, reason })
@@ -38,19 +39,19 @@
 }
 
 impl PlatformSettings {
-    /// Names the first value that is outside its bounds.
-    pub(super) fn check(&self) -> Result<(), SettingsError> {
-        self.service.check_positive()?;
+    /// Returns an error for the first value that is out of range.
+    pub(super) fn validate(&self) -> Result<(), SettingsError> {
+        self.service.validate_positive_numbers()?;
         let name = self.node.as_str();
-        let name_fits =
+        let is_valid_name =
             !name.is_empty() && name.len() <= MAX_NODE_NAME && !name.contains([' ', '/']);
-        require(name_fits, "node_name", "must be 1 to 100 bytes without spaces or slashes")?;
-        self.service.check_bounds()
+        require(is_valid_name, "node_name", "must be 1 to 100 bytes without spaces or slashes")?;
+        self.service.validate_ranges()
     }
 }
 
 impl ServiceSettings {
-    fn check_positive(&self) -> Result<(), SettingsError> {
+    fn validate_positive_numbers(&self) -> Result<(), SettingsError> {
         let positive = [
             ("settings.size", f64::from(self.size)),
             ("settings.workers.report_s", self.workers.heartbeat_interval_s),
@@ -62,23 +63,23 @@
             ("settings.cloud.rps", self.cloud.rps),
         ];
         for (field, value) in positive {
-            let holds = value.is_finite() && value > 0.0 && value <= MAX_NUMBER;
-            require(holds, field, "must be a number above 0")?;
+            let is_valid = value.is_finite() && value > 0.0 && value <= MAX_NUMBER;
+            require(is_valid, field, "must be a number above 0")?;
         }
         Ok(())
     }
 
-    fn check_bounds(&self) -> Result<(), SettingsError> {
+    fn validate_ranges(&self) -> Result<(), SettingsError> {
         let state = &self.state;
         require(state.txn_ops >= MIN_TXN_OPS, "settings.state.txn_ops", "must be 4 or more")?;
         require(state.value_kb >= MIN_VALUE_KB, "settings.state.value_kb", "must be 8 or more")?;
         let lag = self.cloud.list_lag_s;
-        let lag_fits = lag.is_finite() && (0.0..=MAX_LIST_LAG_S).contains(&lag);
-        require(lag_fits, "settings.cloud.list_lag_s", "must be 0 or more")?;
+        let is_valid_lag = lag.is_finite() && (0.0..=MAX_LIST_LAG_S).contains(&lag);
+        require(is_valid_lag, "settings.cloud.list_lag_s", "must be 0 or more")?;
         for team in &self.teams {
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            let holds = amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0);
-            require(holds, "settings.teams", "amounts must be 0 or more")?;
+            let is_valid = amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0);
+            require(is_valid, "settings.teams", "amounts must be 0 or more")?;
         }
         Ok(())
     }
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,116 +1,118 @@
-//! What the state service takes and answers.
+//! Messages of the state service's HTTP interface: keys, transactions, leases and watches.
 //!
-//! The protocol calls the revision of the whole store its `generation`, the version of a key its
-//! `stamp`, and a lease a `grant` or, on a key, a `claim`.
+//! The protocol calls the revision of the store its `generation`, the version of a key its `stamp`,
+//! and the number of a lease a `claim`.
 
 use crate::ids::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Path of the keys.
+/// Path of reads: a page of keys with a prefix or, followed by a key, that key.
 pub const PATH_KEYS: &str = "/kv";
-/// Path of transactions.
+/// Path that executes a transaction (POST).
 pub const PATH_TXN: &str = "/txn";
-/// Path of leases.
+/// Path that grants a lease (POST). Followed by a lease's number, the path of that lease.
 pub const PATH_LEASES: &str = "/grants";
-/// Last part of the path that renews a lease.
+/// Last segment of the path that renews a lease.
 pub const PATH_RENEW: &str = "extend";
-/// Path of watches.
+/// Path that watches for changes (GET).
 pub const PATH_WATCH: &str = "/changes";
 
-/// A key and its value.
+/// A key with its value and version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// The key.
+    /// The key (`k`).
     #[serde(rename = "k")]
     pub key: String,
-    /// The value.
+    /// Value of the key (`v`).
     #[serde(rename = "v")]
     pub value: Value,
-    /// The revision of the key's last change (`stamp`).
+    /// Version of the key: the revision of its last change (`stamp`).
     #[serde(rename = "stamp")]
     pub version: Revision,
-    /// The lease that the key is attached to, if any (`claim`).
+    /// Number of the lease to which the key is attached, if any (`claim`).
     #[serde(rename = "claim", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// Some of the keys with a prefix, in order.
+/// A page of the keys with a prefix, ordered by key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The keys of this page.
+    /// Keys of this page with their values.
     pub items: Vec<Item>,
-    /// Whether more follow (`truncated`).
+    /// Whether further pages follow (`truncated`).
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
-    /// The revision that the page was read at.
+    /// Revision of the store at which the page was read (`generation`).
     #[serde(rename = "generation")]
     pub revision: Revision,
 }
 
-/// What a transaction requires of a key.
+/// A condition of a transaction on the version of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The key.
+    /// The key (`k`).
     #[serde(rename = "k")]
     pub key: String,
-    /// The version that it must have; 0 if it must not exist.
+    /// Required version of the key; 0 if the key must not exist (`stamp`).
     #[serde(rename = "stamp")]
     pub version: Revision,
 }
 
-/// What a transaction does to a key.
+/// A change that a transaction makes to one key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a value.
+    /// Writes a value to a key.
     Put {
-        /// The key.
+        /// The key to write (`put`).
         #[serde(rename = "put")]
         key: String,
-        /// Its new value.
+        /// New value of the key (`v`).
         #[serde(rename = "v")]
         value: Value,
-        /// The lease to attach the key to; none detaches it from any.
+        /// Number of the lease to which the key is attached; `None` detaches it from any lease
+        /// (`claim`).
         #[serde(rename = "claim", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Removes the key.
+    /// Removes a key.
     Delete {
-        /// The key.
+        /// The key to remove (`drop`).
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
-/// Changes that are made all together or, if a condition fails, not at all: a compare-and-swap
-/// over several keys (S10).
+/// An atomic compare-and-swap over several keys: if all conditions hold, all changes are made,
+/// otherwise none (S10).
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// All must hold.
+    /// Conditions that must all hold (`when`).
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// Made in one revision; none only compares.
+    /// Changes, made in one revision (`then`). Without changes, the transaction only checks the
+    /// conditions.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
 impl Transaction {
-    /// Adds the condition that the key has this version (0: doesn't exist).
+    /// Adds the condition that the key has this version; 0 requires that the key doesn't exist.
     #[must_use]
     pub fn when(mut self, key: impl Into<String>, version: Revision) -> Self {
         self.conditions.push(Condition { key: key.into(), version });
         self
     }
 
-    /// Adds a write of a key that is attached to no lease.
+    /// Adds a write of a key without a lease.
     #[must_use]
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Self {
         self.changes.push(Change::Put { key: key.into(), value, lease: None });
         self
     }
 
-    /// Adds a write of a key that is removed when the lease ends.
+    /// Adds a write of a key that is attached to a lease and removed when the lease ends.
     #[must_use]
     pub fn put_leased(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
         self.changes.push(Change::Put { key: key.into(), value, lease: Some(lease) });
@@ -125,28 +127,28 @@
     }
 }
 
-/// The answer to a transaction that was carried out.
+/// The response to a transaction that was executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionAnswer {
-    /// The revision of its changes.
+    /// Revision of the transaction's changes (`generation`).
     #[serde(rename = "generation")]
     pub revision: Revision,
 }
 
-/// The answer to a transaction whose conditions failed.
+/// The response to a transaction whose conditions failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedConditions {
-    /// The keys that have other versions than required.
+    /// Keys whose versions differ from the required ones.
     pub failed: Vec<String>,
-    /// The store's revision.
+    /// Revision of the store (`generation`).
     #[serde(rename = "generation")]
     pub revision: Revision,
 }
 
-/// The answer to a request for a lease.
+/// The response to a [`LeaseRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    /// The new lease's number.
+    /// Number of the new lease (`claim`).
     #[serde(rename = "claim")]
     pub lease: u64,
 }
@@ -154,7 +156,7 @@
 /// A request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time for which it is to last without a renewal, in milliseconds (100 to 600,000).
+    /// Time after which the lease expires unless it is renewed, in milliseconds (100 to 600,000).
     pub ttl_ms: u64,
 }
 
@@ -164,34 +166,34 @@
 pub enum Event {
     /// A key was written.
     Put {
-        /// The key.
+        /// The written key (`put`).
         #[serde(rename = "put")]
         key: String,
-        /// Its new value.
+        /// New value of the key (`v`).
         #[serde(rename = "v")]
         value: Value,
-        /// Its new version.
+        /// New version of the key (`stamp`).
         #[serde(rename = "stamp")]
         version: Revision,
     },
-    /// A key was removed, by a transaction or with its lease.
+    /// A key was removed by a transaction or because its lease ended.
     Delete {
-        /// The key.
+        /// The removed key (`drop`).
         #[serde(rename = "drop")]
         key: String,
-        /// The revision of the removal.
+        /// Revision of the removal (`stamp`).
         #[serde(rename = "stamp")]
         version: Revision,
     },
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    /// The revision up to which all changes are reported; the next watch begins after it.
+    /// Revision up to which all changes are reported (`generation`). The next watch starts there.
     #[serde(rename = "generation")]
     pub revision: Revision,
-    /// All changes since the revision asked for (`log`).
+    /// All changes after the requested revision (`log`).
     #[serde(rename = "log", default)]
     pub events: Vec<Event>,
 }
--- a/crates/wire/src/task_set.rs
+++ b/crates/wire/src/task_set.rs
@@ -1,48 +1,49 @@
-//! A set of task numbers, kept and written as ranges.
+//! A set of task indices, stored as ranges.
 
 use crate::user::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// A set of task numbers. It is written as text, in ranges: `0-2,5,9-10`.
+/// A set of task indices. It is serialized as a text of ranges, for example `0-2,5,9-10`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TaskSet {
-    /// First number of each range to its last; ranges neither touch nor overlap.
+    /// Maps the first index of each range to its last. Ranges are neither adjacent nor overlapping.
     ranges: BTreeMap<u32, u32>,
+    /// Number of indices in all ranges.
     count: u32,
 }
 
-/// Why a text is no set of task numbers.
+/// Errors of parsing a [`TaskSet`].
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskSetError {
-    /// A range is neither a number nor two numbers with `-` between them.
+    /// A range is neither an index nor two indices separated by `-`.
     #[error("malformed range {0}")]
     MalformedRange(String),
-    /// A range ends before it begins, touches the one before it or comes before it, or goes
-    /// beyond [`MAX_TASKS`].
+    /// A range ends before it begins, precedes, overlaps or adjoins the previous range, or ends
+    /// above [`MAX_TASKS`].
     #[error("range {0} out of order")]
     OutOfOrder(String),
 }
 
 impl TaskSet {
-    /// Whether it holds no number.
+    /// Returns whether the set has no indices.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// How many numbers it holds.
+    /// Returns the number of indices in the set.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// Whether it holds this number.
+    /// Returns whether the set contains `index`.
     pub fn contains(&self, index: u32) -> bool {
         self.ranges.range(..=index).next_back().is_some_and(|(_, &last)| index <= last)
     }
 
-    /// Adds a number; false if it was there already.
+    /// Adds an index; returns false if the set already contained it.
     pub fn insert(&mut self, index: u32) -> bool {
         if self.contains(index) {
             return false;
@@ -63,7 +64,7 @@
         true
     }
 
-    /// Adds all numbers of another set.
+    /// Adds all indices of another set.
     pub fn extend(&mut self, other: &Self) {
         for (&first, &last) in &other.ranges {
             for index in first..=last {
@@ -72,19 +73,19 @@
         }
     }
 
-    /// The numbers from `from` up to but not including `to`.
+    /// Returns the indices from `from` up to but not including `to`.
     pub fn slice(&self, from: u32, to: u32) -> Self {
-        let mut part = Self::default();
-        let Some(to) = to.checked_sub(1) else { return part };
+        let mut slice = Self::default();
+        let Some(to) = to.checked_sub(1) else { return slice };
         let start = self.ranges.range(..=from).next_back().map_or(from, |(&first, _)| first);
         for (&first, &last) in self.ranges.range(start..=to) {
             let (first, last) = (first.max(from), last.min(to));
             if first <= last {
-                part.ranges.insert(first, last);
-                part.count += last - first + 1;
+                slice.ranges.insert(first, last);
+                slice.count += last - first + 1;
             }
         }
-        part
+        slice
     }
 }
 
@@ -110,15 +111,15 @@
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
         let mut set = Self::default();
-        // The least number that the next range may begin with.
-        let mut floor = 0u64;
-        for part in text.split(',').filter(|part| !part.is_empty()) {
+        // The lowest index with which the next range may begin.
+        let mut min_first = 0u64;
+        for range in text.split(',').filter(|range| !range.is_empty()) {
             let (first, last) =
-                parse_range(part).ok_or_else(|| TaskSetError::MalformedRange(part.to_owned()))?;
-            if u64::from(first) < floor || last < first || last > MAX_TASKS {
-                return Err(TaskSetError::OutOfOrder(part.to_owned()));
+                parse_range(range).ok_or_else(|| TaskSetError::MalformedRange(range.to_owned()))?;
+            if u64::from(first) < min_first || last < first || last > MAX_TASKS {
+                return Err(TaskSetError::OutOfOrder(range.to_owned()));
             }
-            floor = u64::from(last) + 2;
+            min_first = u64::from(last) + 2;
             set.ranges.insert(first, last);
             set.count += last - first + 1;
         }
@@ -126,9 +127,9 @@
     }
 }
 
-/// The first and the last number of a range; of a single number, that one twice.
-fn parse_range(part: &str) -> Option<(u32, u32)> {
-    let (first, last) = part.split_once('-').unwrap_or((part, part));
+/// Returns the first and the last index of a range, which are equal for a single index.
+fn parse_range(range: &str) -> Option<(u32, u32)> {
+    let (first, last) = range.split_once('-').unwrap_or((range, range));
     Some((first.parse().ok()?, last.parse().ok()?))
 }
 
--- a/crates/wire/src/task_set/tests.rs
+++ b/crates/wire/src/task_set/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn ranges_join_and_survive_a_round_trip() {
+fn adjacent_ranges_are_merged_and_parsed_back() {
     let mut set = TaskSet::default();
     for index in [4, 2, 3, 9, 0, 3] {
         set.insert(index);
@@ -17,14 +17,15 @@
 }
 
 #[test]
-fn nonsense_is_refused() {
+fn malformed_texts_are_rejected() {
     for text in ["a", "5-2", "3,3", "0-4000000000", "1-2-3"] {
         assert!(TaskSet::try_from(text.to_owned()).is_err(), "{text}");
     }
 }
 
 #[test]
-fn a_chunk_at_its_worst_fits_a_small_value() {
+fn the_longest_text_of_a_chunk_is_below_4_kib() {
+    // Every second task of the chunk with the longest indices: no two can be merged into a range.
     let mut set = TaskSet::default();
     let first = crate::user::MAX_TASKS - crate::records::CHUNK_TASKS;
     for index in (0..crate::records::CHUNK_TASKS).step_by(2) {
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -1,4 +1,4 @@
-//! What users send and receive.
+//! Messages between users and controllers: submissions, queries and cancellations of jobs.
 
 mod submission;
 
@@ -7,107 +7,110 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Most tasks that one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Path of submissions; with `/{id}` added, of one job.
+/// Path that submits a job (POST). With `/{id}` appended, the path of one job.
 pub const PATH_JOBS: &str = "/submissions";
-/// Last part of the path that cancels a job.
+/// Last segment of the path that cancels a job.
 pub const PATH_CANCEL: &str = "withdraw";
-/// Path of the load balancer's probes.
+/// Path of the load balancer's readiness probes.
 pub const PATH_READY: &str = "/ready";
 
-/// The kinds of job that this service runs (`shape`).
+/// Kind of a job (`shape`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each of which runs to completion: a job array.
+    /// A job array: independent tasks, each of which runs to completion (`sweep`).
     #[serde(rename = "sweep")]
     Array,
 }
 
-/// Priorities (`rank`), the highest first.
+/// Priority of a job (`rank`). Higher priorities compare as less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Above all others.
+    /// The highest priority (`production`).
     #[serde(rename = "production")]
     Production,
-    /// `urgent` in the protocol.
+    /// Above [`Priority::Normal`] (`urgent`).
     #[serde(rename = "urgent")]
     High,
-    /// The ordinary priority.
+    /// The ordinary priority (`normal`).
     #[serde(rename = "normal")]
     Normal,
-    /// `idle` in the protocol.
+    /// The lowest priority (`idle`).
     #[serde(rename = "idle")]
     Low,
 }
 
-/// A job as its user submits it.
+/// The specification of a job, as submitted by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by the user; a repeated submission carries the same one.
+    /// Id of the job, chosen by the user (`name_id`). A repeated submission has the same id.
     #[serde(rename = "name_id")]
     pub id: JobId,
-    /// The class of jobs that it belongs to; objectives are set for each class.
+    /// Class of the job, for which objectives are set (`pool`).
     #[serde(rename = "pool")]
     pub class: String,
-    /// The team whose guarantee and limit apply.
+    /// Name of the team whose guarantee and limit apply (`owner`).
     #[serde(rename = "owner")]
     pub team: String,
-    /// Its kind.
+    /// Kind of the job (`shape`).
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Priority of the job (`rank`).
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks, 1 to [`MAX_TASKS`].
+    /// Number of tasks, 1 to [`MAX_TASKS`] (`pieces`).
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs that each task takes of its machine.
+    /// Number of CPUs that each task needs (`vcpus`).
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs that each task takes.
+    /// Number of GPUs that each task needs (`accelerators`).
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory that each task takes, in GB.
+    /// Memory that each task needs, in GB (`mem_gb`).
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// The image that a machine needs before a task can start.
+    /// Name of the image that a machine must fetch before it can run a task (`bundle`).
     #[serde(rename = "bundle")]
     pub image: String,
-    /// The image's size, in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// The only machine types allowed; none allows any.
+    /// Names of the allowed machine types; `None` allows all (`flavours`).
     #[serde(rename = "flavours", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only zone allowed; none allows any.
+    /// Name of the only allowed zone; `None` allows all (`site`).
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks have to be in the same zone.
+    /// Whether all tasks must run in the same zone (`same_place`).
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone (`apart`).
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether tasks may run on spot machines (`loaners`).
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of a task's run time without the image fetch, in seconds; often wrong.
+    /// The user's estimate of a task's run time without the image fetch, in seconds (`guess_s`). It
+    /// is often wrong.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
-    /// Interval of progress between checkpoints, in seconds; 0 if tasks can't save any.
+    /// Progress between two checkpoints, in seconds; 0 if tasks can't save checkpoints
+    /// (`snapshot_s`).
     #[serde(rename = "snapshot_s")]
     pub checkpoint_interval_s: f64,
-    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to save a checkpoint when it is stopped, in seconds (`flush_s`).
     #[serde(rename = "flush_s")]
     pub checkpoint_save_s: f64,
-    /// When the job should be complete, in seconds from its submission; none without a deadline.
+    /// Time from the submission within which the job should complete, in seconds; `None` without a
+    /// deadline (`due_s`).
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Most tasks that `spread` allows in one zone at a time.
+    /// Returns the maximum number of tasks in one zone at the same time, as limited by `spread`.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -117,50 +120,50 @@
     }
 }
 
-/// What a user is told of a job.
+/// Status of a job, as shown to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// No task runs (`pending`).
+    /// No task is running (`pending`).
     #[serde(rename = "pending")]
     Queued,
-    /// Tasks run.
+    /// At least one task is running (`running`).
     #[serde(rename = "running")]
     Running,
-    /// All tasks are done. Final.
+    /// All tasks are finished (`done`). This status is final.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user (`aborted`). Final.
+    /// The user cancelled the job (`aborted`). This status is final.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
 impl JobStatus {
-    /// Whether the job is over; a final status never changes.
+    /// Returns whether the status is final, which means that it never changes.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
 }
 
-/// The answer to a submission, a query or a cancellation.
+/// The response to a submission, a query or a cancellation of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job.
+    /// Id of the job (`name_id`).
     #[serde(rename = "name_id")]
     pub id: JobId,
-    /// Its status.
+    /// Status of the job.
     #[serde(rename = "status")]
     pub status: JobStatus,
-    /// How many tasks are done, for display.
+    /// Number of finished tasks, for display (`done`).
     #[serde(rename = "done", default, skip_serializing_if = "Option::is_none")]
     pub finished_count: Option<u32>,
-    /// How many tasks run, for display.
+    /// Number of running tasks, for display (`running`).
     #[serde(rename = "running", default, skip_serializing_if = "Option::is_none")]
     pub running_count: Option<u32>,
 }
 
-/// Any answer that is not a success.
+/// The body of an error response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorView {
-    /// What is wrong, as text for the user.
+    /// Text that explains the error to the user.
     pub error: String,
 }
--- a/crates/wire/src/user/submission.rs
+++ b/crates/wire/src/user/submission.rs
@@ -1,37 +1,38 @@
-//! Reading submissions, and why one is refused as malformed.
+//! Parsing and validation of submissions.
 
 use super::{JobSpec, MAX_TASKS};
 use crate::job_id::JobId;
 
-/// Longest name in a submission, in bytes.
-const MAX_NAME: usize = 120;
-/// Most machine types that a submission may name.
+/// Maximum length of a name in a submission, in bytes.
+const MAX_NAME_LENGTH: usize = 120;
+/// Maximum number of machine types in a submission.
 const MAX_TYPES: usize = 64;
-/// The largest amount that is taken, of whatever unit.
+/// Maximum value of an amount, in any unit.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// Why a submission is malformed. The id is kept where it could be read, so that a repeat of
-/// an accepted submission can still be recognised (S2).
+/// The error of an invalid submission. It contains the job's id where the id could be parsed, so
+/// that a repetition of an accepted submission is still recognized (S2).
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
 pub struct SubmissionError {
-    /// The job's id, if that much could be read.
+    /// Id of the job, if the submission has a valid one.
     pub id: Option<JobId>,
-    /// The text that the user is given.
+    /// Text of the response to the user.
     pub reason: String,
 }
 
-/// What is wrong with a submission. Users read these texts; fields have the protocol's names.
+/// Reasons to reject a submission. The texts are shown to users and name fields as the protocol
+/// spells them.
 #[derive(Debug, thiserror::Error)]
 enum SubmissionErrorKind {
     #[error("body is not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     #[error("body is not an object")]
     NotAnObject,
-    /// A field is missing, or of another type than it should be.
+    /// A field is missing or has a wrong type.
     #[error(transparent)]
     Field(serde_json::Error),
-    #[error("{field}: must have 1 to {MAX_NAME} bytes")]
+    #[error("{field}: must have 1 to {MAX_NAME_LENGTH} bytes")]
     NameLength { field: &'static str },
     #[error("flavours: must name 1 to {MAX_TYPES} types")]
     TypeCount,
@@ -48,11 +49,12 @@
 }
 
 impl JobSpec {
-    /// Reads the body of a submission.
+    /// Parses and validates the body of a submission.
     ///
     /// # Errors
     ///
-    /// If the body is no JSON object, or a field is missing or invalid; names the first fault.
+    /// Returns the first error found if the body is not a JSON object or a field is missing or
+    /// invalid.
     pub fn parse(body: &[u8]) -> Result<Self, SubmissionError> {
         let value: serde_json::Value = serde_json::from_slice(body)
             .map_err(|error| SubmissionErrorKind::NotJson(error).with_job_id(None))?;
@@ -62,37 +64,37 @@
         let id = value["name_id"].as_str().and_then(JobId::parse);
         let spec: Self = serde_json::from_value(value)
             .map_err(|error| SubmissionErrorKind::Field(error).with_job_id(id.clone()))?;
-        spec.check().map_err(|fault| fault.with_job_id(id))?;
+        spec.validate().map_err(|kind| kind.with_job_id(id))?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), SubmissionErrorKind> {
-        self.check_names()?;
+    fn validate(&self) -> Result<(), SubmissionErrorKind> {
+        self.validate_names()?;
         if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err(SubmissionErrorKind::TaskCount);
         }
-        self.check_amounts()
+        self.validate_amounts()
     }
 
-    fn check_names(&self) -> Result<(), SubmissionErrorKind> {
-        check_name("pool", &self.class)?;
-        check_name("owner", &self.team)?;
-        check_name("bundle", &self.image)?;
+    fn validate_names(&self) -> Result<(), SubmissionErrorKind> {
+        validate_name("pool", &self.class)?;
+        validate_name("owner", &self.team)?;
+        validate_name("bundle", &self.image)?;
         if let Some(zone) = &self.zone {
-            check_name("site", zone)?;
+            validate_name("site", zone)?;
         }
         if let Some(types) = &self.types {
             if types.is_empty() || types.len() > MAX_TYPES {
                 return Err(SubmissionErrorKind::TypeCount);
             }
             for name in types {
-                check_name("flavours", name)?;
+                validate_name("flavours", name)?;
             }
         }
         Ok(())
     }
 
-    fn check_amounts(&self) -> Result<(), SubmissionErrorKind> {
+    fn validate_amounts(&self) -> Result<(), SubmissionErrorKind> {
         let amounts = [
             ("vcpus", self.cpus),
             ("accelerators", self.gpus),
@@ -112,8 +114,8 @@
     }
 }
 
-fn check_name(field: &'static str, name: &str) -> Result<(), SubmissionErrorKind> {
-    if name.is_empty() || name.len() > MAX_NAME {
+fn validate_name(field: &'static str, name: &str) -> Result<(), SubmissionErrorKind> {
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH {
         return Err(SubmissionErrorKind::NameLength { field });
     }
     Ok(())
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,4 +1,6 @@
-//! What workers send, and the orders they take.
+//! Messages between workers and controllers: heartbeats and orders.
+//!
+//! The protocol calls a term `epoch`, an agent epoch `tenure`, a task `piece` and an attempt `try`.
 
 use crate::ids::{AgentEpoch, Attempt, ControllerName, MachineName, Term};
 use crate::job_id::JobId;
@@ -6,24 +8,24 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Path of a controller that takes heartbeats.
+/// Path at which a controller accepts heartbeats.
 pub const PATH_HEARTBEAT: &str = "/agent/beat";
-/// Path of a worker that takes direct orders.
+/// Path at which a worker accepts direct orders.
 pub const PATH_COMMANDS: &str = "/commands";
-/// Path of a worker that answers with its heartbeat.
+/// Path at which a worker answers with its current heartbeat.
 pub const PATH_STATUS: &str = "/inspect";
 
-/// One task of a job; written as `{job}/{index}`.
+/// The id of a task, written as `{job}/{index}`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The task's number in its job, from 0.
+    /// Index of the task in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads an id; none if the text is not of its form.
+    /// Parses an id; returns `None` if the text is not a valid task id.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         Some(Self { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -48,195 +50,202 @@
     }
 }
 
-/// What a task on a machine does (`status`).
+/// Phase of a task on a machine (`status`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
-    /// It waits for its image.
+    /// The machine fetches the task's image.
     Fetching,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It was ordered to stop, and saves a checkpoint.
+    /// The task was ordered to stop and is saving a checkpoint.
     Saving,
-    /// It ended; see its [`ExitCause`].
+    /// The task has ended for the reason given by its [`ExitCause`], or was never started.
     Exited,
-    /// A state that this version doesn't know; treated as being on the machine.
+    /// A phase that is unknown to this version. The task counts as present on the machine.
     #[serde(other)]
     Other,
 }
 
-/// Why a task ended, or was never started (`cause`).
+/// Reason why a task ended or was never started (`cause`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
-    /// It completed; its result is kept.
+    /// The task completed, and its result is kept (`done`).
     #[serde(rename = "done")]
     Done,
-    /// It was stopped by an order (`halted`).
+    /// The task was stopped by an order (`halted`).
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed: mostly the machine's fault, sometimes the job's.
+    /// The task failed (`error`). The usual cause is the machine, sometimes the job.
     #[serde(rename = "error")]
     Error,
-    /// Start refused: too little is free on the machine (`no_room`).
+    /// The worker refused the start, because the machine has too few free resources (`no_room`).
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Start refused: the task is on the machine under another attempt (`in_use`).
+    /// The worker refused the start, because another attempt at the task is on the machine
+    /// (`in_use`).
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// Start refused: no such job or task (`no_such`).
+    /// The worker refused the start, because it knows no such job or task (`no_such`).
     #[serde(rename = "no_such")]
     NoSuchTask,
-    /// A cause that this version doesn't know.
+    /// A cause that is unknown to this version.
     #[serde(other)]
     Other,
 }
 
-/// One task in a heartbeat.
+/// Status of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Id of the task (`piece`).
     #[serde(rename = "piece")]
     pub task: TaskId,
-    /// The attempt that it was started under.
+    /// Attempt under which the task was started (`try`).
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// What it does.
+    /// Phase of the task (`status`).
     #[serde(rename = "status")]
     pub phase: TaskPhase,
-    /// Why it ended, once it has.
+    /// Reason why the task ended; `None` while it is on the machine.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether its progress was saved when it was stopped (`stored`).
+    /// Whether the task's progress was saved when the task was stopped (`stored`).
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat: what its machine is, and which tasks are on it.
+/// A worker's heartbeat: a description of its machine and the status of all tasks on the machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// Name of the machine.
+    /// Name of the machine (`host`).
     #[serde(rename = "host")]
     pub machine: MachineName,
-    /// Address that takes direct orders, `IP:port`.
+    /// Address at which the worker takes direct orders, as `IP:port`.
     pub addr: String,
-    /// Name of the machine's type.
+    /// Name of the machine's type (`flavour`).
     #[serde(rename = "flavour")]
     pub machine_type: String,
-    /// Name of the machine's zone.
+    /// Name of the machine's zone (`site`).
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine (`loaners`).
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// From 1; raised each time the worker's lease expires.
+    /// Agent epoch of the worker (`tenure`). It starts at 1 and is raised each time the worker's
+    /// lease expires.
     #[serde(rename = "tenure")]
     pub agent_epoch: AgentEpoch,
-    /// Raised with each message of the worker. The message with the larger agent epoch and
-    /// sequence is the newer one (S10).
+    /// Sequence number of this message, raised with each message of the worker (`serial`). Messages
+    /// are ordered by agent epoch, then by sequence number (S10).
     #[serde(rename = "serial")]
     pub sequence: u64,
-    /// The highest term that the worker has seen (`epoch`); it drops orders of lower ones.
+    /// Highest term that the worker has seen (`epoch`). The worker drops orders of lower terms.
     #[serde(rename = "epoch", default)]
     pub term: Term,
-    /// Seconds until the cloud takes the machine away; none without such a notice.
+    /// Time until the cloud reclaims the machine, in seconds; `None` without such a notice
+    /// (`warning_s`).
     #[serde(rename = "warning_s", default)]
     pub termination_notice_s: Option<f64>,
-    /// All tasks on the machine, and those that exited and were not yet forgotten.
+    /// All tasks on the machine, including exited tasks that were not yet forgotten (`pieces`).
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A connection over which a worker's heartbeats come to a controller. No two are the same while a
-/// leader leads, and each is of one process of one worker.
+/// The id of a connection over which a controller receives a worker's heartbeats. Ids are unique
+/// during the time of one leader, and each connection belongs to one process of one worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionId {
-    /// The controller's process that accepted it.
+    /// Random number of the controller process that accepted the connection.
     pub process: u64,
-    /// Its number among those that the process has accepted.
+    /// Number of the connection among those that the process accepted.
     pub number: u64,
 }
 
-/// A worker's heartbeat as one controller relays it to another: as it came, and over which
-/// connection. A controller that does not know the field takes the heartbeat alone.
+/// A worker's heartbeat with its connection, as one controller relays it to another. Controllers of
+/// older versions ignore the connection.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayedHeartbeat {
-    /// The heartbeat.
+    /// The heartbeat, whose fields are at the same level of the JSON object as `connection`.
     #[serde(flatten)]
     pub heartbeat: WorkerHeartbeat,
-    /// The connection that the worker sent it over; none from a controller that does not say.
+    /// Connection over which the worker sent the heartbeat; `None` if relayed by an older version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub connection: Option<ConnectionId>,
 }
 
-/// An order to a worker (`verb`). Each may be repeated, but a start after a forget starts the
-/// task again.
+/// An order to a worker (`verb`). Orders are idempotent, except that a start that is repeated after
+/// a forget starts the task again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Order {
-    /// Starts a task. Without effect if the worker has this task and attempt in any state.
+    /// Starts a task (`launch`). Has no effect if the worker has this attempt in any phase.
     #[serde(rename = "launch")]
     Start {
-        /// The task.
+        /// Id of the task (`piece`).
         #[serde(rename = "piece")]
         task: TaskId,
-        /// The attempt to start it under.
+        /// Attempt under which the task is started (`try`).
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stops a task.
+    /// Stops a task (`kill`).
     #[serde(rename = "kill")]
     Stop {
-        /// The task.
+        /// Id of the task (`piece`).
         #[serde(rename = "piece")]
         task: TaskId,
-        /// The attempt to stop.
+        /// Attempt to stop (`try`).
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Seconds that the task may take to save a checkpoint. Below what it needs, it exits
-        /// at once; 0 ends one that is saving.
+        /// Time that the task may take to save a checkpoint, in seconds (`wind_down_s`). The task
+        /// exits at once if this is less than it needs; 0 also ends a task that is already saving.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Drops an exited task from the heartbeats (S9).
+    /// Drops an exited task from the worker's heartbeats (`reap`, S9).
     #[serde(rename = "reap")]
     Forget {
-        /// The task.
+        /// Id of the task (`piece`).
         #[serde(rename = "piece")]
         task: TaskId,
-        /// The attempt to forget.
+        /// Attempt to forget (`try`).
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat that was accepted.
+/// The response to an accepted heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The leader's term (`epoch`); the worker drops an answer with a lower one than it has seen.
+    /// Term of the leader (`epoch`). The worker drops responses with a lower term than it has seen.
     #[serde(rename = "epoch")]
     pub term: Term,
-    /// Carried out in this order.
+    /// Orders, executed in sequence.
     pub orders: Vec<Order>,
 }
 
-/// The answer that sends a worker to another controller.
+/// The response that redirects a worker to another controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the node to report to; none sends the worker to the next that it knows.
+    /// Node name of the controller to report to (`upstream`). With `None`, the worker tries the
+    /// next controller that it knows.
     #[serde(rename = "upstream", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<ControllerName>,
 }
 
-/// Orders sent straight to a machine. They can be carried out late, so they never start a task
-/// (S3). Refused unless term and agent epoch fit.
+/// Orders that the leader sends directly to a worker, outside the responses to heartbeats.
+///
+/// They may be executed late, and therefore never start a task (S3). The worker rejects them if the
+/// term is lower than the highest that it has seen, or the agent epoch is not its own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectOrders {
-    /// The leader's term.
+    /// Term of the leader (`epoch`).
     #[serde(rename = "epoch")]
     pub term: Term,
-    /// The agent epoch of the worker that they are meant for.
+    /// Agent epoch of the worker to which the orders are addressed (`tenure`).
     #[serde(rename = "tenure")]
     pub agent_epoch: AgentEpoch,
-    /// Carried out in this order. None: a fence, which only shows the worker the term.
+    /// Orders, executed in sequence. Without orders the message is a fence, which only conveys
+    /// the term to the worker.
     pub orders: Vec<Order>,
 }
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -1,5 +1,6 @@
-//! Frames between controllers keep their bytes: during an upgrade both versions are linked. The
-//! bytes are those that the version at commit 2b8fbd7 wrote.
+//! Tests that the encoding of frames between controllers doesn't change, because during an upgrade
+//! controllers of both versions are connected. The expected bytes were written by the version at
+//! commit 2b8fbd7.
 
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
 use corkfield_wire::{ControllerName, Incarnation, Term};
@@ -20,7 +21,7 @@
     }
 }
 
-fn heartbeat_without_a_leader() -> PeerHeartbeat {
+fn heartbeat_without_leader() -> PeerHeartbeat {
     PeerHeartbeat {
         node: ControllerName::from("n"),
         incarnation: Incarnation::default(),
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn heartbeats_keep_their_bytes() {
+fn heartbeat_encoding_is_unchanged() {
     assert_encoded_as(
         Frame::PeerHeartbeat(heartbeat()),
         concat!(
@@ -60,19 +61,19 @@
             "01",                                         // is_outage_attestation
             "00",                                         // is_leader
             "01",                                         // is_store_reachable
-            "0108000000776f726b65722d31",                 // scheduler
+            "0108000000776f726b65722d31",                 // leader
             "2900000000000000",                           // term
         ),
     );
     assert_encoded_as(
-        Frame::PeerHeartbeat(heartbeat_without_a_leader()),
+        Frame::PeerHeartbeat(heartbeat_without_leader()),
         "370000000200010000006e000000000000000000000000ffffffffffffffff\
          00000000000000000000000000000000000100000000000000000000",
     );
 }
 
 #[test]
-fn other_frames_keep_their_bytes() {
+fn encoding_of_other_frames_is_unchanged() {
     assert_encoded_as(
         Frame::WorkerHeartbeat { number: 9, body: b"{}".to_vec() },
         "1000000002010900000000000000020000007b7d",
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -1,5 +1,5 @@
-//! Messages in the protocol's own spelling: each text is read into its type, and the type writes
-//! the same JSON again.
+//! Tests of the protocol's spelling: each JSON text is parsed into its type, and the type must
+//! serialize to the same JSON.
 
 use corkfield_wire::cloud::{ListedState, MachineList, MachineNames, MachineTypes, RentRequest};
 use corkfield_wire::store::{
@@ -23,26 +23,26 @@
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{error} in {text}"))
 }
 
-/// Reads the text, writes it again and compares the JSON.
+/// Parses the text, serializes the value and requires the same JSON.
 fn round_trip<T: Serialize + DeserializeOwned>(text: &str) -> T {
     let message: T = read(text);
     assert_eq!(serde_json::to_value(&message).unwrap(), read::<Value>(text));
     message
 }
 
-fn spellings<T: DeserializeOwned + Serialize>(texts: &[&str]) -> Vec<T> {
+fn round_trip_strings<T: DeserializeOwned + Serialize>(texts: &[&str]) -> Vec<T> {
     texts.iter().map(|text| round_trip(&format!("\"{text}\""))).collect()
 }
 
 #[test]
-fn ids_are_read_and_written_as_they_came() {
+fn ids_are_parsed_and_formatted_unchanged() {
     for text in ["j-0", "j-000412", "j-12345678901234567890"] {
         assert_eq!(JobId::parse(text).unwrap().to_string(), text);
     }
     for text in ["", "j-", "000412", "j-x", "J-1", "j-1 ", "j--1", "j-123456789012345678901"] {
         assert_eq!(JobId::parse(text), None, "{text}");
     }
-    assert!(JobId::parse("j-0") < JobId::parse("j-00"), "in order of their text");
+    assert!(JobId::parse("j-0") < JobId::parse("j-00"), "ids are ordered by their text");
     assert!(JobId::parse("j-10") < JobId::parse("j-9"));
     let task = TaskId::parse("j-000412/3").unwrap();
     assert_eq!((task.index, task.to_string()), (3, "j-000412/3".to_owned()));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn submissions_and_views_keep_their_spelling() {
+fn submissions_and_responses_keep_their_spelling() {
     let spec: JobSpec = round_trip(
         r#"{"name_id":"j-000412","pool":"train","owner":"vision","shape":"sweep","rank":"urgent",
         "pieces":16,"vcpus":8.0,"accelerators":1.0,"mem_gb":64.0,"bundle":"img-07",
@@ -73,18 +73,18 @@
     assert_eq!((view.finished_count, view.running_count), (Some(3), Some(13)));
     round_trip::<JobView>(r#"{"name_id":"j-000412","status":"aborted"}"#);
     round_trip::<ErrorView>(r#"{"error":"no such job"}"#);
-    let statuses: Vec<JobStatus> = spellings(&["pending", "running", "done", "aborted"]);
+    let statuses: Vec<JobStatus> = round_trip_strings(&["pending", "running", "done", "aborted"]);
     assert_eq!(
         statuses,
         [JobStatus::Queued, JobStatus::Running, JobStatus::Done, JobStatus::Cancelled]
     );
-    let ranks: Vec<Priority> = spellings(&["production", "urgent", "normal", "idle"]);
-    assert_eq!(ranks, [Priority::Production, Priority::High, Priority::Normal, Priority::Low]);
-    assert!(ranks.is_sorted(), "the highest first");
+    let priorities: Vec<Priority> = round_trip_strings(&["production", "urgent", "normal", "idle"]);
+    assert_eq!(priorities, [Priority::Production, Priority::High, Priority::Normal, Priority::Low]);
+    assert!(priorities.is_sorted(), "higher priorities compare as less");
 }
 
 #[test]
-fn spread_allows_half_of_the_tasks_in_a_zone() {
+fn spread_jobs_may_have_half_of_their_tasks_in_a_zone() {
     let mut spec: JobSpec = read(
         r#"{"name_id":"j-1","pool":"p","owner":"o","shape":"sweep","rank":"idle","pieces":9,
         "vcpus":1,"accelerators":0,"mem_gb":1,"bundle":"i","image_gb":1,"flavours":null,
@@ -118,22 +118,25 @@
         saved: Some(true),
     };
     assert_eq!(heartbeat.tasks[1], exited);
-    let least: WorkerHeartbeat =
+    let minimal: WorkerHeartbeat =
         read(r#"{"host":"h","addr":"a","flavour":"g8","site":"a","tenure":1,"serial":2}"#);
-    assert_eq!((least.spot, least.term, least.termination_notice_s), (false, Term::new(0), None));
-    assert!(least.tasks.is_empty());
+    assert_eq!(
+        (minimal.spot, minimal.term, minimal.termination_notice_s),
+        (false, Term::new(0), None)
+    );
+    assert!(minimal.tasks.is_empty());
 }
 
 #[test]
-fn phases_and_causes_keep_their_spelling_and_unknown_ones_are_read() {
-    let phases: Vec<TaskPhase> = spellings(&["fetching", "running", "saving", "exited"]);
+fn phases_and_causes_keep_their_spelling_and_unknown_ones_are_accepted() {
+    let phases: Vec<TaskPhase> = round_trip_strings(&["fetching", "running", "saving", "exited"]);
     assert_eq!(
         phases,
         [TaskPhase::Fetching, TaskPhase::Running, TaskPhase::Saving, TaskPhase::Exited]
     );
     assert_eq!(read::<TaskPhase>("\"paused\""), TaskPhase::Other);
     let causes: Vec<ExitCause> =
-        spellings(&["done", "halted", "error", "no_room", "in_use", "no_such"]);
+        round_trip_strings(&["done", "halted", "error", "no_room", "in_use", "no_such"]);
     assert_eq!(
         causes,
         [
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn the_clouds_messages_keep_their_spelling() {
+fn messages_of_the_cloud_keep_their_spelling() {
     let types: MachineTypes = round_trip(
         r#"{"flavours":[{"label":"g8","vcpus":96.0,"accelerators":8.0,"mem_gb":768.0,
         "cache_gb":200.0,"pull_gb_per_s":1.0,"rate":12.0,"low_price":4.5,"boot_s":45.0,
@@ -179,7 +182,7 @@
         "site":"a","loaners":true,"status":"running","age_s":61.5}],"truncated":false}"#,
     );
     assert_eq!((list.machines[0].state, list.has_more), (ListedState::Running, false));
-    let states: Vec<ListedState> = spellings(&["starting", "running", "failed"]);
+    let states: Vec<ListedState> = round_trip_strings(&["starting", "running", "failed"]);
     assert_eq!(states, [ListedState::Booting, ListedState::Running, ListedState::Failed]);
     assert_eq!(read::<ListedState>("\"odd\""), ListedState::Other);
     let request: RentRequest =
@@ -189,7 +192,7 @@
 }
 
 #[test]
-fn the_state_services_messages_keep_their_spelling() {
+fn messages_of_the_state_service_keep_their_spelling() {
     let item: Item = round_trip(r#"{"k":"a/b","v":{"x":1},"stamp":412,"claim":7}"#);
     assert_eq!((item.version, item.lease), (Revision::new(412), Some(7)));
     let page: Page =
@@ -210,8 +213,8 @@
     round_trip::<FailedConditions>(r#"{"failed":["a/b"],"generation":431}"#);
     assert_eq!(round_trip::<LeaseAnswer>(r#"{"claim":7}"#).lease, 7);
     round_trip::<LeaseRequest>(r#"{"ttl_ms":5000}"#);
-    let events: WatchAnswer = round_trip(
+    let watch_answer: WatchAnswer = round_trip(
         r#"{"generation":433,"log":[{"put":"c/9","v":{},"stamp":433},{"drop":"c/d","stamp":432}]}"#,
     );
-    assert_eq!((events.revision, events.events.len()), (Revision::new(433), 2));
+    assert_eq!((watch_answer.revision, watch_answer.events.len()), (Revision::new(433), 2));
 }
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is read, which limits get defaults, and how wrong values are named.
+//! Tests of the settings file: parsing, defaults of limits, and errors for invalid values.
 
 use corkfield_wire::settings::PlatformSettings;
 use std::time::Duration;
@@ -56,7 +56,7 @@
 "#;
 
 #[test]
-fn every_field_is_read_under_its_own_spelling() {
+fn all_fields_are_parsed() {
     let platform = PlatformSettings::parse(SETTINGS).expect("valid");
     assert_eq!((platform.node.as_str(), platform.zone.as_str()), ("worker-0", "lahore"));
     assert_eq!(platform.listen.to_string(), "10.0.0.1:8080");
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn limits_that_are_not_given_get_defaults() {
-    let cut = SETTINGS.find("[settings.state]").expect("in the text");
-    let service = PlatformSettings::parse(&SETTINGS[..cut]).expect("valid").service;
+fn missing_limits_get_defaults() {
+    let limits_start = SETTINGS.find("[settings.state]").expect("in the text");
+    let service = PlatformSettings::parse(&SETTINGS[..limits_start]).expect("valid").service;
     assert_eq!((service.state.rps, service.state.write_rps), (100.0, 40.0));
     assert_eq!((service.state.value_kb, service.state.txn_ops), (16.0, 8));
     assert_eq!((service.cloud.rps, service.cloud.list_lag_s), (2.0, 0.0));
@@ -98,9 +98,9 @@
 }
 
 #[test]
-fn a_wrong_value_is_named_with_what_it_must_be() {
+fn errors_name_the_field_and_its_requirement() {
     let above_zero = "must be a number above 0";
-    let node = "must be 1 to 100 bytes without spaces or slashes";
+    let node_name = "must be 1 to 100 bytes without spaces or slashes";
     let cases = [
         ("size = 3", "size = 0", "settings.size", above_zero),
         ("report_s = 3.0", "report_s = 0.0", "settings.workers.report_s", above_zero),
@@ -116,14 +116,15 @@
         ("list_lag_s = 4.0", "list_lag_s = 2e6", "settings.cloud.list_lag_s", "must be 0 or more"),
         ("cpus = 72.0", "cpus = -1.0", "settings.teams", "amounts must be 0 or more"),
         ("cpus_max = 232.0", "gpus_max = nan", "settings.teams", "amounts must be 0 or more"),
-        ("\"worker-0\"", "\"\"", "node_name", node),
-        ("\"worker-0\"", "\"worker 0\"", "node_name", node),
-        ("\"worker-0\"", "\"worker/0\"", "node_name", node),
+        ("\"worker-0\"", "\"\"", "node_name", node_name),
+        ("\"worker-0\"", "\"worker 0\"", "node_name", node_name),
+        ("\"worker-0\"", "\"worker/0\"", "node_name", node_name),
     ];
-    for (valid, wrong, field, reason) in cases {
+    for (valid, invalid, field, reason) in cases {
         assert!(SETTINGS.contains(valid), "{valid}");
-        let error = PlatformSettings::parse(&SETTINGS.replacen(valid, wrong, 1)).expect_err(wrong);
-        assert_eq!(error.to_string(), format!("{field}: {reason}"), "{wrong}");
+        let error =
+            PlatformSettings::parse(&SETTINGS.replacen(valid, invalid, 1)).expect_err(invalid);
+        assert_eq!(error.to_string(), format!("{field}: {reason}"), "{invalid}");
     }
     let error = PlatformSettings::parse("node_name = 7").expect_err("no settings").to_string();
     assert!(error.contains("node_name = 7"), "{error}");
--- a/crates/wire/tests/stored_records.rs
+++ b/crates/wire/tests/stored_records.rs
@@ -1,6 +1,7 @@
-//! Records in the state service outlive the version that wrote them. The fixtures are the text
-//! that the version at commit 2b8fbd7 wrote (`older_*`: without the fields that still earlier
-//! versions did not know); this version has to read them, and to write the same text.
+//! Tests that this version reads the records that earlier versions stored and writes the same text.
+//!
+//! The fixtures were written by the version at commit 2b8fbd7. The `older_*` fixtures lack the
+//! fields that still earlier versions did not have.
 
 use corkfield_wire::cloud::MachineType;
 use corkfield_wire::records::*;
@@ -23,14 +24,15 @@
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{error} in {text}"))
 }
 
-/// Reads a fixture as `expected`, and writes `expected` as exactly the fixture's text.
+/// Requires that the fixture's text is parsed as `expected`, and that `expected` is serialized as
+/// exactly this text.
 fn assert_stored_as<T>(expected: &T, text: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     assert_eq!(&read::<T>(text), expected);
     assert_eq!(serde_json::to_string(expected).unwrap(), text);
-    // Records are written by way of a value, and read back the same.
+    // Records are converted to and from `serde_json::Value` when they are stored and read.
     let value = serde_json::to_value(expected).unwrap();
     assert_eq!(value, read::<serde_json::Value>(text));
     assert_eq!(&serde_json::from_value::<T>(value).unwrap(), expected);
@@ -59,7 +61,7 @@
     set
 }
 
-/// A job of 1,000 tasks that was claimed twice, with finished and running tasks.
+/// Returns a job of 1,000 tasks that was claimed twice, with finished and running tasks.
 fn running_job() -> JobRecord {
     let mut record = JobRecord::new(job_spec(1000), ACCEPTED_MS);
     record.claim(Incarnation::from("worker-2.1700000000000.5"));
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn an_accepted_job_without_optional_fields_keeps_its_json() {
+fn json_of_an_accepted_job_without_optional_fields_is_unchanged() {
     let mut record = JobRecord::new(job_spec(16), ACCEPTED_MS);
     record.spec.types = None;
     record.spec.zone = None;
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn a_claimed_job_keeps_its_json() {
+fn json_of_a_claimed_job_is_unchanged() {
     let record = running_job();
     assert_stored_as(&record, fixture!("job_running"));
     assert_eq!(record.start_watermark, 384);
@@ -90,16 +92,16 @@
 }
 
 #[test]
-fn a_dead_lettered_job_keeps_its_json() {
+fn json_of_a_dead_lettered_job_is_unchanged() {
     let mut record = running_job();
     record.dead_lettered = true;
-    record.claim_without_starts(Incarnation::from("worker-1.7"));
+    record.claim_keeping_start_watermark(Incarnation::from("worker-1.7"));
     assert_stored_as(&record, fixture!("job_dead_lettered"));
     assert_eq!(record.status(), JobStatus::Queued);
 }
 
 #[test]
-fn a_job_with_finished_tasks_in_chunks_keeps_its_json() {
+fn json_of_a_chunked_job_is_unchanged() {
     let mut record = JobRecord::new(job_spec(100_000), 1);
     record.claim(Incarnation::from("w"));
     record.claim(Incarnation::from("w"));
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn a_job_of_an_older_version_counts_as_begun_throughout() {
+fn jobs_of_older_versions_may_have_started_all_tasks() {
     let text = fixture!("older_job");
     let record: JobRecord = read(text);
     let expected = JobRecord {
@@ -121,12 +123,12 @@
         ..JobRecord::new(job_spec(1000), ACCEPTED_MS)
     };
     assert_eq!(record, expected);
-    // A write adds what was missing.
+    // Writing the record adds the missing fields.
     let written = serde_json::to_string(&record).unwrap();
     let added =
         r#","done":0,"running":0,"begun":4294967295,"begun_before":4294967295,"set_aside":false}"#;
     assert_eq!(written, format!("{}{added}", text.strip_suffix('}').unwrap()));
-    // A further claim must not overflow what counts as begun.
+    // A further claim must not overflow the start watermark.
     let mut claimed = record;
     claimed.claim(Incarnation::from("w"));
     assert_eq!(claimed.start_watermark, u32::MAX);
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn final_records_keep_their_json() {
+fn json_of_final_records_is_unchanged() {
     let done = FinalRecord { status: JobStatus::Done, finished_count: 16 };
     assert_stored_as(&done, fixture!("final_done"));
     let cancelled = FinalRecord { status: JobStatus::Cancelled, finished_count: 3 };
@@ -142,7 +144,7 @@
 }
 
 #[test]
-fn membership_and_leader_records_keep_their_json() {
+fn json_of_membership_and_leader_records_is_unchanged() {
     let membership = Membership { incarnation: Incarnation::from("worker-2.1"), lease: 7 };
     assert_stored_as(&membership, fixture!("membership"));
     let leader = LeaderRecord {
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn machine_records_keep_their_json() {
+fn json_of_machine_records_is_unchanged() {
     let machine = MachineRecord {
         addr: "10.1.0.232:9000".to_owned(),
         machine_type: "g8".to_owned(),
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn transfer_requests_and_machine_types_keep_their_json() {
+fn json_of_transfer_requests_and_machine_types_is_unchanged() {
     assert_stored_as(&TransferRequest { count: 3 }, fixture!("transfer_request"));
     let machine_type = MachineType {
         name: "g8".to_owned(),
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn fields_of_a_later_version_are_ignored() {
+fn unknown_fields_of_later_versions_are_ignored() {
     let text = fixture!("machine").replacen('{', r#"{"of_a_later_version":[1],"#, 1);
     assert_eq!(read::<MachineRecord>(&text), read::<MachineRecord>(fixture!("machine")));
     let text = fixture!("job_running").replacen('{', r#"{"of_a_later_version":[1],"#, 1);
@@ -212,20 +214,20 @@
 }
 
 #[test]
-fn keys_are_spelt_as_before() {
+fn keys_are_unchanged() {
     let id = job_id();
     assert_eq!(job_key(&id), "c/jobs/j-000412");
-    assert_eq!(final_key(&id), "f/j-000412");
-    assert_eq!(finished_prefix(&id), "d/j-000412/");
-    assert_eq!(finished_key(&id, 7), "d/j-000412/0007");
-    assert_eq!(finished_key(&id, 12_345), "d/j-000412/12345");
+    assert_eq!(final_record_key(&id), "f/j-000412");
+    assert_eq!(finished_tasks_prefix(&id), "d/j-000412/");
+    assert_eq!(finished_tasks_key(&id, 7), "d/j-000412/0007");
+    assert_eq!(finished_tasks_key(&id, 12_345), "d/j-000412/12345");
     assert_eq!(controller_key("worker-2"), "c/controllers/worker-2");
     assert_eq!(transfer_request_key("worker-2"), "c/transfer_requests/worker-2");
     assert_eq!(machine_key("host-000231"), "h/host-000231");
 }
 
 #[test]
-fn prefixes_and_limits_of_stored_records_are_as_before() {
+fn prefixes_and_limits_of_stored_records_are_unchanged() {
     assert_eq!(REPLICATED_PREFIX, "c/");
     assert_eq!(JOBS_PREFIX, "c/jobs/");
     assert_eq!(CONTROLLERS_PREFIX, "c/controllers/");
@@ -236,5 +238,5 @@
     assert_eq!(FINISHED_TASKS_PREFIX, "d/");
     assert_eq!(MACHINE_RECORDS_PREFIX, "h/");
     assert_eq!(CHUNK_TASKS, 1024);
-    assert_eq!(FIRST_START_WATERMARK, 128);
+    assert_eq!(MIN_START_WATERMARK_STEP, 128);
 }
--- a/crates/wire/tests/submissions.rs
+++ b/crates/wire/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Which submissions are refused, and the reason that their users read, word for word.
+//! Tests of rejected submissions, with the exact reasons that users see.
 
 use corkfield_wire::user::SubmissionError;
 use corkfield_wire::{JobId, JobSpec};
@@ -14,7 +14,7 @@
     })
 }
 
-fn refusal(body: &[u8]) -> SubmissionError {
+fn parse_error(body: &[u8]) -> SubmissionError {
     JobSpec::parse(body).expect_err("malformed")
 }
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_protocols_example_is_read() {
+fn valid_submissions_are_parsed() {
     let spec = JobSpec::parse(submission().to_string().as_bytes()).expect("valid");
     assert_eq!(Some(spec.id.clone()), id());
     assert_eq!(spec.types.as_deref(), Some(&["g8".to_owned()][..]));
@@ -32,28 +32,28 @@
 }
 
 #[test]
-fn bodies_that_are_no_object_are_refused_without_an_id() {
+fn rejections_of_bodies_that_are_not_objects_have_no_id() {
     for (body, reason) in [
         ("{", "body is not JSON: EOF while parsing an object at line 1 column 1"),
         ("[]", "body is not an object"),
         ("7", "body is not an object"),
     ] {
-        let refused = refusal(body.as_bytes());
-        assert_eq!((refused.id.clone(), refused.reason.as_str()), (None, reason));
-        assert_eq!(refused.to_string(), reason);
+        let error = parse_error(body.as_bytes());
+        assert_eq!((error.id.clone(), error.reason.as_str()), (None, reason));
+        assert_eq!(error.to_string(), reason);
     }
 }
 
 #[test]
-fn an_id_that_is_none_is_refused_without_one() {
+fn rejections_of_invalid_ids_have_no_id() {
     let mut body = submission();
     body["name_id"] = json!("k-1");
-    let refused = refusal(body.to_string().as_bytes());
-    assert_eq!((refused.id, refused.reason.as_str()), (None, "malformed job id"));
+    let error = parse_error(body.to_string().as_bytes());
+    assert_eq!((error.id, error.reason.as_str()), (None, "malformed job id"));
 }
 
 #[test]
-fn a_field_that_is_missing_or_invalid_is_named_and_the_id_kept() {
+fn rejections_name_the_missing_or_invalid_field_and_contain_the_id() {
     let long = "x".repeat(121);
     let types = vec!["g8"; 65];
     let cases = [
@@ -79,23 +79,23 @@
     for (field, value, reason) in cases {
         let mut body = submission();
         body[field] = value;
-        let refused = refusal(body.to_string().as_bytes());
-        assert_eq!((refused.id, refused.reason.as_str()), (id(), reason), "{field}");
+        let error = parse_error(body.to_string().as_bytes());
+        assert_eq!((error.id, error.reason.as_str()), (id(), reason), "{field}");
     }
     let mut body = submission();
     body.as_object_mut().expect("an object").remove("rank");
-    let refused = refusal(body.to_string().as_bytes());
-    assert_eq!((refused.id, refused.reason.as_str()), (id(), "missing field `rank`"));
+    let error = parse_error(body.to_string().as_bytes());
+    assert_eq!((error.id, error.reason.as_str()), (id(), "missing field `rank`"));
 }
 
 #[test]
-fn the_first_fault_is_the_one_named() {
+fn rejections_name_the_first_error() {
     let mut body = submission();
     body["pool"] = json!("");
     body["pieces"] = json!(0);
     body["vcpus"] = json!(-1.0);
-    let refused = refusal(body.to_string().as_bytes());
-    assert_eq!(refused.reason, "pool: must have 1 to 120 bytes");
+    let error = parse_error(body.to_string().as_bytes());
+    assert_eq!(error.reason, "pool: must have 1 to 120 bytes");
     body["pool"] = json!("train");
-    assert_eq!(refusal(body.to_string().as_bytes()).reason, "pieces: must be 1 to 100000");
+    assert_eq!(parse_error(body.to_string().as_bytes()).reason, "pieces: must be 1 to 100000");
 }
