--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -166,8 +166,8 @@
 }
 
 number_type! {
-    /// The agent epoch of a worker, raised each time the worker's lease expires. 0 is below every
-    /// epoch that a worker uses.
+    /// The agent epoch of a worker, raised each time the worker's lease expires. 0 is lower
+    /// than every epoch that a worker uses.
     AgentEpoch
 }
 
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,4 +1,7 @@
 //! The settings file that the platform provides, in TOML. Unknown fields are ignored.
+//!
+//! The `serde(expecting = ..)` attributes keep the texts of type errors independent of the Rust
+//! names of the structs.
 
 mod validation;
 
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -7,7 +7,7 @@
 /// Maximum lag of the machine list, in seconds.
 const MAX_LIST_LAG_S: f64 = 1e6;
 /// Maximum length of a node name, in bytes.
-const MAX_NODE_NAME: usize = 100;
+const MAX_NODE_NAME_LENGTH: usize = 100;
 /// Minimum number of changes that the state service must accept in one transaction.
 const MIN_TXN_OPS: u32 = 4;
 /// Minimum size of a value that the state service must accept, in KiB.
@@ -44,7 +44,7 @@
         self.service.validate_positive_numbers()?;
         let name = self.node.as_str();
         let is_valid_name =
-            !name.is_empty() && name.len() <= MAX_NODE_NAME && !name.contains([' ', '/']);
+            !name.is_empty() && name.len() <= MAX_NODE_NAME_LENGTH && !name.contains([' ', '/']);
         require(is_valid_name, "node_name", "must be 1 to 100 bytes without spaces or slashes")?;
         self.service.validate_ranges()
     }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -25,7 +25,7 @@
     Array,
 }
 
-/// Priority of a job (`rank`). Higher priorities compare as less.
+/// Priority of a job (`rank`). A higher priority compares as less than a lower one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
     /// The highest priority (`production`).
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -106,7 +106,7 @@
     /// Phase of the task (`status`).
     #[serde(rename = "status")]
     pub phase: TaskPhase,
-    /// Reason why the task ended; `None` while it is on the machine.
+    /// Reason why the task ended or was never started; `None` until the task has exited.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
     /// Whether the task's progress was saved when the task was stopped (`stored`).
