--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -2,7 +2,7 @@
 //! machines.
 
 use super::{Action, Scheduler};
-use crate::machine::{Machine, MachineState, MachineTask, Recorded, TaskAttempt};
+use crate::machine::{Machine, MachineState, MachineTask, RecordState, TaskAttempt};
 use corkfield_wire::cloud::{ListedMachine, ListedState, MachineType, MAX_MACHINES_PER_DELETION};
 use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
@@ -15,20 +15,20 @@
     /// Sets the cloud's machine types, and updates the sizes of the known machines.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         for machine in self.cluster.machines.values_mut() {
-            machine.update_size(&types);
+            machine.update_machine_type(&types);
         }
         self.cluster.machine_types = types;
     }
 
     /// Drains a machine: it gets no new tasks, and is deleted once it is empty.
     pub fn drain_machine(&mut self, name: &str) {
-        self.cluster.drain(name);
+        self.cluster.drain_machine(name);
     }
 
     /// Handles the end of a write of a machine's record. `stored` is false if the write failed.
     pub fn on_machine_record_written(&mut self, name: &str, stored: bool) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
-            machine.finish_recording(stored);
+            machine.finish_record_write(stored);
         }
     }
 
@@ -49,7 +49,7 @@
             "task released"
         );
         if let Some(job) = self.cluster.jobs.get_mut(&task.job) {
-            job.release(task.index, name, *attempt);
+            job.release_task(task.index, name, *attempt);
         }
         self.remove_job_if_closed(&task.job);
     }
@@ -72,7 +72,7 @@
         self.release_tasks(name, |_| true);
         if let Some(machine) = self.cluster.machines.remove(name) {
             tracing::debug!(machine = name, "machine removed");
-            if machine.recorded != Recorded::No {
+            if machine.record_state != RecordState::NotStored {
                 self.actions.push(Action::DeleteMachineRecord(MachineName::from(name)));
             }
         }
@@ -93,7 +93,7 @@
             self.update_listed_machine(entry, now);
         }
         let listed: BTreeSet<&str> = list.iter().map(|entry| entry.name.as_str()).collect();
-        let settles_after = self.cluster.config.missing_machine_gone_after();
+        let settles_after = self.cluster.config.missing_machine_timeout();
         let machines = self.cluster.machines.values();
         // A list may lag behind the cloud's state. A missing machine is removed only if the list was
         // requested so long after the machine became known that it must describe a later moment.
@@ -124,7 +124,7 @@
         let types = &self.cluster.machine_types;
         let listed = || Machine::from_listed(entry, types, now);
         let machine = self.cluster.machines.entry(entry.name.clone()).or_insert_with(listed);
-        machine.note_listed_addr(&entry.addr);
+        machine.set_addr_if_unknown(&entry.addr);
     }
 
     /// Requests the deletion of drained machines that are empty. Every [`DELETION_RETRY_INTERVAL`],
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller: its components are built and wired together here, and their loops started.
+//! Builds the components of a controller, connects them and starts their loops.
 
 use crate::environment::Environment;
 use crate::leadership::{self, Leadership, LeadershipContext};
@@ -11,7 +11,7 @@
 use crate::replica::{ReplicaFollower, ReplicaObserver, StoreReplica};
 use crate::routes::Routes;
 use crate::session_lease::{LeaseKeeper, SessionLease};
-use crate::settings::{Settings, Sockets};
+use crate::settings::{ConnectionLimits, Settings};
 use crate::users::UserRequests;
 use crate::workers::{RedirectedWorkers, WorkerHeartbeats};
 use corkfield_http::net::LocalFuture;
@@ -25,66 +25,68 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Tries to listen at an address, after the first one.
+/// How often binding a listener is retried after the first attempt failed.
 const LISTEN_RETRIES: u32 = 20;
 const LISTEN_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before a loop that ended is started again.
+/// Pause before a loop that ended unexpectedly is restarted.
 const RESTART_PAUSE: Duration = Duration::from_millis(500);
 
-/// The components of one controller, as built here.
+/// The components of a controller that are shared between its loops and request handlers.
 struct Components {
-    /// Settings, identity, and clients of outside services.
+    /// Settings, identity, and clients of external services.
     env: Rc<Environment>,
-    /// The copy of the store.
+    /// The local copy of the state service.
     replica: Rc<StoreReplica>,
     /// This controller's lease.
     session_lease: Rc<SessionLease>,
-    /// This controller's part in election and leading.
+    /// The state of leader election and leadership.
     leadership: Rc<Leadership>,
     /// The view of the other controllers.
     peers: Rc<Peers>,
-    /// Cancellations that other controllers have still to acknowledge.
-    notifications: Rc<CancellationOutbox>,
-    /// Workers that were redirected to the leader.
-    redirected: Rc<RedirectedWorkers>,
-    /// The connections of users and workers.
+    /// Cancellations that other controllers have not acknowledged yet.
+    outbox: Rc<CancellationOutbox>,
+    /// Workers that were recently redirected to the leader.
+    redirected_workers: Rc<RedirectedWorkers>,
+    /// Counts the open connections of users and workers.
     connections: Rc<Connections>,
 }
 
-/// Why a controller can't start.
+/// An error that prevents a controller from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// An address from the settings can't be listened at.
+    /// The controller can't listen on an address from its settings.
     #[error("can't listen on {addr}: {error}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         error: std::io::Error,
     },
 }
 
-/// Runs a controller; returns only if it can't start. All its random numbers follow from `seed`.
+/// Runs a controller; returns only if the controller can't start. `seed` determines all random
+/// numbers of the process.
 pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
     let users_listener = listen(&*network, settings.platform.listen).await?;
     let peers_listener = listen(&*network, settings.platform.peer_listen).await?;
     let components = Components::new(settings, network, seed);
     let (name, listen) = (&components.env.name, components.env.settings.platform.listen);
     tracing::info!(controller = %name, %listen, "controller started");
-    let links =
-        Rc::new(PeerLinks::new(max_queued_frames(components.env.settings.sockets().accepted)));
-    let workers = Rc::new(worker_heartbeats(&components, &links));
-    serve_requests(&components, users_listener, routes(&components, &links, &workers));
+    let links = Rc::new(PeerLinks::new(max_queued_frames(
+        components.env.settings.connection_limits().accepted,
+    )));
+    let workers = Rc::new(build_worker_heartbeats(&components, &links));
+    serve_requests(&components, users_listener, build_routes(&components, &links, &workers));
     serve_peers(&components, peers_listener, &links, workers);
     follow_store(&components);
     maintain_lease(&components);
-    lead(&components).await;
+    run_leadership(&components).await;
     Ok(())
 }
 
-/// Begins to accept connections at an address.
+/// Starts to listen on an address; retries while the address is in use.
 async fn listen(network: &dyn Network, addr: SocketAddr) -> Result<Box<dyn Listener>, RunError> {
-    // A restarted process may find its address still taken for a moment.
+    // After a restart the address may still be in use by the previous process for a moment.
     let mut retries = 0;
     loop {
         match network.listen(addr).await {
@@ -102,34 +104,34 @@
 
 impl Components {
     fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
-        let connections = Rc::new(Connections::new(connection_limits(settings.sockets())));
+        let connections = Rc::new(Connections::new(http_limits(settings.connection_limits())));
         Self {
             env: Rc::new(Environment::new(settings, network, seed)),
             replica: Rc::default(),
             session_lease: Rc::default(),
             leadership: Rc::default(),
             peers: Rc::default(),
-            notifications: Rc::default(),
-            redirected: Rc::default(),
+            outbox: Rc::default(),
+            redirected_workers: Rc::default(),
             connections,
         }
     }
 }
 
-/// Users must not take the connections that workers need: a worker without one loses its lease and
-/// all that it runs.
-fn connection_limits(sockets: Sockets) -> Limits {
+/// Returns the connection limits of the HTTP server. Connections of users are limited separately:
+/// a worker that gets no connection loses its lease and all tasks that it runs.
+fn http_limits(limits: ConnectionLimits) -> Limits {
     Limits {
-        connections: sockets.accepted,
-        kept: sockets.kept,
-        others: sockets.users,
+        connections: limits.accepted,
+        kept: limits.keep_alive,
+        others: limits.users,
         kept_for: PATH_HEARTBEAT,
         ..Limits::default()
     }
 }
 
-/// What answers workers.
-fn worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
+/// Builds the handler of workers' heartbeats.
+fn build_worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
     WorkerHeartbeats {
         env: components.env.clone(),
         replica: components.replica.clone(),
@@ -137,13 +139,13 @@
         session_lease: components.session_lease.clone(),
         peers: components.peers.clone(),
         links: links.clone(),
-        redirected: components.redirected.clone(),
+        redirected_workers: components.redirected_workers.clone(),
         connections: components.connections.clone(),
     }
 }
 
-/// What answers users.
-fn user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
+/// Builds the handler of users' requests.
+fn build_user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
     UserRequests {
         env: components.env.clone(),
         replica: components.replica.clone(),
@@ -153,19 +155,19 @@
             leadership: components.leadership.clone(),
             peers: components.peers.clone(),
             links: links.clone(),
-            outbox: components.notifications.clone(),
+            outbox: components.outbox.clone(),
         },
     }
 }
 
-/// What answers all requests.
-fn routes(
+/// Builds the dispatcher of HTTP requests.
+fn build_routes(
     components: &Components,
     links: &Rc<PeerLinks>,
     workers: &Rc<WorkerHeartbeats>,
 ) -> Routes {
     Routes {
-        users: user_requests(components, links),
+        users: build_user_requests(components, links),
         workers: workers.clone(),
         replica: components.replica.clone(),
         peers: components.peers.clone(),
@@ -174,14 +176,14 @@
     }
 }
 
-/// Serves users, workers, operators and the load balancer.
+/// Starts to serve HTTP requests of users, workers, operators and the load balancer.
 fn serve_requests(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
     let handler = Rc::new(move |request| routes.clone().answer(request));
     tokio::task::spawn_local(serve_counted(listener, components.connections.clone(), handler));
 }
 
-/// Serves the links that other controllers open, and keeps one to each of them.
+/// Starts to serve the links that other controllers open, and to maintain a link to each of them.
 fn serve_peers(
     components: &Components,
     listener: Box<dyn Listener>,
@@ -191,25 +193,25 @@
     let incoming = Rc::new(IncomingLinks {
         env: components.env.clone(),
         peers: components.peers.clone(),
-        outbox: components.notifications.clone(),
+        outbox: components.outbox.clone(),
         handler: Rc::new(PeerRequests { workers, leadership: components.leadership.clone() }),
     });
-    tokio::task::spawn_local(incoming.accept(listener));
+    tokio::task::spawn_local(incoming.accept_links(listener));
     let outgoing = Rc::new(OutgoingLinks {
         env: components.env.clone(),
         replica: components.replica.clone(),
         session_lease: components.session_lease.clone(),
         leadership: components.leadership.clone(),
         peers: components.peers.clone(),
-        outbox: components.notifications.clone(),
+        outbox: components.outbox.clone(),
         links: links.clone(),
     });
     for peer in &components.env.settings.platform.peers {
-        tokio::task::spawn_local(outgoing.clone().maintain(peer.node.clone(), peer.addr));
+        tokio::task::spawn_local(outgoing.clone().maintain_link(peer.node.clone(), peer.addr));
     }
 }
 
-/// Starts the loops that keep the copy of the store up to date.
+/// Starts the loops that keep the local copy of the state service up to date.
 fn follow_store(components: &Components) {
     let follower = Rc::new(ReplicaFollower {
         env: components.env.clone(),
@@ -223,15 +225,15 @@
     tokio::task::spawn_local(supervise("refresher", serve_refreshes));
 }
 
-/// Starts the loop that keeps this controller's lease.
+/// Starts the loop that acquires and renews this controller's lease.
 fn maintain_lease(components: &Components) {
     let (env, session_lease) = (components.env.clone(), components.session_lease.clone());
     let keeper = Rc::new(LeaseKeeper { env, session_lease });
     tokio::task::spawn_local(supervise("session lease", move || keeper.clone().maintain()));
 }
 
-/// Runs the loop of election and leading.
-async fn lead(components: &Components) {
+/// Runs the loop of leader election and leadership.
+async fn run_leadership(components: &Components) {
     let context = Rc::new(LeadershipContext {
         env: components.env.clone(),
         replica: components.replica.clone(),
@@ -242,46 +244,48 @@
     supervise("leader", move || leadership::run(context.clone())).await;
 }
 
-/// Runs a loop for ever. A fault in it must not end the controller, nor leave it half dead: the
-/// loop is started again from what is stored.
+/// Runs a loop forever and restarts it whenever it ends or panics. A fault in one loop must neither
+/// end the controller nor leave it running without that loop; the restarted loop begins from the
+/// stored state.
 async fn supervise<F>(name: &str, run: impl Fn() -> F)
 where
     F: Future<Output = ()> + 'static,
 {
     loop {
         let ended = tokio::task::spawn_local(run()).await;
-        tracing::error!(component = name, ?ended, "loop ended; started again");
+        tracing::error!(component = name, ?ended, "loop ended unexpectedly; restarting it");
         tokio::time::sleep(RESTART_PAUSE).await;
     }
 }
 
-/// A leader stops what a read shows as over before the read counts as proof of fresh state (S6).
+/// A leader closes the jobs that a read shows as finished before the read counts as proof of fresh
+/// state (S6).
 impl ReplicaObserver for Leadership {
-    fn jobs_ended(&self, jobs: &[JobId]) {
+    fn on_jobs_ended(&self, jobs: &[JobId]) {
         self.close_jobs(jobs);
     }
 
-    fn jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
+    fn on_jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
         self.close_all_but(unfinished);
     }
 
-    fn watches_closely(&self) -> bool {
+    fn needs_prompt_updates(&self) -> bool {
         self.is_leading()
     }
 }
 
-/// Answers what the other controllers ask of this one.
+/// Handles requests of the other controllers: relayed heartbeats and cancellations.
 struct PeerRequests {
     workers: Rc<WorkerHeartbeats>,
     leadership: Rc<Leadership>,
 }
 
 impl PeerRequestHandler for PeerRequests {
-    fn relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
+    fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
         Box::pin(self.workers.answer_relayed(body))
     }
 
-    fn job_cancelled(&self, id: &JobId) {
-        self.leadership.note_cancelled(id);
+    fn on_job_cancelled(&self, id: &JobId) {
+        self.leadership.record_cancelled(id);
     }
 }
