--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -332,14 +332,17 @@
     /// Returns the time that a running task has when it is stopped: enough to save a checkpoint, or
     /// zero if it saves none.
     pub(crate) fn stop_grace(&self) -> Duration {
-        let grace_s =
-            if self.can_save_checkpoints() { self.spec().save_s + SAVE_MARGIN_S } else { 0.0 };
+        let grace_s = if self.can_save_checkpoints() {
+            self.spec().checkpoint_save_s + SAVE_MARGIN_S
+        } else {
+            0.0
+        };
         Duration::try_from_secs_f64(grace_s).unwrap_or_default()
     }
 
     /// Returns whether tasks of the job save checkpoints.
     pub(crate) fn can_save_checkpoints(&self) -> bool {
-        self.spec().checkpoint_s > 0.0
+        self.spec().checkpoint_interval_s > 0.0
     }
 
     /// Returns the resources that all unfinished tasks use together.
--- a/crates/core/src/placement/preemption/cost.rs
+++ b/crates/core/src/placement/preemption/cost.rs
@@ -54,8 +54,8 @@
 fn lost_run_time_s(victim_job: &Job, is_running: bool, ran_s: f64) -> f64 {
     if !is_running {
         0.0
-    } else if victim_job.spec().checkpoint_s > 0.0 {
-        victim_job.spec().save_s
+    } else if victim_job.spec().checkpoint_interval_s > 0.0 {
+        victim_job.spec().checkpoint_save_s
     } else {
         ran_s
     }
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -44,7 +44,7 @@
             Some(zone) => zone.clone(),
             None => zone_with_most_slots(capacity, candidates, &Resources::per_task(spec)),
         });
-        Self { tasks_by_zone, required_zone, max_tasks_per_zone: spec.zone_cap() }
+        Self { tasks_by_zone, required_zone, max_tasks_per_zone: spec.max_tasks_per_zone() }
     }
 
     /// Returns whether another task may be placed in the zone.
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -7,7 +7,7 @@
 use super::{Autoscaler, ScalingDecisions};
 use crate::cluster::Cluster;
 use crate::float_order::compare_f64;
-use corkfield_wire::cloud::{RentRequest, MAX_RENT};
+use corkfield_wire::cloud::{RentRequest, MAX_MACHINES_PER_RENTAL};
 use std::time::Instant;
 
 impl Autoscaler {
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Creates a request for `machines` machines of an offer, limited to [`MAX_RENT`].
+    /// Creates a request for `machines` machines of an offer, limited to
+    /// [`MAX_MACHINES_PER_RENTAL`].
     fn request_rental(&mut self, offer: &PricedOffer<'_>, machines: u32) -> RentRequest {
         self.requests_sent += 1;
         let request = RentRequest {
@@ -93,7 +94,7 @@
             machine_type: offer.machine_type.name.clone(),
             zone: offer.zone.to_owned(),
             spot: offer.spot,
-            count: machines.min(MAX_RENT),
+            count: machines.min(MAX_MACHINES_PER_RENTAL),
         };
         tracing::debug!(?request, "renting machines");
         self.rentals_in_flight.insert(request.request.clone(), request.clone());
--- a/crates/core/tests/scheduler/random_faults/workers.rs
+++ b/crates/core/tests/scheduler/random_faults/workers.rs
@@ -156,7 +156,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             term: self.term,
-            notice_s: self.has_interruption_notice.then_some(30.0),
+            termination_notice_s: self.has_interruption_notice.then_some(30.0),
             tasks: tasks.collect(),
         }
     }
@@ -219,9 +219,9 @@
         let mut live_tasks =
             self.tasks.iter().filter(|(_, state)| state.phase != TaskPhase::Exited);
         let cause = if behavior == JobBehavior::Unknown {
-            Some(ExitCause::Unknown)
+            Some(ExitCause::NoSuchTask)
         } else if live_tasks.clone().any(|((other, _), _)| *other == task) {
-            Some(ExitCause::Busy)
+            Some(ExitCause::OtherAttemptPresent)
         } else if live_tasks.by_ref().count() >= TASK_CAPACITY {
             Some(ExitCause::NoRoom)
         } else {
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -104,7 +104,8 @@
         // Before the start is sent, for example during an outage of the store, the cloud announces
         // that it reclaims the machine, or the machine is drained.
         if has_interruption_notice {
-            let heartbeat = WorkerHeartbeat { notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
+            let heartbeat =
+                WorkerHeartbeat { termination_notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
             scheduler.on_heartbeat(&heartbeat, true, later);
         } else {
             scheduler.drain_machine("host-1");
@@ -187,7 +188,7 @@
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
-    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
+    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::NoSuchTask));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-1", 3, vec![refused]), true, after_ms(100));
     scheduler.on_heartbeat(&heartbeat_from("host-2", 2, Vec::new()), true, after_ms(2000));
@@ -233,7 +234,7 @@
     let Some(Order::Start { task, attempt }) = orders.first().cloned() else {
         panic!("no start: {orders:?}");
     };
-    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
+    let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::NoSuchTask));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-0", 3, vec![refused]), true, now);
     assert!(!scheduler.has_assigned_tasks("host-1"), "the tasks are unassigned at once");
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -25,7 +25,7 @@
     /// Periodically reads the cloud's list of machines and passes it to the scheduler.
     pub(super) async fn poll_machine_list(&self) {
         let context = &self.context;
-        let requests_per_s = context.env.settings.platform.params.cloud.rps.max(0.1);
+        let requests_per_s = context.env.settings.platform.service.cloud.rps.max(0.1);
         let interval_s =
             (REQUESTS_PER_LIST / requests_per_s).clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
         let interval = Duration::from_secs_f64(interval_s);
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -11,7 +11,8 @@
 use corkfield_core::CompletionCommit;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{
-    final_key, finished_key, finished_prefix, job_key, FinalRecord, JobRecord, CHUNK_TASKS,
+    final_record_key, finished_tasks_key, finished_tasks_prefix, job_key, FinalRecord, JobRecord,
+    CHUNK_TASKS,
 };
 use corkfield_wire::store::Transaction;
 use corkfield_wire::{JobId, JobStatus, Revision, TaskSet};
@@ -42,7 +43,7 @@
     /// Stores finished tasks and start watermarks as they become due, in an endless loop.
     pub(super) async fn commit_completions(&self) {
         let context = &self.context;
-        let params = &context.env.settings.platform.params;
+        let params = &context.env.settings.platform.service;
         let max_changes = params.state.txn_ops.max(MIN_CHANGES_PER_TRANSACTION) as usize;
         let in_flight = InFlightCounter::default();
         loop {
@@ -74,12 +75,17 @@
         let id = &commit.job;
         let mut transaction = Transaction::default().when(job_key(id), commit.version);
         if commit.completes_job {
-            let record = FinalRecord { status: JobStatus::Done, done: commit.record.done };
-            transaction = transaction.delete(job_key(id)).put(final_key(id), store_value(&record));
+            let record = FinalRecord {
+                status: JobStatus::Done,
+                finished_count: commit.record.finished_count,
+            };
+            transaction =
+                transaction.delete(job_key(id)).put(final_record_key(id), store_value(&record));
         } else {
             transaction = transaction.put(job_key(id), store_value(&commit.record));
             for (chunk, finished) in &commit.chunks {
-                transaction = transaction.put(finished_key(id, *chunk), store_value(finished));
+                transaction =
+                    transaction.put(finished_tasks_key(id, *chunk), store_value(finished));
             }
         }
         Self { commit, transaction }
@@ -217,7 +223,7 @@
     id: &JobId,
 ) -> Option<TaskSet> {
     let state = &context.env.state;
-    let (items, _) = state.list(RequestClass::Claim, &finished_prefix(id)).await.ok()?;
+    let (items, _) = state.list(RequestClass::Claim, &finished_tasks_prefix(id)).await.ok()?;
     let mut finished = TaskSet::default();
     for item in items {
         if let Ok(chunk) = serde_json::from_value::<TaskSet>(item.value) {
@@ -231,7 +237,8 @@
 /// chunks do no harm.
 async fn delete_finished_chunks(context: &LeadershipContext, record: &JobRecord) {
     let chunks = record.spec.tasks.div_ceil(CHUNK_TASKS);
-    let keys: Vec<String> = (0..chunks).map(|chunk| finished_key(&record.spec.id, chunk)).collect();
+    let keys: Vec<String> =
+        (0..chunks).map(|chunk| finished_tasks_key(&record.spec.id, chunk)).collect();
     for part in keys.chunks(CHUNKS_PER_DELETION) {
         let transaction = part
             .iter()
--- a/crates/corkfield/src/leadership/completion_commits/tests.rs
+++ b/crates/corkfield/src/leadership/completion_commits/tests.rs
@@ -59,10 +59,10 @@
     commit.completes_job = true;
     let id = commit.job.clone();
     let transaction = JobCommit::new(commit).transaction;
-    let record = FinalRecord { status: JobStatus::Done, done: 0 };
+    let record = FinalRecord { status: JobStatus::Done, finished_count: 0 };
     let expected = Transaction::default()
         .when(job_key(&id), Revision::new(7))
         .delete(job_key(&id))
-        .put(final_key(&id), store_value(&record));
+        .put(final_record_key(&id), store_value(&record));
     assert_eq!(transaction, expected);
 }
--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -37,6 +37,6 @@
 
     /// Returns the maximum number of changes in a transaction of the state service; at least one.
     pub(super) fn max_transaction_changes(&self) -> usize {
-        self.env.settings.platform.params.state.txn_ops.max(1) as usize
+        self.env.settings.platform.service.state.txn_ops.max(1) as usize
     }
 }
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -74,7 +74,7 @@
 
 /// Returns a standby's share of the state service's rate limits.
 fn standby_budget(env: &Environment) -> RateBudget {
-    let standbys = f64::from(env.settings.platform.params.size.saturating_sub(1).max(1));
+    let standbys = f64::from(env.settings.platform.service.size.saturating_sub(1).max(1));
     RateBudget {
         request_share: (1.0 - LEADER_REQUEST_SHARE) / standbys,
         write_share: (1.0 - LEADER_WRITE_SHARE) / standbys,
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -5,7 +5,7 @@
 use crate::environment::Environment;
 use corkfield_cloud::CloudError;
 use corkfield_core::RentalFailure;
-use corkfield_wire::cloud::{RentRequest, MAX_RENT};
+use corkfield_wire::cloud::{RentRequest, MAX_MACHINES_PER_RENTAL};
 use corkfield_wire::MachineName;
 use std::time::{Duration, Instant};
 
@@ -35,8 +35,8 @@
         let mut last_scaling = None;
         loop {
             // A claim triggers scaling without delay, as machines take long to boot. So does a
-            // filled rental request: a request covers at most MAX_RENT machines, and a fleet of
-            // thousands would otherwise grow by only that many per second.
+            // filled rental request: a request covers at most MAX_MACHINES_PER_RENTAL machines, and
+            // a fleet of thousands would otherwise grow by only that many per second.
             let scaling_requested = self.scaling_requested.notified();
             let interval = self.tick_interval();
             let is_requested =
@@ -84,7 +84,7 @@
             let outcome = rent_with_retries(&context.env, &request).await;
             let filled = is_filled(&request, &outcome);
             scheduler.borrow_mut().on_rental_answered(&request, outcome, now());
-            if filled && request.count >= MAX_RENT {
+            if filled && request.count >= MAX_MACHINES_PER_RENTAL {
                 scaling_requested.notify_one();
             }
         });
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -50,7 +50,7 @@
     async fn serve_link(&self, peer: &str, stream: Stream) {
         let (reader, writer) = split(stream);
         let (frames, queued) = self.links.register_link(peer);
-        let retention = self.env.settings.platform.params.workers.cancel();
+        let retention = self.env.settings.platform.service.workers.cancel_timeout();
         let queue_frame = |frame| frames.try_send(frame).is_ok();
         let timers = &self.env.timers;
         tokio::select! {
@@ -98,9 +98,9 @@
             number: self.peers.record_sent_heartbeat(peer),
             last_received_number: echo.number,
             last_received_process: echo.process,
-            attests_outage: self.can_attest_outage_to(peer),
-            leading: self.leadership.is_leading(),
-            store_answers: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
+            is_outage_attestation: self.can_attest_outage_to(peer),
+            is_leader: self.leadership.is_leading(),
+            is_store_reachable: self.replica.proof_age() < HEARTBEAT_TIMEOUT,
             leader: leader.and_then(|record| record.node.clone()),
             term: leader.map_or(Term::default(), |record| record.term),
         }
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -5,7 +5,7 @@
 use crate::environment::Environment;
 use corkfield_state::{RequestClass, StateError};
 use corkfield_wire::records::{JobRecord, Versioned, REPLICATED_PREFIX};
-use corkfield_wire::store::Events;
+use corkfield_wire::store::WatchAnswer;
 use corkfield_wire::JobId;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -141,7 +141,7 @@
 
     /// Applies a read that started at `started`. The read becomes the proof of fresh state (S6)
     /// only after the observer was notified of the ended jobs.
-    fn apply_read(&self, events: Events, started: Instant) {
+    fn apply_read(&self, events: WatchAnswer, started: Instant) {
         let changes = self.replica.contents.borrow_mut().apply_events(events);
         self.observer.on_jobs_ended(&changes.ended_jobs);
         self.replica.proof.record_read(started);
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -10,7 +10,7 @@
 use crate::store_value::store_value;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{final_key, job_key, FinalRecord, JobRecord};
+use corkfield_wire::records::{final_record_key, job_key, FinalRecord, JobRecord};
 use corkfield_wire::store::Transaction;
 use corkfield_wire::{JobId, JobStatus, Revision};
 use lookup::{job_view, LookupError, StoredJob, QUERY_TIMEOUT};
@@ -64,12 +64,13 @@
                 }
                 Err(reason) => return self.lookup_failed_response(id, &reason),
             };
-            let cancelled = FinalRecord { status: JobStatus::Cancelled, done: record.done };
+            let cancelled =
+                FinalRecord { status: JobStatus::Cancelled, finished_count: record.finished_count };
             match self.store_cancelled(id, version, &cancelled).await {
                 Ok(_) => {
                     tracing::debug!(job = %id, "job cancelled");
                     self.record_final_state(id, &cancelled).await;
-                    return json(200, &job_view(id, cancelled.status, cancelled.done, 0));
+                    return json(200, &job_view(id, cancelled.status, cancelled.finished_count, 0));
                 }
                 Err(
                     StateError::Conflict(_) | StateError::NoResponse(_) | StateError::Refused(429),
@@ -94,9 +95,9 @@
         let value = store_value(&cancelled);
         let transaction = Transaction::default()
             .when(job_key(id), version)
-            .when(final_key(id), Revision::NONE)
+            .when(final_record_key(id), Revision::NONE)
             .delete(job_key(id))
-            .put(final_key(id), value);
+            .put(final_record_key(id), value);
         self.env.state.commit(RequestClass::Claim, &transaction).await
     }
 
@@ -113,7 +114,7 @@
         let value = store_value(&record);
         let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
         match self.env.state.commit(RequestClass::Submission, &transaction).await {
-            Ok(_) => json(200, &job_view(id, JobStatus::Queued, record.done, 0)),
+            Ok(_) => json(200, &job_view(id, JobStatus::Queued, record.finished_count, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "failed to release a dead-lettered job");
                 retry_later(STORE_UNAVAILABLE)
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -4,7 +4,7 @@
 use crate::responses::json;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{final_key, FinalRecord, JobRecord, Versioned};
+use corkfield_wire::records::{final_record_key, FinalRecord, JobRecord, Versioned};
 use corkfield_wire::user::JobView;
 use corkfield_wire::{JobId, JobStatus, Revision};
 use std::time::Duration;
@@ -42,10 +42,13 @@
     /// Returns the answer to a user who queries the job; `None` if the job is unknown.
     pub(super) fn response(&self, id: &JobId) -> Option<Response> {
         match self {
-            Self::Unfinished { record, .. } => {
-                Some(json(200, &job_view(id, record.status(), record.done, record.running)))
+            Self::Unfinished { record, .. } => Some(json(
+                200,
+                &job_view(id, record.status(), record.finished_count, record.running_count),
+            )),
+            Self::Final(record) => {
+                Some(json(200, &job_view(id, record.status, record.finished_count, 0)))
             }
-            Self::Final(record) => Some(json(200, &job_view(id, record.status, record.done, 0))),
             Self::Unknown => None,
         }
     }
@@ -53,7 +56,7 @@
 
 /// Builds the view of a job for users, with the numbers of its done and running tasks.
 pub(super) fn job_view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
-    JobView { id: id.clone(), status, done: Some(done), running: Some(running) }
+    JobView { id: id.clone(), status, finished_count: Some(done), running_count: Some(running) }
 }
 
 impl UserRequests {
@@ -71,7 +74,7 @@
         // The local copy doesn't follow final records. A job that has neither a record of an
         // unfinished job nor a final record was never accepted: the transaction that deletes the
         // former writes the latter.
-        let read = self.env.state.get(RequestClass::Query, &final_key(id)).await?;
+        let read = self.env.state.get(RequestClass::Query, &final_record_key(id)).await?;
         let Some(item) = read else {
             return Ok(StoredJob::Unknown);
         };
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -7,9 +7,9 @@
 use corkfield_core::check_schedulable;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
-use corkfield_wire::records::{final_key, job_key, JobRecord};
+use corkfield_wire::records::{final_record_key, job_key, JobRecord};
 use corkfield_wire::store::Transaction;
-use corkfield_wire::user::BadSubmission;
+use corkfield_wire::user::SubmissionError;
 use corkfield_wire::{JobId, JobSpec, JobStatus, Revision};
 
 /// Range of the random pause before storing a submission is retried, in milliseconds.
@@ -33,7 +33,7 @@
         let submission = async {
             match parsed {
                 Ok(spec) => self.accept_submission(spec).await,
-                Err(BadSubmission { id, reason }) => {
+                Err(SubmissionError { id, reason }) => {
                     self.refuse_submission(id.as_ref(), 400, &reason).await
                 }
             }
@@ -77,14 +77,14 @@
         };
         let transaction = Transaction::default()
             .when(job_key(&id), Revision::NONE)
-            .when(final_key(&id), Revision::NONE)
+            .when(final_record_key(&id), Revision::NONE)
             .put(job_key(&id), value);
         self.store_new_job(&id, &transaction).await
     }
 
     /// Returns whether a new job can be accepted.
     fn check_admission(&self, spec: &JobSpec) -> Admission {
-        let teams = &self.env.settings.platform.params.teams;
+        let teams = &self.env.settings.platform.service.teams;
         let contents = self.replica.contents.borrow();
         let at_job_limit = contents.jobs.len() >= self.env.settings.max_jobs();
         match contents.machine_types.as_ref().map(|types| check_schedulable(spec, teams, types)) {
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{job_spec, scenario, sleep_s, CANCEL_S};
 use corkfield_fakes::JobPlan;
-use corkfield_wire::records::final_key;
+use corkfield_wire::records::final_record_key;
 use corkfield_wire::user::PATH_JOBS;
 use corkfield_wire::{JobStatus, Priority};
 
@@ -18,7 +18,7 @@
             cluster.wait_until_done(&job.id, 60.0).await;
             assert_eq!(cluster.submit(job, 3.0).await, 200);
             assert!(cluster.job_record(&job.id).is_none(), "only a small final record is kept");
-            assert!(cluster.store.value(&final_key(&job.id)).is_some());
+            assert!(cluster.store.value(&final_record_key(&job.id)).is_some());
         }
         // Machines that nobody needs are returned in the end.
         sleep_s(120.0).await;
@@ -101,11 +101,11 @@
         job.memory_gb = 0.1;
         assert_eq!(cluster.submit(&job, 0.4).await, 201);
         sleep_s(40.0).await;
-        let before = cluster.job_record(&job.id).expect("unfinished").done;
+        let before = cluster.job_record(&job.id).expect("unfinished").finished_count;
         let leader = cluster.leader();
         cluster.restart(leader, 0.3).await;
         sleep_s(20.0).await;
-        let after = cluster.job_record(&job.id).expect("unfinished").done;
+        let after = cluster.job_record(&job.id).expect("unfinished").finished_count;
         assert!(before > 500 && after > before, "{before} then {after}");
         assert!(cluster.store.largest_value() < 16 * 1024);
         assert!(cluster.store.most_changes() <= 12);
--- a/crates/wire/tests/peer_frames.rs
+++ b/crates/wire/tests/peer_frames.rs
@@ -1,5 +1,6 @@
-//! Frames between controllers keep their bytes: during an upgrade both versions are linked. The
-//! bytes are those that the version at commit 2b8fbd7 wrote.
+//! Tests that the encoding of frames between controllers doesn't change, because during an upgrade
+//! controllers of both versions are connected. The expected bytes were written by the version at
+//! commit 2b8fbd7.
 
 use corkfield_wire::peer::{Frame, PeerHeartbeat};
 use corkfield_wire::{ControllerName, Incarnation, Term};
@@ -12,15 +13,15 @@
         number: 6,
         last_received_number: 7,
         last_received_process: 8,
-        attests_outage: true,
-        leading: false,
-        store_answers: true,
+        is_outage_attestation: true,
+        is_leader: false,
+        is_store_reachable: true,
         leader: Some(ControllerName::from("worker-1")),
         term: Term::new(41),
     }
 }
 
-fn heartbeat_without_a_leader() -> PeerHeartbeat {
+fn heartbeat_without_leader() -> PeerHeartbeat {
     PeerHeartbeat {
         node: ControllerName::from("n"),
         incarnation: Incarnation::default(),
@@ -28,9 +29,9 @@
         number: u64::MAX,
         last_received_number: 0,
         last_received_process: 0,
-        attests_outage: false,
-        leading: true,
-        store_answers: false,
+        is_outage_attestation: false,
+        is_leader: true,
+        is_store_reachable: false,
         leader: None,
         term: Term::new(0),
     }
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn heartbeats_keep_their_bytes() {
+fn heartbeat_encoding_is_unchanged() {
     assert_encoded_as(
         Frame::PeerHeartbeat(heartbeat()),
         concat!(
@@ -57,22 +58,22 @@
             "0600000000000000",                           // number
             "0700000000000000",                           // last_received_number
             "0800000000000000",                           // last_received_process
-            "01",                                         // attests_outage
-            "00",                                         // leading
-            "01",                                         // store_answers
-            "0108000000776f726b65722d31",                 // scheduler
+            "01",                                         // is_outage_attestation
+            "00",                                         // is_leader
+            "01",                                         // is_store_reachable
+            "0108000000776f726b65722d31",                 // leader
             "2900000000000000",                           // term
         ),
     );
     assert_encoded_as(
-        Frame::PeerHeartbeat(heartbeat_without_a_leader()),
+        Frame::PeerHeartbeat(heartbeat_without_leader()),
         "370000000200010000006e000000000000000000000000ffffffffffffffff\
          00000000000000000000000000000000000100000000000000000000",
     );
 }
 
 #[test]
-fn other_frames_keep_their_bytes() {
+fn encoding_of_other_frames_is_unchanged() {
     assert_encoded_as(
         Frame::WorkerHeartbeat { number: 9, body: b"{}".to_vec() },
         "1000000002010900000000000000020000007b7d",
