--- a/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
@@ -1,5 +1,5 @@
-//! Jobs that back off and are claimed once more while starts, heartbeats or answers of the store
-//! are still under way.
+//! Jobs that back off and are claimed again while starts, heartbeats or answers of the store are
+//! still in flight.
 
 use crate::cluster::{
     claims_jobs, job_spec, scenario, scenario_with_operator, sleep_s, Cluster, CONTROLLERS,
@@ -13,11 +13,12 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// After this a worker that was cut from the leader has its heartbeats relayed, in seconds.
-const UNTIL_RELAYED_S: f64 = 16.0;
+/// Time in seconds after which the other controllers relay the heartbeats of a worker that does not
+/// reach the leader.
+const RELAY_DELAY_S: f64 = 16.0;
 
-/// Counts the starts that reach a worker under another generation than that of the job's record
-/// in the store.
+/// Counts the starts that reach a worker under a generation that differs from the generation in the
+/// job's record in the store.
 fn count_starts_of_other_generations(cluster: &Rc<Cluster>) -> Rc<Cell<u32>> {
     let count = Rc::new(Cell::new(0));
     let (counter, observed) = (count.clone(), Rc::downgrade(cluster));
@@ -30,32 +31,33 @@
     count
 }
 
-/// How the second machine's heartbeats reach the leader.
+/// The route on which the second machine's heartbeats reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Path {
+enum HeartbeatRoute {
     Direct,
     Relayed,
 }
 
-/// A job's description is uploaded late, so that the first worker refuses its starts and the job
-/// backs off. Others of its tasks were assigned to a machine that hung for a moment and asks for
-/// its orders during the back-off, or only after the job is claimed anew. In a release build these
-/// left under the generation before ("start ordered ... generation=1 record_generation=2"), and a
-/// relaying controller dropped them ("relayed start dropped"); in a debug build the leader's
-/// assertion left the machine without answers until its lease expired.
+/// Guards against starts that are sent under an outdated generation. The first worker refuses the
+/// job's starts, because the plan of the job is added late, and the job backs off. Other tasks of the
+/// job were assigned to a machine that hangs and sends its next heartbeat during the back-off or
+/// after the next claim. In a release build their starts were sent under the previous generation
+/// ("start ordered ... generation=1 record_generation=2"), and a relaying controller dropped them
+/// ("relayed start dropped"). In a debug build an assertion of the leader failed, and the machine
+/// got no answers until its lease expired.
 #[test]
-fn starts_assigned_before_a_back_off_don_t_outlive_it() {
-    for path in [Path::Direct, Path::Relayed] {
+fn starts_assigned_before_a_back_off_are_not_sent_after_the_next_claim() {
+    for route in [HeartbeatRoute::Direct, HeartbeatRoute::Relayed] {
         for hung_s in [1.5, 3.4] {
-            // Machines are not returned meanwhile, and no answer waits for work.
+            // Idle machines are not returned, and heartbeat answers are not held back for work.
             let operator = Operator { idle_keep_s: 600.0, hold_s: 0.0, ..Operator::default() };
             scenario_with_operator(operator, 2, |cluster| async move {
                 cluster.cloud.capacity.set(2);
                 let second = cluster.cloud.workers().pop().expect("two machines");
-                if path == Path::Relayed {
+                if route == HeartbeatRoute::Relayed {
                     let leader = CONTROLLERS[cluster.leader()];
                     cluster.net.cut(leader, second.settings.name.as_str());
-                    sleep_s(UNTIL_RELAYED_S).await;
+                    sleep_s(RELAY_DELAY_S).await;
                 }
                 let other_generations = count_starts_of_other_generations(&cluster);
                 let job = job_spec(1, 16);
@@ -66,36 +68,41 @@
                 second.set_hung(false);
                 cluster.history.add_plan(JobPlan { spec: job.clone(), run_s: 2.0, fails: false });
                 cluster.wait_until_done(&job.id, 30.0).await;
-                assert_eq!(other_generations.get(), 0, "{path:?}, hung for {hung_s} s");
-                assert_eq!(second.agent_epoch(), agent_epoch, "no lease expired");
+                assert_eq!(other_generations.get(), 0, "{route:?}, hung for {hung_s} s");
+                assert_eq!(
+                    second.agent_epoch(),
+                    agent_epoch,
+                    "the lease of the hung machine did not expire"
+                );
                 assert_eq!(second.undelivered_starts(), 0);
             });
         }
     }
 }
 
-/// Whether a request is a completion commit, which rests on the job's record alone; claims are
-/// conditional on the leader record as well, acceptances on the job's final record.
+/// Returns whether a request is a completion commit. The conditions of a completion commit name only
+/// the job's record. Those of a claim also name the leader record, and those of an acceptance name
+/// the job's final record.
 fn is_completion_commit(request: &Request) -> bool {
     let transaction: Transaction = serde_json::from_slice(&request.body).unwrap_or_default();
-    let is_job = |condition: &Condition| condition.key.starts_with(JOBS_PREFIX);
-    let claimed = |change: &Change| match change {
+    let is_on_job_record = |condition: &Condition| condition.key.starts_with(JOBS_PREFIX);
+    let changes_claimed_job = |change: &Change| match change {
         Change::Put { value, .. } => value["owner"].is_string(),
         Change::Delete { .. } => true,
     };
     request.path() == PATH_TXN
-        && transaction.conditions.iter().all(is_job)
-        && transaction.changes.iter().any(claimed)
+        && transaction.conditions.iter().all(is_on_job_record)
+        && transaction.changes.iter().any(changes_claimed_job)
 }
 
-/// A job fails on three machines and backs off while one of its tasks completes on a fourth. The
-/// store carries out the commit of that task at once, and answers late: the leader has claimed the
-/// job anew by then, on the record that it watches. Taken as the newest, the record of the commit
-/// brought back the generation and the version before the claim; every later commit rested on that
-/// version and was refused ("completion commit failed" with a conflict, for ever), so the job was
-/// never done while that leader led.
+/// Guards against a late answer that overwrites newer state. A job fails on three machines and backs
+/// off while one of its tasks completes on a fourth. The store executes the completion commit at once
+/// and answers late, after the leader has claimed the job again, based on the watched record. The
+/// leader took the record of the commit for the newest one and returned to the generation and version
+/// before the claim. Every later commit was conditional on that version and was refused ("completion
+/// commit failed" with a conflict), so the job never completed under that leader.
 #[test]
-fn a_commit_answered_after_a_later_claim_does_not_hold_up_its_job() {
+fn a_job_completes_when_a_commit_is_answered_after_the_next_claim() {
     for run_s in [1.0, 1.4, 1.8, 2.2, 2.6, 3.0] {
         scenario(4, |cluster| async move {
             cluster.cloud.capacity.set(4);
@@ -118,8 +125,8 @@
     }
 }
 
-/// The first machine runs a job's long tasks, the others fail them, until the job is dead-lettered.
-/// Returns the job and the machines that fail it.
+/// Runs a job whose tasks take 20 s on the first machine and fail on the others until the job is
+/// dead-lettered. Returns the job and the workers on which its tasks fail.
 async fn dead_letter_job(cluster: &Cluster) -> (JobSpec, Vec<Rc<FakeWorker>>) {
     cluster.cloud.capacity.set(4);
     let faulty: Vec<_> = cluster.cloud.workers().into_iter().skip(1).collect();
@@ -134,7 +141,7 @@
     (job, faulty)
 }
 
-/// An operator releases the job, and the machines are mended.
+/// Releases a dead-lettered job as an operator does, and lets its tasks succeed on all machines.
 async fn release_job(cluster: &Cluster, job: &JobSpec, faulty: &[Rc<FakeWorker>]) {
     let release = format!("/operator/release/{}", job.id);
     let answer = cluster.request(cluster.leader(), "POST", &release, b"").await;
@@ -144,18 +151,19 @@
     }
 }
 
-/// A job is dead-lettered while one of its tasks runs: the task is stopped, and the record that
-/// shows it is written late. Meanwhile an operator releases the job, and the first claim after that
-/// goes unanswered. The write is refused, and the record read after it is of the same generation.
-/// Taken as the leader's own, it was not claimed once more, as its version was known: the overview
-/// listed no dead-lettered job, but nothing of the job ran any more while that leader led.
+/// Guards against a released job that is never claimed. A job is dead-lettered while one of its tasks
+/// runs; the task is stopped, and the write of the job's record is delayed. Meanwhile an operator
+/// releases the job, and the first claim after the release is lost. The delayed write is refused, and
+/// the record read afterwards has the same generation. The leader took that record for its own and
+/// did not claim the job again, because it knew the version: the overview listed no dead-lettered
+/// job, but no task of the job ran under that leader.
 #[test]
 fn a_job_released_while_its_record_is_written_runs_again() {
     for release_after_s in [0.0, 0.2, 0.4, 0.6, 0.8, 1.0, 1.2, 1.4] {
         let operator = Operator { claim_limit: 1, ..Operator::default() };
         scenario_with_operator(operator, 4, |cluster| async move {
             let (job, faulty) = dead_letter_job(&cluster).await;
-            // What is claimed next is claimed in vain.
+            // Delays completion commits and drops all claims until the faults are cleared.
             cluster.store.set_faults(|request| {
                 if is_completion_commit(request) {
                     Fault::Delay(1.0)
@@ -174,13 +182,14 @@
     }
 }
 
-/// The claim of a released job is carried out late, after its sender has looked for it in vain, and
-/// the next claim meets it and is refused. The record is the leader's own then, at a generation that
-/// it does not know. As its own it was not claimed once more: the job stayed dead-lettered in the
-/// leader's memory.
+/// Guards against a released job that stays dead-lettered in the leader's memory. The store executes
+/// the claim of the released job late, after the leader has read the record and not found the claim,
+/// and refuses the next claim as a conflict. The record then names the leader as owner, at a
+/// generation that the leader does not know. The leader took the job for claimed and did not claim
+/// it again.
 #[test]
-fn a_released_job_whose_claim_is_carried_out_late_runs_again() {
-    // The claim that is carried out late counts as one.
+fn a_released_job_whose_claim_is_executed_late_runs_again() {
+    // The claim that is executed late counts towards the limit.
     let operator = Operator { claim_limit: 2, ..Operator::default() };
     scenario_with_operator(operator, 4, |cluster| async move {
         let (job, faulty) = dead_letter_job(&cluster).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations while the leader changes, limits are reached and machines are silent.
+//! Cancellations while the leader changes, quotas are exhausted and machines are unresponsive.
 
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, Cluster, CONTROLLERS, LEASE_S};
 use corkfield_fakes::FakeWorker;
@@ -7,58 +7,63 @@
 use rand::{Rng, SeedableRng};
 use std::rc::Rc;
 
-/// Why a machine can't be asked.
+/// A fault that makes a machine unresponsive.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Silence {
-    /// It stands still, and goes on within its lease.
+enum MachineFault {
+    /// The machine's processes hang, and resume before the worker's lease expires.
     Hung,
-    /// Everything between it and the controllers is held back.
-    CutOff,
-    /// Its heartbeats arrive; nothing reaches it.
+    /// The network holds back all messages between the machine and the controllers.
+    Partitioned,
+    /// The machine's heartbeats arrive, but the machine receives no message.
     ReceivesNothing,
 }
 
-fn set_silent(cluster: &Cluster, worker: &FakeWorker, silence: Silence, on: bool) {
+/// Begins or ends a fault of a machine.
+fn set_machine_fault(cluster: &Cluster, worker: &FakeWorker, fault: MachineFault, is_active: bool) {
     let name = &worker.settings.name;
-    match silence {
-        Silence::Hung => worker.set_hung(on),
-        Silence::ReceivesNothing => worker.receives_nothing.set(on),
-        Silence::CutOff if on => {
+    match fault {
+        MachineFault::Hung => worker.set_hung(is_active),
+        MachineFault::ReceivesNothing => worker.receives_nothing.set(is_active),
+        MachineFault::Partitioned if is_active => {
             CONTROLLERS.iter().for_each(|controller| cluster.net.cut(name.as_str(), controller));
         }
-        Silence::CutOff => {
+        MachineFault::Partitioned => {
             CONTROLLERS.iter().for_each(|controller| cluster.net.heal(name.as_str(), controller));
         }
     }
 }
 
-/// Work of the team that may use 6 CPUs.
-fn capped(number: u32, tasks: u32, cpus: f64) -> JobSpec {
+/// Returns a job of the team "capped", whose quota is 6 CPUs.
+fn capped_job(number: u32, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec { team: "capped".to_owned(), cpus, ..job_spec(number, tasks) }
 }
 
 #[test]
-fn a_quota_counts_cancelled_tasks_on_silent_machines_while_the_leader_changes() {
-    for silence in [Silence::Hung, Silence::CutOff, Silence::ReceivesNothing] {
-        // The leader ends before the cancellation, with it, or after it.
+fn a_quota_counts_cancelled_tasks_on_unresponsive_machines_while_the_leader_changes() {
+    for fault in [MachineFault::Hung, MachineFault::Partitioned, MachineFault::ReceivesNothing] {
+        // Seconds from the cancellation to the end of the leader; negative: before the cancellation.
         for leader_ends_s in [-1.0, 0.0, 1.5, 6.0] {
             scenario(4, |cluster| async move {
-                let (cancelled, next) = (capped(1, 6, 1.0), capped(2, 12, 2.0));
-                let newest = capped(3, 6, 2.0);
+                let (cancelled, next) = (capped_job(1, 6, 1.0), capped_job(2, 12, 2.0));
+                let newest = capped_job(3, 6, 2.0);
                 cluster.submit(&cancelled, 300.0).await;
-                // Keeps the other machines, and leaves room on one of them.
+                // Keeps the other machines in use, so that they are not returned, and leaves free
+                // capacity on one of them.
                 let filler = job_spec(4, 20);
                 cluster.submit(&filler, 40.0).await;
                 sleep_s(4.0).await;
                 assert_eq!(
                     cluster.history.running_tasks(&cancelled.id),
                     6,
-                    "the team is at its limit"
+                    "the team has used up its quota"
                 );
                 cluster.submit(&next, 3.0).await;
                 sleep_s(1.0).await;
-                let silent = [0, 3].map(|index| cluster.worker_of(&task_id(&cancelled, index)));
-                silent.iter().for_each(|worker| set_silent(&cluster, worker, silence, true));
+                let unresponsive =
+                    [0, 3].map(|index| cluster.worker_of(&task_id(&cancelled, index)));
+                unresponsive
+                    .iter()
+                    .for_each(|worker| set_machine_fault(&cluster, worker, fault, true));
                 cluster.cloud.down.set(true);
                 if leader_ends_s < 0.0 {
                     cluster.restart(cluster.leader(), 0.3).await;
@@ -69,11 +74,13 @@
                     sleep_s(leader_ends_s).await;
                     cluster.restart(cluster.leader(), 0.3).await;
                 }
-                // Nobody can have begun this one, so only the limit holds it back.
+                // No machine can have started a task of this job, so only the quota delays it.
                 cluster.submit(&newest, 3.0).await;
-                // What goes on within its lease still runs its cancelled tasks at first.
+                // A machine that resumes within its lease still runs its cancelled tasks at first.
                 sleep_s(LEASE_S - 3.0 - f64::max(leader_ends_s, 0.0)).await;
-                silent.iter().for_each(|worker| set_silent(&cluster, worker, silence, false));
+                unresponsive
+                    .iter()
+                    .for_each(|worker| set_machine_fault(&cluster, worker, fault, false));
                 cluster.cloud.down.set(false);
                 for job in [&next, &newest, &filler] {
                     cluster.wait_until_done(&job.id, 150.0).await;
@@ -84,43 +91,52 @@
     }
 }
 
-/// How one controller's work passes to another.
+/// A fault that makes another controller the leader.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Change {
+enum LeaderFault {
+    /// The leader's process ends.
     Crash,
-    HandOver,
-    Refusal,
+    /// The leader is cut off from all workers and hands over.
+    CutFromWorkers,
+    /// The store refuses the leader's requests.
+    RefusedByStore,
+    /// The leader's process is paused while its clocks advance.
     Freeze,
 }
 
-async fn begin_change(cluster: &Rc<Cluster>, change: Change) {
+async fn begin_leader_fault(cluster: &Rc<Cluster>, fault: LeaderFault) {
     let leader = cluster.leader();
-    match change {
-        Change::Crash => cluster.kill(leader),
-        Change::Refusal => cluster.store_refuses[leader].set(true),
-        Change::HandOver => {
+    match fault {
+        LeaderFault::Crash => cluster.kill(leader),
+        LeaderFault::RefusedByStore => cluster.store_refuses[leader].set(true),
+        LeaderFault::CutFromWorkers => {
             cluster.cut_from_workers(leader);
         }
-        Change::Freeze => {
+        LeaderFault::Freeze => {
             let cluster = cluster.clone();
             tokio::task::spawn_local(async move { cluster.freeze(leader, 14.0).await });
         }
     }
 }
 
-fn end_change(cluster: &Cluster, change: Change, leader: usize) {
-    match change {
-        Change::Crash => cluster.start(leader),
-        Change::Refusal => cluster.store_refuses[leader].set(false),
-        Change::HandOver => cluster.heal_to_workers(leader),
-
-        Change::Freeze => {}
+fn end_leader_fault(cluster: &Cluster, fault: LeaderFault, leader: usize) {
+    match fault {
+        LeaderFault::Crash => cluster.start(leader),
+        LeaderFault::RefusedByStore => cluster.store_refuses[leader].set(false),
+        LeaderFault::CutFromWorkers => cluster.heal_to_workers(leader),
+        // The pause ends by itself.
+        LeaderFault::Freeze => {}
     }
 }
 
 #[test]
-fn cancellations_in_the_seconds_of_a_leader_change_are_final_and_carried_out() {
-    for change in [Change::Crash, Change::HandOver, Change::Refusal, Change::Freeze] {
+fn cancellations_confirmed_during_a_leader_change_are_final_and_stop_all_tasks() {
+    for fault in [
+        LeaderFault::Crash,
+        LeaderFault::CutFromWorkers,
+        LeaderFault::RefusedByStore,
+        LeaderFault::Freeze,
+    ] {
         for seed in 0..3 {
             scenario(4, |cluster| async move {
                 let mut rng = SmallRng::seed_from_u64(seed);
@@ -132,33 +148,33 @@
                 }
                 sleep_s(3.0).await;
                 let leader = cluster.leader();
-                begin_change(&cluster, change).await;
+                begin_leader_fault(&cluster, fault).await;
                 let others = cluster.other_controllers(leader);
                 for job in &cancelled {
                     sleep_s(rng.random_range(0.1..1.1)).await;
-                    let asked = others[rng.random_range(0..others.len())];
+                    let controller = others[rng.random_range(0..others.len())];
                     let (cluster, id) = (cluster.clone(), job.id.clone());
-                    tokio::task::spawn_local(
-                        async move { cluster.cancel_through(asked, &id).await },
-                    );
+                    tokio::task::spawn_local(async move {
+                        cluster.cancel_through(controller, &id).await
+                    });
                 }
                 sleep_s(1.0).await;
-                end_change(&cluster, change, leader);
+                end_leader_fault(&cluster, fault, leader);
                 sleep_s(LEASE_S + 8.0).await;
                 for job in &cancelled {
                     assert_eq!(cluster.status(&job.id).await, Some(JobStatus::Cancelled));
-                    assert_eq!(cluster.history.running_tasks(&job.id), 0, "{change:?}");
+                    assert_eq!(cluster.history.running_tasks(&job.id), 0, "{fault:?}");
                 }
                 cluster.wait_until_done(&kept.id, 200.0).await;
-                let late = cluster.history.starts_after_cancellation();
-                assert_eq!(late, 0, "{change:?}, seed {seed}: started after the confirmation");
+                let starts = cluster.history.starts_after_cancellation();
+                assert_eq!(starts, 0, "{fault:?}, seed {seed}: started after the confirmation");
             });
         }
     }
 }
 
 #[test]
-fn a_burst_of_cancellations_with_hung_machines_leaves_nothing_running() {
+fn a_burst_of_cancellations_with_hung_machines_leaves_no_cancelled_task_running() {
     for hung_s in [4.0, LEASE_S - 2.0, LEASE_S + 5.0] {
         scenario(4, |cluster| async move {
             let jobs: Vec<JobSpec> = (1..=10).map(|number| job_spec(number, 3)).collect();
@@ -175,9 +191,9 @@
                 });
                 sleep_s(0.02).await;
             }
-            let freed = job_spec(20, 8);
-            cluster.submit(&freed, 2.0).await;
-            cluster.wait_until_done(&freed.id, 25.0).await;
+            let next = job_spec(20, 8);
+            cluster.submit(&next, 2.0).await;
+            cluster.wait_until_done(&next.id, 25.0).await;
             sleep_s((hung_s - 8.0).max(0.0)).await;
             hung.iter().for_each(|worker| worker.set_hung(false));
             sleep_s(5.0).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
@@ -1,5 +1,5 @@
-//! Direct commands that are held up and carried out after newer ones, and copies of heartbeats that
-//! reach a leader as it begins.
+//! Direct orders that are delayed and executed after newer ones, and replayed heartbeats that reach
+//! a new leader.
 
 use crate::cluster::{job_spec, scenario, sleep_s, Cluster, CONTROLLERS, LEASE_S};
 use corkfield_wire::worker::PATH_HEARTBEAT;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 #[test]
-fn delayed_commands_of_a_replaced_leader_stop_nothing_that_its_successor_started() {
+fn delayed_direct_orders_of_a_replaced_leader_stop_no_task_that_its_successor_started() {
     for delay_s in [2.0, 5.0, 9.0, 16.0] {
         for restart_s in [0.1, 2.5, 4.0] {
             scenario(3, |cluster| async move {
@@ -32,16 +32,16 @@
                 for job in &cancelled {
                     assert_eq!(cluster.history.running_tasks(&job.id), 0);
                 }
-                let late: u32 = workers.iter().map(|worker| worker.delayed_commands()).sum();
-                assert!(late > 0, "no command was carried out late");
-                cluster.assert_started_once(&kept, "late stops name attempts that are gone");
+                let delayed: u32 = workers.iter().map(|worker| worker.delayed_commands()).sum();
+                assert!(delayed > 0, "no direct order was delayed");
+                cluster.assert_started_once(&kept, "delayed stops name attempts that have ended");
             });
         }
     }
 }
 
-/// Sends copies of the heartbeats that workers sent before to every controller.
-async fn send_copies(cluster: &Rc<Cluster>, copies: &[Vec<u8>]) {
+/// Sends every controller the given copies of earlier heartbeats.
+async fn replay_heartbeats(cluster: &Rc<Cluster>, copies: &[Vec<u8>]) {
     for copy in copies {
         for controller in 0..CONTROLLERS.len() {
             let (sender, copy) = (cluster.clone(), copy.clone());
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn copies_of_heartbeats_that_meet_a_new_leader_prove_nothing() {
-    for wait_s in [0.0, 0.4, 1.5, 4.0] {
-        for kept_heartbeats in [1, 6, 40] {
+fn a_new_leader_does_not_treat_replayed_heartbeats_as_current() {
+    for replay_delay_s in [0.0, 0.4, 1.5, 4.0] {
+        for max_copies in [1, 6, 40] {
             scenario(3, |cluster| async move {
                 let (short, long) = (job_spec(1, 40), job_spec(2, 8));
                 cluster.submit(&short, 2.5).await;
@@ -63,13 +63,13 @@
                 sleep_s(6.0).await;
                 for _ in 0..2 {
                     let workers = cluster.cloud.workers();
-                    // One of them hangs, so that only copies speak for it.
+                    // One machine hangs, so that the controllers receive only copies of its heartbeats.
                     workers[0].set_hung(true);
                     let copies: Vec<Vec<u8>> = workers
                         .iter()
                         .flat_map(|worker| {
                             let sent = worker.sent_heartbeats();
-                            let first = sent.len().saturating_sub(kept_heartbeats);
+                            let first = sent.len().saturating_sub(max_copies);
                             sent[first..].to_vec()
                         })
                         .collect();
@@ -79,8 +79,8 @@
                     while cluster.elected_leader().is_none_or(|leader| leader.term == term) {
                         sleep_s(0.05).await;
                     }
-                    sleep_s(wait_s).await;
-                    send_copies(&cluster, &copies).await;
+                    sleep_s(replay_delay_s).await;
+                    replay_heartbeats(&cluster, &copies).await;
                     sleep_s(5.0).await;
                     workers[0].set_hung(false);
                     sleep_s(4.0).await;
