--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -41,7 +41,8 @@
 #[test]
 fn a_quota_counts_cancelled_tasks_on_unresponsive_machines_while_the_leader_changes() {
     for fault in [MachineFault::Hung, MachineFault::Partitioned, MachineFault::ReceivesNothing] {
-        // Seconds from the cancellation to the end of the leader; negative: before the cancellation.
+        // Seconds from the cancellation to the end of the leader; negative: before the
+        // cancellation.
         for leader_ends_s in [-1.0, 0.0, 1.5, 6.0] {
             scenario(4, |cluster| async move {
                 let (cancelled, next) = (capped_job(1, 6, 1.0), capped_job(2, 12, 2.0));
--- a/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/delayed_orders.rs
@@ -63,7 +63,8 @@
                 sleep_s(6.0).await;
                 for _ in 0..2 {
                     let workers = cluster.cloud.workers();
-                    // One machine hangs, so that the controllers receive only copies of its heartbeats.
+                    // One machine hangs, so that the controllers receive only copies of its
+                    // heartbeats.
                     workers[0].set_hung(true);
                     let copies: Vec<Vec<u8>> = workers
                         .iter()
--- a/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the leader, and what meets them.
+//! Leader changes combined with outages, partitions, hung machines and cancellations.
 
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
@@ -6,8 +6,8 @@
 use corkfield_wire::JobStatus;
 
 #[test]
-fn ten_changes_of_the_leader_in_two_minutes_lose_and_double_nothing() {
-    for outage in [false, true] {
+fn ten_leader_changes_in_two_minutes_lose_no_job_and_violate_no_safety_rule() {
+    for has_outage in [false, true] {
         scenario(3, |cluster| async move {
             let jobs: Vec<_> = (1..=4).map(|number| job_spec(number, 12)).collect();
             for job in &jobs {
@@ -16,16 +16,16 @@
             let to_cancel = job_spec(9, 6);
             cluster.submit(&to_cancel, 300.0).await;
             for round in 0..10 {
-                if outage && round == 4 {
+                if has_outage && round == 4 {
                     cluster.store.set_down(true);
                 }
                 let leader = cluster.leader();
                 cluster.restart(leader, 0.1 + f64::from(round % 3)).await;
-                sleep_s(if outage { 4.0 } else { 9.0 }).await;
+                sleep_s(if has_outage { 4.0 } else { 9.0 }).await;
                 if round == 2 {
                     cluster.cancel(&to_cancel.id).await;
                 }
-                if outage && round == 7 {
+                if has_outage && round == 7 {
                     cluster.store.set_down(false);
                     sleep_s(4.0).await;
                 }
@@ -39,19 +39,19 @@
 }
 
 #[test]
-fn a_leader_that_ends_leaves_long_tasks_where_they_can_not_be_asked() {
-    // Cut off, hearing nothing, or heard by nobody, while leaders change.
-    for kind in 0..3 {
-        for after in [1.0, LEASE_S - 3.0, LEASE_S + 6.0] {
+fn long_tasks_on_an_unreachable_machine_finish_after_a_failover() {
+    // Fault of the machine. 0: cut off from all hosts, 1: receives nothing, 2: sends nothing.
+    for fault in 0..3 {
+        for fault_s in [1.0, LEASE_S - 3.0, LEASE_S + 6.0] {
             scenario(3, |cluster| async move {
                 let job = job_spec(1, 20);
                 cluster.submit(&job, 30.0).await;
                 sleep_s(5.0).await;
                 let worker = cluster.worker_of(&task_id(&job, 0));
                 let name = worker.settings.name.to_string();
-                // It can't be returned either.
+                // The cloud is down, so that the leader can't return the machine.
                 cluster.cloud.down.set(true);
-                match kind {
+                match fault {
                     0 => cluster.net.cut(&name, "*"),
                     1 => worker.receives_nothing.set(true),
                     _ => worker.sends_nothing.set(true),
@@ -59,8 +59,8 @@
                 sleep_s(0.7).await;
                 let leader = cluster.leader();
                 cluster.restart(leader, 0.5).await;
-                sleep_s(after).await;
-                match kind {
+                sleep_s(fault_s).await;
+                match fault {
                     0 => cluster.net.heal(&name, "*"),
                     1 => worker.receives_nothing.set(false),
                     _ => worker.sends_nothing.set(false),
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_leader_cut_off_from_all_but_workers_gives_users_no_stale_answer() {
-    for hung in [false, true] {
+fn a_leader_that_reaches_only_workers_gives_users_no_stale_answer() {
+    for has_hung_machine in [false, true] {
         scenario(3, |cluster| async move {
             let (kept, to_cancel) = (job_spec(1, 8), job_spec(2, 8));
             cluster.submit(&kept, 40.0).await;
@@ -86,7 +86,7 @@
             sleep_s(LEASE_S).await;
             let new = cluster.leader();
             assert_ne!(new, old);
-            if hung {
+            if has_hung_machine {
                 let worker = cluster.worker_of(&task_id(&to_cancel, 0));
                 worker.set_hung(true);
                 tokio::task::spawn_local(async move {
@@ -113,20 +113,21 @@
 }
 
 #[test]
-fn all_controllers_away_for_longer_than_a_lease_lose_work_but_no_job() {
-    for away in [LEASE_S - 7.0, LEASE_S + 3.0, 75.0] {
-        // With room beside what still runs.
+fn an_outage_of_all_controllers_loses_no_job_and_reverts_no_cancellation() {
+    for outage_s in [LEASE_S - 7.0, LEASE_S + 3.0, 75.0] {
+        // The machines have free capacity besides the tasks that still run.
         scenario(6, |cluster| async move {
             let (job, to_cancel) = (job_spec(1, 20), job_spec(2, 3));
             cluster.submit(&job, 18.0).await;
             cluster.submit(&to_cancel, 300.0).await;
             sleep_s(5.0).await;
             cluster.cancel(&to_cancel.id).await;
-            // One machine stands still when they are back, the first time within its lease.
+            // One machine still hangs when the controllers are back. In the first case it resumes
+            // within its lease.
             let hung = cluster.worker_of(&task_id(&job, 0));
             hung.set_hung(true);
             (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
-            sleep_s(away).await;
+            sleep_s(outage_s).await;
             (0..CONTROLLERS.len()).for_each(|controller| cluster.start(controller));
             sleep_s(5.0).await;
             hung.set_hung(false);
@@ -139,8 +140,8 @@
 }
 
 #[test]
-fn a_leader_paused_while_clocks_run_on_does_no_harm_when_it_resumes() {
-    for still in [3.0, 9.5, 11.0, LEASE_S + 2.0, 70.0] {
+fn a_leader_that_resumes_after_a_pause_loses_no_job_and_violates_no_safety_rule() {
+    for pause_s in [3.0, 9.5, 11.0, LEASE_S + 2.0, 70.0] {
         scenario(3, |cluster| async move {
             let (job, stream, to_cancel) = (job_spec(1, 10), job_spec(2, 200), job_spec(3, 4));
             cluster.submit(&job, 25.0).await;
@@ -155,9 +156,9 @@
                     cluster.cancel_through(cluster.other_controllers(leader)[0], &id).await;
                 })
             };
-            cluster.freeze(leader, still).await;
-            cancelling.await.expect("it is cancelled");
-            // It wakes to orders, transactions and heartbeats that are long over.
+            cluster.freeze(leader, pause_s).await;
+            cancelling.await.expect("the job is cancelled");
+            // The leader resumes with outdated orders, transactions and heartbeats in flight.
             sleep_s(LEASE_S + 6.0).await;
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
             for job in [&job, &stream] {
@@ -176,23 +177,24 @@
         job.estimate_s = 60.0;
         cluster.submit(&job, 60.0).await;
         sleep_s(3.0).await;
-        // To it the rented machines are about to come up; to the next leader they do.
+        // The paused leader still has the rented machines as booting, while they come up under the
+        // next leader.
         let leader = cluster.leader();
         cluster.freeze(leader, 40.0).await;
         assert_ne!(cluster.leader(), leader);
-        // And the store is out of its reach for a while yet.
+        // The leader resumes without a connection to the store for another 4 s.
         cluster.net.cut(CONTROLLERS[leader], "state");
         sleep_s(4.0).await;
         cluster.net.heal(CONTROLLERS[leader], "state");
         sleep_s(5.0).await;
-        assert_eq!(cluster.cloud.workers().len(), 4, "none was returned");
+        assert_eq!(cluster.cloud.workers().len(), 4, "no machine was returned");
         cluster.wait_until_done(&job.id, 120.0).await;
-        cluster.assert_started_once(&job, "nothing was started again");
+        cluster.assert_started_once(&job, "no task was started again");
     });
 }
 
 #[test]
-fn a_leader_that_was_cut_off_from_all_deletes_no_machine_when_the_partition_ends() {
+fn a_leader_that_was_partitioned_deletes_no_machine_when_the_partition_ends() {
     for cut_s in [20.0, 45.0] {
         scenario(4, |cluster| async move {
             let mut job = job_spec(1, 30);
@@ -200,13 +202,14 @@
             cluster.submit(&job, 90.0).await;
             sleep_s(5.0).await;
             let leader = cluster.leader();
-            // The machines silent, it asks for others meanwhile.
+            // The leader receives no heartbeats and requests other machines meanwhile.
             cluster.cloud.lose_answers.set(true);
             cluster.net.cut(CONTROLLERS[leader], "*");
             sleep_s(cut_s).await;
             assert_ne!(cluster.leader(), leader);
-            // It learns at once that its jobs are another's, so that nothing seems to need the
-            // machines, and only seconds later that another one leads and its lease is lost.
+            // The old leader learns at once that another controller owns its jobs, so that the
+            // machines seem unused. Only 3 s later it learns that another controller leads and
+            // that its own lease is lost.
             cluster.store.set_fault_where(Fault::Drop, |request| {
                 request.path() == PATH_WATCH || request.path().ends_with(PATH_RENEW)
             });
@@ -215,17 +218,17 @@
             cluster.store.clear_faults();
             cluster.cloud.lose_answers.set(false);
             sleep_s(5.0).await;
-            assert_eq!(cluster.cloud.workers().len(), 4, "none was returned");
+            assert_eq!(cluster.cloud.workers().len(), 4, "no machine was returned");
             cluster.wait_until_done(&job.id, 120.0).await;
-            cluster.assert_started_once(&job, "nothing was started again");
+            cluster.assert_started_once(&job, "no task was started again");
         });
     }
 }
 
 #[test]
-fn a_zone_with_a_controller_that_is_cut_off_goes_on_or_expires_and_doubles_nothing() {
-    for leader_inside in [true, false] {
-        for long in [LEASE_S - 4.0, LEASE_S + 8.0] {
+fn jobs_finish_and_cancellations_hold_when_a_zone_with_one_controller_is_partitioned() {
+    for is_leader_inside in [true, false] {
+        for partition_s in [LEASE_S - 4.0, LEASE_S + 8.0] {
             scenario(4, |cluster| async move {
                 let (job, to_cancel) = (job_spec(1, 20), job_spec(2, 6));
                 cluster.submit(&job, 30.0).await;
@@ -233,31 +236,33 @@
                 sleep_s(5.0).await;
                 let leader = cluster.leader();
                 let inside =
-                    if leader_inside { leader } else { cluster.other_controllers(leader)[0] };
+                    if is_leader_inside { leader } else { cluster.other_controllers(leader)[0] };
                 let workers = cluster.cloud.workers();
-                let (near, far): (Vec<_>, Vec<_>) =
+                let (workers_inside, workers_outside): (Vec<_>, Vec<_>) =
                     workers.iter().partition(|worker| worker.settings.zone == "z1");
-                let cuts = || {
-                    let outside = ["state", "cloud", "user"].into_iter().map(str::to_owned);
-                    let outside =
-                        outside.chain(far.iter().map(|worker| worker.settings.name.to_string()));
+                let cut_links = || {
+                    let hosts_outside = ["state", "cloud", "user"].into_iter().map(str::to_owned);
+                    let hosts_outside = hosts_outside.chain(
+                        workers_outside.iter().map(|worker| worker.settings.name.to_string()),
+                    );
                     let others = cluster
                         .other_controllers(inside)
                         .into_iter()
                         .map(|other| CONTROLLERS[other].to_owned());
-                    let outside: Vec<String> = outside.chain(others).collect();
-                    let within = near.iter().map(|worker| worker.settings.name.to_string());
-                    let within: Vec<String> =
-                        within.chain([CONTROLLERS[inside].to_owned()]).collect();
-                    within
-                        .into_iter()
-                        .flat_map(move |a| outside.clone().into_iter().map(move |b| (a.clone(), b)))
+                    let hosts_outside: Vec<String> = hosts_outside.chain(others).collect();
+                    let hosts_inside =
+                        workers_inside.iter().map(|worker| worker.settings.name.to_string());
+                    let hosts_inside: Vec<String> =
+                        hosts_inside.chain([CONTROLLERS[inside].to_owned()]).collect();
+                    hosts_inside.into_iter().flat_map(move |a| {
+                        hosts_outside.clone().into_iter().map(move |b| (a.clone(), b))
+                    })
                 };
-                cuts().for_each(|(a, b)| cluster.net.cut(&a, &b));
+                cut_links().for_each(|(a, b)| cluster.net.cut(&a, &b));
                 sleep_s(2.0).await;
                 cluster.cancel_through(cluster.other_controllers(inside)[0], &to_cancel.id).await;
-                sleep_s(long).await;
-                cuts().for_each(|(a, b)| cluster.net.heal(&a, &b));
+                sleep_s(partition_s).await;
+                cut_links().for_each(|(a, b)| cluster.net.heal(&a, &b));
                 sleep_s(LEASE_S).await;
                 assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
                 cluster.wait_until_done(&job.id, 150.0).await;
@@ -267,8 +272,8 @@
 }
 
 #[test]
-fn leaders_hand_over_and_back_and_one_returns_within_an_instant() {
-    for back in [0.05, 0.6, 4.0] {
+fn two_hand_overs_and_a_restart_of_the_last_leader_start_no_task_again() {
+    for restart_s in [0.05, 0.6, 4.0] {
         scenario(2, |cluster| async move {
             let job = job_spec(1, 14);
             cluster.submit(&job, 70.0).await;
@@ -279,7 +284,7 @@
                 .iter()
                 .map(|worker| worker.settings.name.to_string())
                 .collect();
-            // Twice the workers lose their leader.
+            // The workers are cut off from the leader twice, so that it hands over each time.
             for _ in 0..2 {
                 let leader = cluster.leader();
                 machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
@@ -290,7 +295,7 @@
             }
             let last = cluster.leader();
             (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
-            sleep_s(back).await;
+            sleep_s(restart_s).await;
             cluster.start(last);
             sleep_s(6.0).await;
             cluster
@@ -298,16 +303,16 @@
                 .into_iter()
                 .for_each(|controller| cluster.start(controller));
             cluster.wait_until_done(&job.id, 150.0).await;
-            cluster.assert_started_once(&job, "no lease expired");
+            cluster.assert_started_once(&job, "no worker lease expired");
         });
     }
 }
 
 #[test]
-fn tasks_that_end_far_apart_across_changes_of_the_leader_are_each_counted_once() {
+fn tasks_that_finish_at_different_times_across_leader_changes_are_started_once() {
     for seed in 0..4u32 {
         scenario(1, |cluster| async move {
-            // Two or three tasks that run one after the other.
+            // Jobs of two or three tasks. Only one task fits on the machine at a time.
             let jobs: Vec<_> = (1..=3)
                 .map(|number| {
                     let mut job = job_spec(number, 1 + number.min(2));
@@ -325,7 +330,7 @@
             }
             for job in &jobs {
                 cluster.wait_until_done(&job.id, 120.0).await;
-                cluster.assert_started_once(job, "nothing was started again");
+                cluster.assert_started_once(job, "no task was started again");
             }
         });
     }
--- a/crates/corkfield/tests/scenarios/combined_faults/machines.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/machines.rs
@@ -1,25 +1,26 @@
-//! Machines that can't be asked, limits and zones.
+//! Unresponsive machines combined with failovers, quotas and placement constraints.
 
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_wire::{JobStatus, Priority};
 
 #[test]
-fn workers_that_reach_no_controller_expire_and_obey_direct_orders_meanwhile() {
-    for (all, failover) in [(false, false), (false, true), (true, false), (true, true)] {
+fn workers_that_reach_no_controller_execute_direct_orders_until_their_leases_expire() {
+    for (affects_all, has_failover) in [(false, false), (false, true), (true, false), (true, true)]
+    {
         scenario(3, |cluster| async move {
             let (job, to_cancel) = (job_spec(1, 14), job_spec(2, 6));
             cluster.submit(&job, 25.0).await;
             cluster.submit(&to_cancel, 300.0).await;
             sleep_s(5.0).await;
-            let silent: Vec<_> = if all {
+            let affected: Vec<_> = if affects_all {
                 cluster.cloud.workers()
             } else {
                 vec![cluster.worker_of(&task_id(&to_cancel, 0))]
             };
-            silent.iter().for_each(|worker| worker.sends_nothing.set(true));
+            affected.iter().for_each(|worker| worker.sends_nothing.set(true));
             sleep_s(1.0).await;
             cluster.cancel(&to_cancel.id).await;
-            if failover {
+            if has_failover {
                 let leader = cluster.leader();
                 cluster.restart(leader, 0.3).await;
             } else {
@@ -27,26 +28,29 @@
                 assert_eq!(
                     cluster.history.running_tasks(&to_cancel.id),
                     0,
-                    "direct orders reach them"
+                    "direct orders reach the workers"
                 );
             }
             sleep_s(LEASE_S + 8.0).await;
-            silent.iter().for_each(|worker| worker.sends_nothing.set(false));
+            affected.iter().for_each(|worker| worker.sends_nothing.set(false));
             cluster.wait_until_done(&job.id, 120.0).await;
         });
     }
 }
 
 #[test]
-fn a_quota_is_kept_while_leaders_change_machines_are_silent_and_a_job_is_cancelled() {
-    for (hung_s, when) in [(4.0, 0.5), (9.0, 2.0), (LEASE_S + 3.0, 0.0), (LEASE_S - 1.0, 5.0)] {
+fn a_quota_is_kept_when_a_job_is_cancelled_after_a_failover_while_a_machine_hangs() {
+    for (hung_s, cancel_after_s) in
+        [(4.0, 0.5), (9.0, 2.0), (LEASE_S + 3.0, 0.0), (LEASE_S - 1.0, 5.0)]
+    {
         scenario(4, |cluster| async move {
-            let capped = |number: u32, tasks: u32, cpus: f64| {
+            let capped_job = |number: u32, tasks: u32, cpus: f64| {
                 let mut job = job_spec(number, tasks);
                 (job.team, job.cpus) = ("capped".to_owned(), cpus);
                 job
             };
-            let (first, second, third) = (capped(1, 2, 1.0), capped(2, 2, 2.0), capped(3, 9, 2.0));
+            let (first, second, third) =
+                (capped_job(1, 2, 1.0), capped_job(2, 2, 2.0), capped_job(3, 9, 2.0));
             cluster.submit(&first, 30.0).await;
             cluster.submit(&second, 300.0).await;
             sleep_s(4.0).await;
@@ -57,8 +61,8 @@
             cluster.cloud.down.set(true);
             let leader = cluster.leader();
             cluster.restart(leader, 0.3).await;
-            sleep_s(when).await;
-            // What is cancelled counts until it is surely gone.
+            sleep_s(cancel_after_s).await;
+            // Cancelled tasks count towards the quota until they are known to have ended.
             cluster.cancel(&second.id).await;
             sleep_s(hung_s).await;
             worker.set_hung(false);
@@ -72,13 +76,13 @@
 
 #[test]
 fn a_job_bound_to_a_zone_waits_for_no_machines_in_other_zones() {
-    for (tasks, busy) in [(3, false), (3, true), (24, true)] {
+    for (tasks, is_other_zone_busy) in [(3, false), (3, true), (24, true)] {
         scenario(4, |cluster| async move {
             let mut bound = job_spec(1, tasks);
             bound.zone = Some("z1".to_owned());
             cluster.submit(&bound, 12.0).await;
-            // The other zone's machines are idle, or busy and kept by their work.
-            let mut elsewhere = job_spec(2, if busy { 80 } else { 1 });
+            // The machines in the other zone are idle, or busy and therefore not returned.
+            let mut elsewhere = job_spec(2, if is_other_zone_busy { 80 } else { 1 });
             elsewhere.zone = Some("z2".to_owned());
             cluster.submit(&elsewhere, 6.0).await;
             sleep_s(5.0).await;
@@ -94,12 +98,12 @@
 }
 
 #[test]
-fn a_job_that_was_never_started_waits_for_no_silent_machine_after_a_failover() {
+fn a_job_that_was_never_started_waits_for_no_unresponsive_machine_after_a_failover() {
     scenario(4, |cluster| async move {
         let (long, next) = (job_spec(1, 32), job_spec(2, 10));
         cluster.submit(&long, 300.0).await;
         sleep_s(5.0).await;
-        // There is no room for it yet.
+        // There is no free capacity for this job yet.
         cluster.submit(&next, 3.0).await;
         sleep_s(2.0).await;
         cluster.cloud.down.set(true);
@@ -109,7 +113,7 @@
         cluster.restart(leader, 0.2).await;
         cluster.cancel(&long.id).await;
         let waited = cluster.wait_until_done(&next.id, 60.0).await;
-        assert!(waited < 14.0, "{waited} s: no longer than if all machines had answered");
+        assert!(waited < 14.0, "{waited} s: longer than if all machines had answered");
         worker.receives_nothing.set(false);
         cluster.cloud.down.set(false);
         sleep_s(LEASE_S + 3.0).await;
@@ -126,16 +130,16 @@
             cluster.submit(&together, 6.0).await;
             cluster.submit(&apart, 20.0).await;
             sleep_s(4.0 + f64::from(seed)).await;
-            // Two of its machines are silent in the failover.
-            let silent =
+            // Two machines, one of each job, hang during the failover.
+            let hung =
                 [cluster.worker_of(&task_id(&together, 0)), cluster.worker_of(&task_id(&apart, 0))];
-            silent.iter().for_each(|worker| worker.set_hung(true));
+            hung.iter().for_each(|worker| worker.set_hung(true));
             let leader = cluster.leader();
             cluster.restart(leader, 0.3).await;
             sleep_s(7.0).await;
-            silent.iter().for_each(|worker| worker.set_hung(false));
+            hung.iter().for_each(|worker| worker.set_hung(false));
             sleep_s(4.0).await;
-            let zone = silent[0].settings.zone.clone();
+            let zone = hung[0].settings.zone.clone();
             for worker in cluster.cloud.workers() {
                 if worker.settings.zone == zone {
                     cluster.cloud.reclaim(worker.settings.name.as_str());
@@ -149,7 +153,7 @@
 }
 
 #[test]
-fn more_work_than_capacity_over_slow_links_is_done_in_the_end_and_urgent_jobs_first() {
+fn urgent_jobs_finish_first_when_work_exceeds_capacity_over_slow_links() {
     scenario(2, |cluster| async move {
         cluster.net.set_latency(std::time::Duration::from_millis(120));
         let mut urgent = Vec::new();
@@ -168,7 +172,7 @@
         for job in &urgent {
             cluster.wait_until_done(&job.id, 120.0).await;
         }
-        // A quarter of the work, and less.
+        // The urgent jobs are a third of the work.
         let seconds = started.elapsed().as_secs_f64();
         assert!(seconds < 24.0, "{seconds} s");
         for number in 1..=12 {
@@ -178,8 +182,8 @@
 }
 
 #[test]
-fn commands_and_replies_delayed_by_seconds_are_executed_or_void() {
-    for held_s in [0.7, 2.0, 3.8, 4.5, 8.0] {
+fn delayed_direct_orders_and_replies_leave_no_cancelled_task_running() {
+    for delay_s in [0.7, 2.0, 3.8, 4.5, 8.0] {
         scenario(2, |cluster| async move {
             let stream = job_spec(1, 120);
             cluster.submit(&stream, 1.3).await;
@@ -193,7 +197,7 @@
                 cluster.net.cut(CONTROLLERS[leader], name.as_str());
                 sleep_s(0.2).await;
                 assert_eq!(cluster.cancel(&to_cancel.id).await, Some(JobStatus::Cancelled));
-                sleep_s(held_s).await;
+                sleep_s(delay_s).await;
                 cluster.net.heal(CONTROLLERS[leader], name.as_str());
             }
             cluster.wait_until_done(&stream.id, 200.0).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that arrive late: heartbeats, transactions.
+//! Heartbeats and transactions that arrive late or out of order.
 
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
@@ -9,8 +9,8 @@
 use std::cell::RefCell;
 
 #[test]
-fn a_heartbeat_delayed_until_a_new_leader_has_acted_proves_nothing() {
-    for held_s in [3.0, 9.0, 16.0, 30.0, 45.0] {
+fn a_heartbeat_delayed_past_a_failover_is_not_treated_as_current() {
+    for delay_s in [3.0, 9.0, 16.0, 30.0, 45.0] {
         scenario(3, |cluster| async move {
             let job = job_spec(1, 20);
             cluster.submit(&job, 14.0).await;
@@ -18,14 +18,14 @@
             let worker = cluster.worker_of(&task_id(&job, 0));
             let name = worker.settings.name.to_string();
             cluster.cloud.down.set(true);
-            // Its heartbeats to each controller are under way when the leader ends.
+            // The machine's heartbeats to each controller are in flight when the leader ends.
             for controller in CONTROLLERS {
                 cluster.net.cut(&name, controller);
             }
             sleep_s(1.0).await;
             let leader = cluster.leader();
             cluster.restart(leader, 0.4).await;
-            sleep_s(held_s).await;
+            sleep_s(delay_s).await;
             for controller in CONTROLLERS {
                 cluster.net.heal(&name, controller);
             }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn old_heartbeats_after_newer_ones_lose_no_task_and_start_none_twice() {
+fn replayed_heartbeats_lose_no_task_and_start_none_twice_at_once() {
     for seed in 0..3 {
         scenario(3, |cluster| async move {
             let mut rng = SmallRng::seed_from_u64(seed);
@@ -48,10 +48,11 @@
                 sleep_s(0.25).await;
                 let workers = cluster.cloud.workers();
                 let Some(worker) = workers.get(rng.random_range(0..workers.len().max(1))) else {
-                    // All was done sooner, and the machines were returned.
+                    // All jobs are done, and the machines were returned.
                     continue;
                 };
-                // Of this agent epoch, of an earlier one, of an earlier attempt.
+                // Replays a heartbeat of the current agent epoch or an earlier one, with the
+                // current attempts or earlier ones.
                 let sent = worker.sent_heartbeats();
                 if let Some(copy) = sent.get(rng.random_range(0..sent.len().max(1))) {
                     let controller = rng.random_range(0..CONTROLLERS.len());
@@ -59,7 +60,7 @@
                 }
                 match round {
                     40 => {
-                        // An agent epoch ends: its machine stands still for too long.
+                        // The machine hangs for longer than its lease, so its agent epoch ends.
                         let hung = worker.clone();
                         hung.set_hung(true);
                         tokio::task::spawn_local(async move {
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn transactions_carried_out_after_newer_ones_of_the_same_controller_do_no_harm() {
+fn transactions_executed_after_newer_ones_lose_no_job_and_violate_no_safety_rule() {
     for seed in 0..5 {
         scenario(3, |cluster| async move {
             let rng = RefCell::new(SmallRng::seed_from_u64(seed));
@@ -100,7 +101,7 @@
             }
             let to_cancel = job_spec(9, 6);
             cluster.submit(&to_cancel, 300.0).await;
-            // A hand-over, a crash and a cancellation among them.
+            // A hand-over, a cancellation and a crash occur while transactions are delayed.
             let leader = cluster.leader();
             let machines: Vec<String> = cluster
                 .cloud
--- a/crates/corkfield/tests/scenarios/combined_faults/mod.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/mod.rs
@@ -3,8 +3,8 @@
 
 mod back_offs;
 mod cancellations;
-mod late_commands;
-mod leaders;
+mod delayed_orders;
+mod leader_changes;
 mod lost_answers;
 mod machines;
 mod many_small_jobs;
--- a/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
@@ -1,18 +1,20 @@
-//! Outages of the store: tasks go on while all controllers attest that they confirmed no
-//! cancellation, and nothing is started without a proof of fresh state.
+//! Outages of the store. Tasks keep running while all other controllers attest that the leader has
+//! acknowledged every cancellation that they confirmed to users. No task is started without a
+//! recent proof of fresh state.
 
 use crate::cluster::{job_spec, scenario, sleep_s, task_id, CANCEL_S, CONTROLLERS};
 use corkfield_wire::{JobSpec, JobStatus, Priority};
 
-/// How long a machine hangs while the leader changes, in seconds; less than its lease.
+/// Time in seconds for which a machine hangs during the leader change; shorter than its lease.
 const HUNG_S: f64 = 9.0;
-/// How long a machine reaches only the leader that is cut off, in seconds.
-const ALONE_WITH_LEADER_S: f64 = 28.0;
+/// Time in seconds for which a machine reaches only the leader that is cut off.
+const ONLY_LEADER_REACHABLE_S: f64 = 28.0;
 
 #[test]
-fn in_an_outage_of_the_store_tasks_go_on_as_long_as_all_controllers_attest() {
-    // One restarts, is gone, or is cut off from the leader: then none may go on.
-    for trouble in [None, Some("restart"), Some("gone"), Some("cut")] {
+fn tasks_keep_running_in_a_store_outage_only_while_all_controllers_attest() {
+    // A controller that has restarted, has ended or is cut off from the leader does not attest, and
+    // all tasks end.
+    for fault in [None, Some("restart"), Some("crash"), Some("cut")] {
         scenario(2, |cluster| async move {
             let job = job_spec(1, 12);
             cluster.submit(&job, 70.0).await;
@@ -21,31 +23,35 @@
             let other = cluster.other_controllers(leader)[0];
             cluster.store.set_down(true);
             sleep_s(6.0).await;
-            match trouble {
+            match fault {
                 Some("restart") => cluster.restart(other, 0.1).await,
-                Some("gone") => cluster.kill(other),
+                Some("crash") => cluster.kill(other),
                 Some(_) => cluster.net.cut(CONTROLLERS[leader], CONTROLLERS[other]),
                 None => {}
             }
             sleep_s(50.0).await;
             let running = cluster.history.running_tasks(&job.id);
-            assert_eq!(running, if trouble.is_none() { 12 } else { 0 }, "{trouble:?}");
+            assert_eq!(running, if fault.is_none() { 12 } else { 0 }, "{fault:?}");
             cluster.net.heal(CONTROLLERS[leader], CONTROLLERS[other]);
-            if trouble == Some("gone") {
+            if fault == Some("crash") {
                 cluster.start(other);
             }
             cluster.store.set_down(false);
             cluster.wait_until_done(&job.id, 150.0).await;
-            let once = (0..12).all(|index| cluster.history.starts_of(&task_id(&job, index)) == 1);
-            assert_eq!(once, trouble.is_none());
+            let started_once =
+                (0..12).all(|index| cluster.history.starts_of(&task_id(&job, index)) == 1);
+            assert_eq!(started_once, fault.is_none());
         });
     }
 }
 
 #[test]
-fn a_leader_that_ends_around_the_end_of_an_outage_leaves_nothing_to_be_started_twice() {
-    // The leader is cut off from all, or ends, at several moments around the outage's end.
-    for (ends_s, cut) in [(-3.0, false), (-0.5, true), (0.0, false), (0.2, true), (1.0, true)] {
+fn a_leader_change_around_the_end_of_a_store_outage_runs_no_task_twice_at_once() {
+    // Seconds from the end of the outage to the loss of the leader, and whether the leader is cut
+    // off instead of restarted.
+    for (leader_ends_s, is_cut_off) in
+        [(-3.0, false), (-0.5, true), (0.0, false), (0.2, true), (1.0, true)]
+    {
         scenario(3, |cluster| async move {
             let long = job_spec(4, 3);
             cluster.submit(&long, 90.0).await;
@@ -54,24 +60,24 @@
                 cluster.submit(job, 5.0).await;
             }
             sleep_s(4.0).await;
-            // A machine with a long task hangs while the leader changes, or reaches only the one
-            // that is cut off, which answers it for as long as it may (S6).
-            let apart = cluster.worker_of(&task_id(&long, 0));
+            // A machine with a long task hangs during the leader change, or reaches only the leader
+            // that is cut off, which answers its heartbeats for as long as S6 permits.
+            let isolated = cluster.worker_of(&task_id(&long, 0));
             let leader = cluster.leader();
             cluster.store.set_down(true);
-            sleep_s(20.0 + f64::min(ends_s, 0.0)).await;
+            sleep_s(20.0 + f64::min(leader_ends_s, 0.0)).await;
             let outage_ends = async {
-                sleep_s(f64::max(-ends_s, 0.0)).await;
+                sleep_s(f64::max(-leader_ends_s, 0.0)).await;
                 cluster.store.set_down(false);
-                if !cut {
-                    apart.set_hung(true);
+                if !is_cut_off {
+                    isolated.set_hung(true);
                 }
             };
             let leader_ends = async {
-                sleep_s(f64::max(ends_s, 0.0)).await;
-                if cut {
+                sleep_s(f64::max(leader_ends_s, 0.0)).await;
+                if is_cut_off {
                     for other in cluster.other_controllers(leader) {
-                        cluster.net.cut(CONTROLLERS[other], apart.settings.name.as_str());
+                        cluster.net.cut(CONTROLLERS[other], isolated.settings.name.as_str());
                     }
                     cluster.cut_from_peers(leader);
                     cluster.store_refuses[leader].set(true);
@@ -81,10 +87,10 @@
             };
             tokio::join!(outage_ends, leader_ends);
             sleep_s(HUNG_S).await;
-            apart.set_hung(false);
-            sleep_s(ALONE_WITH_LEADER_S - HUNG_S).await;
+            isolated.set_hung(false);
+            sleep_s(ONLY_LEADER_REACHABLE_S - HUNG_S).await;
             for other in cluster.other_controllers(leader) {
-                cluster.net.heal(CONTROLLERS[other], apart.settings.name.as_str());
+                cluster.net.heal(CONTROLLERS[other], isolated.settings.name.as_str());
             }
             cluster.heal_to_peers(leader);
             cluster.store_refuses[leader].set(false);
@@ -97,7 +103,8 @@
 
 #[test]
 fn a_controller_with_a_cancellation_unknown_to_the_leader_does_not_attest() {
-    // Its notice comes late, or is lost with its process; the links are whole again meanwhile.
+    // The controller's notification of the leader is late, or is lost when its process restarts.
+    // The links are restored during the outage.
     for restarts in [false, true] {
         for healed_s in [0.5, 8.0, 20.0] {
             scenario(3, |cluster| async move {
@@ -112,7 +119,8 @@
                 cluster.cancel_through(other, &job.id).await;
                 let confirmed = tokio::time::Instant::now();
                 if restarts {
-                    // The next process reads the store, but not what the one before confirmed.
+                    // The new process reads the store, but does not know which cancellations the
+                    // previous process confirmed.
                     cluster.restart(other, 0.05).await;
                     sleep_s(2.5).await;
                 }
@@ -132,13 +140,13 @@
 }
 
 #[test]
-fn without_a_recent_proof_of_fresh_state_nothing_is_started() {
+fn no_task_is_started_without_a_recent_proof_of_fresh_state() {
     scenario(2, |cluster| async move {
-        // Urgent, so that all of them may begin without a write of their records.
-        let stream: Vec<_> = (1..=6)
+        // Urgent jobs, so that all tasks may start without a prior write of their job records.
+        let jobs: Vec<_> = (1..=6)
             .map(|number| JobSpec { priority: Priority::High, ..job_spec(number, 120) })
             .collect();
-        for job in &stream {
+        for job in &jobs {
             cluster.submit(job, 0.5).await;
         }
         sleep_s(5.0).await;
@@ -148,11 +156,14 @@
         sleep_s(1.6).await;
         let starts = cluster.history.total_starts();
         sleep_s(4.0).await;
-        // What was ordered by then may have been fetching.
-        assert!(cluster.history.total_starts() <= starts + 16, "its lease goes on, but no start");
+        // Up to 16 tasks may still have been fetching at the first count.
+        assert!(
+            cluster.history.total_starts() <= starts + 16,
+            "the leader keeps its lease but starts no task"
+        );
         cluster.store_refuses[leader].set(false);
         cluster.heal_to_peers(leader);
-        for job in &stream {
+        for job in &jobs {
             cluster.wait_until_done(&job.id, 150.0).await;
         }
     });
--- a/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
@@ -1,5 +1,6 @@
-//! Cancellations that the leader can't read: the store refuses it alone, others confirm them, and
-//! then the store is down for all for longer than a cancellation may take.
+//! Cancellations that the leader can't read from the store: the store refuses only the leader,
+//! another controller confirms the cancellation, and then the store is down for all controllers for
+//! longer than the cancellation limit.
 
 use crate::cluster::{
     cancels_job, claims_jobs, job_spec, scenario, sleep_s, task_id, Cluster, CANCEL_S, CONTROLLERS,
@@ -14,20 +15,20 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A case of a cancellation that the leader can't read.
+/// A case in which the leader can't read a cancellation.
 #[derive(Clone, Copy)]
 struct UnreadCancellation {
     tasks: u32,
-    /// The leader reaches no other controller either.
+    /// Whether the leader is also cut off from the other controllers.
     cut_from_peers: bool,
-    /// The store does not refuse the leader: the link between them is cut.
+    /// Whether the link between leader and store is cut, instead of the store refusing the leader.
     cut_from_store: bool,
-    /// A machine with a task of the job stands still, within its lease.
+    /// Time in seconds for which a machine with a task of the job hangs; 0: no machine hangs.
     hung_s: f64,
-    /// From the refusal to the cancellation.
-    before_s: f64,
-    /// From the cancellation to the outage.
-    after_s: f64,
+    /// Seconds from the loss of the store to the cancellation.
+    cancel_after_s: f64,
+    /// Seconds from the cancellation to the outage.
+    outage_after_s: f64,
 }
 
 const BASE_CASE: UnreadCancellation = UnreadCancellation {
@@ -35,11 +36,11 @@
     cut_from_peers: false,
     cut_from_store: false,
     hung_s: 0.0,
-    before_s: 0.4,
-    after_s: 1.0,
+    cancel_after_s: 0.4,
+    outage_after_s: 1.0,
 };
 
-/// Lets a machine hang, and go on after some seconds.
+/// Hangs a worker's machine, which resumes after some seconds.
 fn hang_for(worker: Rc<FakeWorker>, seconds: f64) {
     worker.set_hung(true);
     tokio::task::spawn_local(async move {
@@ -48,11 +49,11 @@
     });
 }
 
-/// Plays a case up to the end of the outage, and a job after it.
-async fn cancel_unread(cluster: Rc<Cluster>, case: UnreadCancellation) {
+/// Runs a case up to the end of the outage, and then a new job.
+async fn run_unread_cancellation(cluster: Rc<Cluster>, case: UnreadCancellation) {
     let (job, stream) = (job_spec(1, case.tasks), job_spec(2, 300));
     cluster.submit(&job, 400.0).await;
-    // Starts go on all the time.
+    // Short tasks, so that the leader orders starts all the time.
     cluster.submit(&stream, 0.7).await;
     sleep_s(5.0).await;
     let leader = cluster.leader();
@@ -64,7 +65,7 @@
     } else {
         cluster.store_refuses[leader].set(true);
     }
-    sleep_s(case.before_s).await;
+    sleep_s(case.cancel_after_s).await;
     if case.hung_s > 0.0 {
         hang_for(cluster.worker_of(&task_id(&job, 0)), case.hung_s);
     }
@@ -72,20 +73,28 @@
     for id in [&job.id, &stream.id] {
         cluster.cancel_through(other, id).await;
     }
-    sleep_s(case.after_s).await;
+    sleep_s(case.outage_after_s).await;
     cluster.store.set_down(true);
     if !case.cut_from_peers && case.hung_s == 0.0 {
         sleep_s(4.0).await;
         assert_eq!(
             cluster.history.running_tasks(&job.id),
             0,
-            "the leader learnt of it by another way"
+            "the leader learned of the cancellation from another controller"
+        );
+        assert_eq!(
+            cluster.history.starts_after_cancellation(),
+            0,
+            "the leader started no further task"
         );
-        assert_eq!(cluster.history.starts_after_cancellation(), 0, "and started nothing more");
     }
     sleep_s(CANCEL_S - confirmed.elapsed().as_secs_f64() - 0.1).await;
     for job in [&job, &stream] {
-        assert_eq!(cluster.history.running_tasks(&job.id), 0, "S6 holds with nobody to be reached");
+        assert_eq!(
+            cluster.history.running_tasks(&job.id),
+            0,
+            "S6 holds while no controller reaches the store"
+        );
     }
     sleep_s(20.0).await;
     cluster.store.set_down(false);
@@ -101,38 +110,41 @@
 }
 
 #[test]
-fn a_cancellation_is_carried_out_in_time_though_the_leader_never_reads_it() {
+fn a_cancellation_that_the_leader_cannot_read_stops_the_job_within_the_limit() {
     for cut_from_peers in [false, true] {
         for cut_from_store in [false, true] {
-            for (tasks, before_s, after_s) in [(1, 0.4, 1.0), (2, 0.0, 0.2), (2, 3.0, 3.0)] {
+            for (tasks, cancel_after_s, outage_after_s) in
+                [(1, 0.4, 1.0), (2, 0.0, 0.2), (2, 3.0, 3.0)]
+            {
                 let case = UnreadCancellation {
                     tasks,
                     cut_from_peers,
                     cut_from_store,
-                    before_s,
-                    after_s,
+                    cancel_after_s,
+                    outage_after_s,
                     ..BASE_CASE
                 };
-                scenario(3, |cluster| cancel_unread(cluster, case));
+                scenario(3, |cluster| run_unread_cancellation(cluster, case));
             }
         }
     }
 }
 
 #[test]
-fn a_hung_machine_drops_cancelled_tasks_when_it_goes_on_though_the_leader_never_reads_of_them() {
+fn a_machine_that_hung_stops_tasks_whose_cancellation_the_leader_cannot_read() {
     for cut_from_peers in [false, true] {
         for hung_s in [3.0, LEASE_S - 2.5, LEASE_S + 4.0] {
             let case = UnreadCancellation { tasks: 2, cut_from_peers, hung_s, ..BASE_CASE };
-            scenario(3, |cluster| cancel_unread(cluster, case));
+            scenario(3, |cluster| run_unread_cancellation(cluster, case));
         }
     }
 }
 
 #[test]
-fn closing_a_cancelled_job_waits_for_no_claim_and_no_read() {
+fn closing_a_cancelled_job_does_not_wait_for_claims_or_reads() {
     scenario(3, |cluster| async move {
-        // One claim takes four. That of the last reads its finished tasks, which never succeeds.
+        // One claim transaction covers four jobs. The claim of the last job reads the job's
+        // finished tasks, and these reads are dropped.
         let jobs: Vec<_> =
             (1..=6).map(|number| job_spec(number, if number < 6 { 2 } else { 2000 })).collect();
         for job in &jobs {
@@ -143,7 +155,7 @@
         let leader = cluster.leader();
         cluster.restart(leader, 0.2).await;
         sleep_s(12.0).await;
-        // Only its reads of the store tell it.
+        // The leader learns of cancellations only from its reads of the store.
         let leader = cluster.leader();
         cluster.cut_from_peers(leader);
         for to_cancel in &jobs[..3] {
@@ -152,7 +164,7 @@
             sleep_s(3.0).await;
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
         }
-        // Nor do other claims.
+        // Other claims do not wait either.
         let next = job_spec(7, 2);
         cluster.submit(&next, 1.0).await;
         cluster.wait_until_done(&next.id, 20.0).await;
@@ -166,7 +178,7 @@
 }
 
 #[test]
-fn a_cancellation_whose_commit_has_no_answer_is_announced_to_nobody() {
+fn a_cancellation_whose_commit_has_no_answer_stops_no_task() {
     scenario(2, |cluster| async move {
         let job = job_spec(1, 4);
         cluster.submit(&job, 25.0).await;
@@ -177,14 +189,15 @@
         let (status, _) = cluster.request(other, "POST", &path, b"").await.expect("an answer");
         assert_eq!(status, 503);
         sleep_s(3.0).await;
-        assert_eq!(cluster.history.running_tasks(&job.id), 4, "nothing was stopped for it");
+        assert_eq!(cluster.history.running_tasks(&job.id), 4, "no task was stopped");
         cluster.store.clear_faults();
         cluster.wait_until_done(&job.id, 60.0).await;
         assert_eq!(cluster.history.total_starts(), 4);
     });
 }
 
-/// Speaks to the peer port of a controller as another one would.
+/// Sends bytes to the peer port of a controller, as another controller does. Returns the frame that
+/// the controller answers, or `None` without an answer within 2 s.
 async fn send_to_peer_port(cluster: &Cluster, controller: usize, bytes: &[u8]) -> Option<Frame> {
     let addr = SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8081));
     let host: Rc<dyn corkfield_http::Network> = cluster.net.host("unknown");
@@ -206,15 +219,15 @@
         cluster.submit(&job, 6.0).await;
         sleep_s(4.0).await;
         let leader = cluster.leader();
-        for nonsense in [&[1, 0, 0, 0, 9][..], &[3, 0, 0, 0, 2, 200, 1], &[255; 64], &[0; 4]] {
-            assert_eq!(send_to_peer_port(&cluster, leader, nonsense).await, None);
+        for malformed in [&[1, 0, 0, 0, 9][..], &[3, 0, 0, 0, 2, 200, 1], &[255; 64], &[0; 4]] {
+            assert_eq!(send_to_peer_port(&cluster, leader, malformed).await, None);
         }
-        let odd = ["", "nonsense", "j-424242", "c/planner"].map(str::to_owned).to_vec();
-        let frame = Frame::Cancelled { jobs: odd.clone() };
+        let unknown_ids = ["", "nonsense", "j-424242", "c/planner"].map(str::to_owned).to_vec();
+        let frame = Frame::Cancelled { jobs: unknown_ids.clone() };
         let answer = send_to_peer_port(&cluster, leader, &frame.encode()).await;
-        assert_eq!(answer, Some(Frame::Acknowledged { jobs: odd }));
-        assert_eq!(cluster.history.running_tasks(&job.id), 6, "nothing came of it");
-        // A notification of a job that the store has as unfinished: a fault elsewhere. It is run again.
+        assert_eq!(answer, Some(Frame::Acknowledged { jobs: unknown_ids }));
+        assert_eq!(cluster.history.running_tasks(&job.id), 6, "no task was stopped");
+        // A wrong notification, for a job that is unfinished in the store. The job runs again.
         let frame = Frame::Cancelled { jobs: vec![job.id.to_string()] };
         for controller in 0..CONTROLLERS.len() {
             assert!(send_to_peer_port(&cluster, controller, &frame.encode()).await.is_some());
@@ -230,9 +243,10 @@
 }
 
 #[test]
-fn a_cancellation_that_comes_before_the_claims_answer_is_kept() {
-    // Learnt from a notification while the store refuses the leader, or read while it has no peers.
-    for refused in [true, false] {
+fn a_cancellation_that_arrives_before_the_answer_to_the_claim_is_kept() {
+    // The leader learns of the cancellation from a notification while the store refuses the leader,
+    // or from the store while the leader is cut off from the other controllers.
+    for is_refused_by_store in [true, false] {
         scenario(2, |cluster| async move {
             cluster.store.set_fault_where(Fault::DelayAnswer(0.6), claims_jobs);
             let leader = cluster.leader();
@@ -241,7 +255,7 @@
                 let job = job_spec(number, 4);
                 cluster.submit(&job, 30.0).await;
                 sleep_s(0.2).await;
-                if refused {
+                if is_refused_by_store {
                     cluster.store_refuses[leader].set(true);
                 } else {
                     cluster.cut_from_peers(leader);
@@ -259,14 +273,15 @@
 }
 
 #[test]
-fn delayed_stops_are_repeated_until_the_tasks_are_gone() {
+fn cancelled_tasks_stop_when_direct_orders_to_their_machine_are_lost() {
     scenario(2, |cluster| async move {
         let job = job_spec(1, 8);
         cluster.submit(&job, 300.0).await;
         sleep_s(5.0).await;
         let leader = cluster.leader();
         let worker = cluster.worker_of(&task_id(&job, 0));
-        // Direct orders to it are lost with the connection; its heartbeats go by another controller.
+        // Direct orders to the worker are lost with the connection. Another controller relays the
+        // worker's heartbeats.
         let name = worker.settings.name.to_string();
         cluster.net.cut(CONTROLLERS[leader], &name);
         sleep_s(1.0).await;
@@ -275,7 +290,7 @@
         assert_eq!(
             cluster.history.running_tasks(&job.id),
             0,
-            "{PATH_COMMANDS} is not the only way"
+            "stop orders reach the worker without {PATH_COMMANDS}"
         );
         cluster.net.heal(CONTROLLERS[leader], &name);
         sleep_s(5.0).await;
