--- a/crates/corkfield/examples/bounds.rs
+++ b/crates/corkfield/examples/bounds.rs
@@ -1,8 +1,10 @@
-//! What no scheduler could beat on a day that was played, from the day's report.
+//! Computes bounds on time and cost that no scheduler can beat for the workload of a simulated day,
+//! from the report of that day.
 //!
-//! The work is taken from the report: CPU-seconds in use, less the share of starts that did not
-//! end in a finished task. Capacity is what was up at the start and, after a boot, all there is.
-//! Numbers of the deployment come as arguments; none is built in.
+//! The amount of work is the CPU-seconds in use according to the report, reduced by the share of
+//! starts that did not lead to a finished task. The capacity is that of the machines that are up at
+//! the start and, after the time of one boot, that of all machines. All figures of the deployment
+//! are arguments.
 
 use clap::Parser;
 use serde_json::Value;
@@ -13,23 +15,23 @@
 
 #[derive(Debug, Parser)]
 struct Cli {
-    /// Report of a day (JSON)
+    /// Report of a simulated day (JSON)
     report: PathBuf,
-    /// CPUs up at the start
+    /// CPUs of the machines that are up at the start
     #[arg(long)]
     start_cpus: f64,
-    /// CPUs of all machines that can be had
+    /// CPUs of all machines that can be rented
     #[arg(long)]
     full_cpus: f64,
-    /// Seconds that a machine takes to boot
+    /// Boot time of a machine in seconds
     #[arg(long)]
     boot_s: f64,
-    /// Lowest price of a CPU for an hour
+    /// Lowest price of one CPU per hour; 0: no cost bounds
     #[arg(long, default_value_t = 0.0)]
     cpu_price: f64,
 }
 
-/// Why a report could not be read.
+/// An error from reading a report.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error("{0}")]
@@ -43,16 +45,16 @@
     Ok(serde_json::from_str(&text)?)
 }
 
-/// A number of the report; 0 if it is not there.
+/// Returns the number at a JSON pointer of the report, or 0 if the report has none there.
 fn number(value: &Value, pointer: &str) -> f64 {
     value.pointer(pointer).and_then(Value::as_f64).unwrap_or(0.0)
 }
 
-/// The use of CPUs over the day.
+/// The CPU usage over the day.
 #[derive(Default)]
 struct CpuUsage {
     /// CPU-seconds in use.
-    used: f64,
+    cpu_seconds: f64,
     /// The end of the last window in which a CPU was in use, in seconds.
     busy_until_s: f64,
 }
@@ -64,7 +66,7 @@
         for window in windows {
             let window_end_s = number(window, "/at_s");
             let cpus = number(window, "/cpus");
-            usage.used += cpus * (window_end_s - window_start_s);
+            usage.cpu_seconds += cpus * (window_end_s - window_start_s);
             window_start_s = window_end_s;
             if cpus > 0.0 {
                 usage.busy_until_s = window_end_s;
@@ -76,31 +78,41 @@
 
 fn print_bounds(cli: &Cli, report: &Value) {
     let windows = report["windows"].as_array().map_or(&[][..], Vec::as_slice);
-    let CpuUsage { used, busy_until_s } = CpuUsage::from_windows(windows);
+    let CpuUsage { cpu_seconds, busy_until_s } = CpuUsage::from_windows(windows);
     let started = number(report, "/fleet/tasks_started").max(1.0);
     let done = number(report, "/fleet/tasks_done");
-    let work = used * (done / started).min(1.0);
-    let before_boot = cli.start_cpus * cli.boot_s;
-    let shortest_s = cli.boot_s + (work - before_boot).max(0.0) / cli.full_cpus.max(1.0);
-    println!("CPU-seconds in use {used:.0}, of them for finished tasks about {work:.0}");
+    let useful_cpu_seconds = cpu_seconds * (done / started).min(1.0);
+    let capacity_before_boot = cli.start_cpus * cli.boot_s;
+    let shortest_s =
+        cli.boot_s + (useful_cpu_seconds - capacity_before_boot).max(0.0) / cli.full_cpus.max(1.0);
     println!(
-        "busy until {busy_until_s:.0} s; all of it on all machines at once would take {shortest_s:.0} s"
+        "CPU-seconds in use: {cpu_seconds:.0}, for finished tasks about {useful_cpu_seconds:.0}"
+    );
+    println!(
+        "busy until {busy_until_s:.0} s; shortest possible time on all machines: {shortest_s:.0} s"
+    );
+    let available_cpu_seconds =
+        capacity_before_boot + cli.full_cpus * (busy_until_s - cli.boot_s).max(0.0);
+    println!(
+        "useful share of the available CPU-seconds: {:.2}",
+        useful_cpu_seconds / available_cpu_seconds.max(1.0)
     );
-    let offered = before_boot + cli.full_cpus * (busy_until_s - cli.boot_s).max(0.0);
-    println!("share of the CPUs on offer that worked: {:.2}", work / offered.max(1.0));
     if cli.cpu_price > 0.0 {
-        print_cost_bounds(cli, work, number(report, "/fleet/cost"));
+        print_cost_bounds(cli, useful_cpu_seconds, number(report, "/fleet/cost"));
     }
 }
 
-fn print_cost_bounds(cli: &Cli, work: f64, paid: f64) {
-    let cheapest = work * cli.cpu_price / SECONDS_PER_HOUR;
+fn print_cost_bounds(cli: &Cli, useful_cpu_seconds: f64, paid: f64) {
+    let lowest_cost = useful_cpu_seconds * cli.cpu_price / SECONDS_PER_HOUR;
+    println!(
+        "lowest possible cost {lowest_cost:.3}, paid {paid:.3}: ratio {:.2}",
+        paid / lowest_cost
+    );
+    let boot_cost = cli.full_cpus * cli.boot_s * cli.cpu_price / SECONDS_PER_HOUR;
     println!(
-        "cheapest price of that work {cheapest:.3}, paid {paid:.3}: {:.2} times",
-        paid / cheapest
+        "lowest possible ratio with one boot of each machine: {:.2}",
+        1.0 + boot_cost / lowest_cost
     );
-    let boots = cli.full_cpus * cli.boot_s * cli.cpu_price / SECONDS_PER_HOUR;
-    println!("with one boot of each machine: {:.2} times at the least", 1.0 + boots / cheapest);
 }
 
 fn main() -> ExitCode {
--- a/crates/corkfield/examples/load/cost.rs
+++ b/crates/corkfield/examples/load/cost.rs
@@ -1,21 +1,21 @@
-//! Processor time of the scheduler, by what it does.
+//! Measured duration of the scheduler's operations.
 
 use std::time::{Duration, Instant};
 
-/// Times and counts of one kind of work.
+/// Number and duration of the calls of one kind of operation.
 #[derive(Default)]
 pub struct Cost {
-    /// How often it was done.
+    /// Number of calls.
     pub count: u64,
     total: Duration,
     longest: Duration,
 }
 
 impl Cost {
-    /// Does the work, and adds the time that it takes.
-    pub fn measure<T>(&mut self, work: impl FnOnce() -> T) -> T {
+    /// Runs an operation, and adds its duration to the totals.
+    pub fn measure<T>(&mut self, operation: impl FnOnce() -> T) -> T {
         let started = Instant::now();
-        let result = work();
+        let result = operation();
         let elapsed = started.elapsed();
         self.count += 1;
         self.total += elapsed;
@@ -23,11 +23,12 @@
         result
     }
 
-    /// Prints the cost for each simulated second.
+    /// Prints calls and duration per simulated second, and mean and longest duration of a call.
     pub fn print(&self, name: &str, seconds: f64) {
         let mean_us = self.total.as_secs_f64() * 1e6 / self.count.max(1) as f64;
         println!(
-            "{name:9} {:8.1} a second, {mean_us:9.1} us each, {:9.1} at most, {:6.2} ms a second",
+            "{name:10} {:8.1} per second, mean {mean_us:9.1} us, longest {:9.1} us, \
+             {:6.2} ms per second",
             self.count as f64 / seconds,
             self.longest.as_secs_f64() * 1e6,
             self.total.as_secs_f64() * 1e3 / seconds
@@ -35,7 +36,7 @@
     }
 }
 
-/// The cost of each kind of work.
+/// The cost of each kind of operation.
 #[derive(Default)]
 pub struct Costs {
     pub heartbeats: Cost,
@@ -46,12 +47,12 @@
 }
 
 impl Costs {
-    /// Prints one line for each kind of work.
+    /// Prints one line for each kind of operation.
     pub fn print(&self, seconds: f64) {
-        self.heartbeats.print("reports", seconds);
-        self.replies.print("answers", seconds);
+        self.heartbeats.print("heartbeats", seconds);
+        self.replies.print("replies", seconds);
         self.passes.print("passes", seconds);
         self.ticks.print("ticks", seconds);
-        self.scaling.print("renting", seconds);
+        self.scaling.print("scaling", seconds);
     }
 }
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -1,4 +1,4 @@
-//! The scheduler among its workers, step by step.
+//! Simulation of the scheduler and its workers in fixed time steps.
 
 use crate::cost::Costs;
 use crate::worker::Worker;
@@ -11,48 +11,50 @@
 use rand::SeedableRng;
 use std::time::{Duration, Instant};
 
+/// Simulated time of one step, in seconds.
 const STEP_S: f64 = 0.05;
 const TICK_INTERVAL_S: f64 = 0.25;
 const SCALE_INTERVAL_S: f64 = 1.0;
 const MAX_COMPLETION_COMMITS: usize = 40;
-/// How much work waits at first, in seconds of all machines.
+/// Work that waits at the start, as the time in seconds that it takes on all machines.
 const INITIAL_BACKLOG_S: f64 = 10.0;
 const TERM: Term = Term::new(1);
 
-/// What happened to jobs and tasks.
+/// Counts of events over the whole simulation.
 #[derive(Default)]
 struct Counts {
     jobs: u32,
-    stops: u64,
-    starts: u64,
+    direct_orders: u64,
+    start_orders: u64,
     done: u64,
     heartbeat_bytes: usize,
 }
 
-/// When each periodic piece of work is due, in simulated seconds.
+/// The times at which the periodic operations are next due, in simulated seconds.
 #[derive(Default)]
-struct Schedule {
+struct DueTimes {
     pass_s: f64,
     tick_s: f64,
     scale_s: f64,
 }
 
-/// A heartbeat that waits for its reply.
+/// An accepted heartbeat that has not been answered yet.
 struct PendingReply {
+    /// Index of the worker.
     worker: usize,
     sequence: u64,
 }
 
-/// The moment of a step.
+/// The simulated time of a step.
 #[derive(Clone, Copy)]
 struct Moment {
     /// Simulated seconds since the start.
     seconds: f64,
-    /// The same for the scheduler.
+    /// The same time on the clock that the scheduler is given.
     instant: Instant,
 }
 
-/// The scheduler, its workers, and what has been measured.
+/// The scheduler, its workers and the measured costs.
 pub struct Simulation<'a> {
     cli: &'a Cli,
     rng: SmallRng,
@@ -61,9 +63,9 @@
     cpus: f64,
     scheduler: Scheduler,
     origin: Instant,
-    /// Work of each class that is to come, in CPU-seconds.
-    owed_work: [f64; CLASSES.len()],
-    schedule: Schedule,
+    /// Work of each class that is due for submission, in CPU-seconds.
+    due_work: [f64; CLASSES.len()],
+    due: DueTimes,
     costs: Costs,
     counts: Counts,
 }
@@ -82,14 +84,14 @@
             cpus,
             scheduler,
             origin: Instant::now(),
-            owed_work: [cpus * cli.load * INITIAL_BACKLOG_S / 3.0; CLASSES.len()],
-            schedule: Schedule::default(),
+            due_work: [cpus * cli.load * INITIAL_BACKLOG_S / 3.0; CLASSES.len()],
+            due: DueTimes::default(),
             costs: Costs::default(),
             counts: Counts::default(),
         }
     }
 
-    /// Plays all steps; `None` if there are more jobs than numbers.
+    /// Runs all steps. Returns `None` if the job numbers are used up.
     pub fn run(&mut self) -> Option<()> {
         for step in 0..(self.cli.seconds / STEP_S) as u64 {
             let seconds = step as f64 * STEP_S;
@@ -113,11 +115,11 @@
 
     fn submit_jobs(&mut self, now: Moment) -> Option<()> {
         for (number, class) in CLASSES.iter().enumerate() {
-            self.owed_work[number] += self.cpus * self.cli.load * class.share * STEP_S;
-            while self.owed_work[number] > 0.0 {
+            self.due_work[number] += self.cpus * self.cli.load * class.share * STEP_S;
+            while self.due_work[number] > 0.0 {
                 self.counts.jobs += 1;
                 let spec = job_spec(self.counts.jobs, number, &mut self.rng)?;
-                self.owed_work[number] -= f64::from(spec.tasks) * class.cpus * class.run_s;
+                self.due_work[number] -= f64::from(spec.tasks) * class.cpus * class.mean_run_s;
                 let record = claimed_record(spec);
                 self.scheduler.on_job_claimed(
                     record,
@@ -139,7 +141,8 @@
             if !worker.is_heartbeat_due(now.seconds) {
                 continue;
             }
-            let body = worker.send_heartbeat(now.seconds, self.cli.report_s, &mut self.rng);
+            let body =
+                worker.send_heartbeat(now.seconds, self.cli.heartbeat_interval_s, &mut self.rng);
             self.counts.heartbeat_bytes += body.len();
             let scheduler = &mut self.scheduler;
             let accepted =
@@ -158,7 +161,7 @@
                     self.scheduler.on_machine_record_written(name.as_str(), true)
                 }
                 Action::SendDirectOrders { machine, orders, .. } => {
-                    self.counts.stops += orders.len() as u64;
+                    self.counts.direct_orders += orders.len() as u64;
                     let worker = self.workers.iter_mut().find(|worker| worker.name == machine);
                     if let Some(worker) = worker {
                         worker.execute(orders, now.seconds, &mut self.rng);
@@ -178,16 +181,16 @@
 
     fn run_periodic_work(&mut self, now: Moment) {
         let scheduler = &mut self.scheduler;
-        if now.seconds >= self.schedule.tick_s {
-            self.schedule.tick_s = now.seconds + TICK_INTERVAL_S;
+        if now.seconds >= self.due.tick_s {
+            self.due.tick_s = now.seconds + TICK_INTERVAL_S;
             self.costs.ticks.measure(|| scheduler.tick(now.instant));
         }
-        if now.seconds >= self.schedule.scale_s {
-            self.schedule.scale_s = now.seconds + SCALE_INTERVAL_S;
+        if now.seconds >= self.due.scale_s {
+            self.due.scale_s = now.seconds + SCALE_INTERVAL_S;
             self.costs.scaling.measure(|| scheduler.scale(now.instant));
         }
-        if now.seconds >= self.schedule.pass_s {
-            self.schedule.pass_s = now.seconds + self.cli.pace_s;
+        if now.seconds >= self.due.pass_s {
+            self.due.pass_s = now.seconds + self.cli.pass_interval_s;
             self.costs.passes.measure(|| scheduler.run_placement_pass(now.instant));
         }
     }
@@ -213,31 +216,33 @@
                 now.instant,
             );
             let reply = HeartbeatReply { term: TERM, orders };
-            // Encoding is a part of the cost.
+            // The encoding of the reply is part of the measured cost.
             std::hint::black_box(serde_json::to_vec(&reply).map_or(0, |body| body.len()));
             reply.orders
         });
         let starts = orders.iter().filter(|order| matches!(order, Order::Start { .. })).count();
-        self.counts.starts += starts as u64;
+        self.counts.start_orders += starts as u64;
         worker.execute(orders, now.seconds, &mut self.rng);
     }
 
-    /// Prints what happened, and the costs.
+    /// Prints the counts and the costs.
     pub fn print(&self) {
         let seconds = self.cli.seconds;
         let view = self.scheduler.overview(self.origin + Duration::from_secs_f64(seconds));
-        let Counts { jobs, stops, starts, done, heartbeat_bytes } = &self.counts;
+        let Counts { jobs, direct_orders, start_orders, done, heartbeat_bytes } = &self.counts;
         println!(
-            "{} machines, {:.0} CPUs, {jobs} jobs came, {} left, {} tasks wait, {} run; {starts} starts, {stops} stops, {done} done",
+            "{} machines, {:.0} CPUs; jobs: {jobs} submitted, {} unfinished; \
+             tasks: {} waiting, {} running; {start_orders} start orders, {direct_orders} direct orders, {done} tasks done",
             self.cli.machines, self.cpus, view.jobs, view.waiting_tasks, view.running_tasks
         );
         self.costs.print(seconds);
         let heartbeats = self.costs.heartbeats.count.max(1);
-        println!("{:.0} bytes a report", *heartbeat_bytes as f64 / heartbeats as f64);
+        println!("{:.0} bytes per heartbeat", *heartbeat_bytes as f64 / heartbeats as f64);
     }
 }
 
-/// What a leader does with the body of a heartbeat; `None` if it is not accepted.
+/// Decodes a heartbeat and passes it to the scheduler, as a leader does. Returns `None` if the
+/// heartbeat is not accepted.
 fn receive_heartbeat(
     scheduler: &mut Scheduler,
     body: &[u8],
@@ -247,7 +252,7 @@
     if scheduler.on_heartbeat(&heartbeat, true, now) != Verdict::Accept {
         return None;
     }
-    // A leader asks whether a placement pass might start something there before it replies.
+    // Before it replies, a leader checks whether a placement pass may start tasks on the machine.
     let _ = scheduler.may_start_on(heartbeat.machine.as_str(), now);
     Some(heartbeat)
 }
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -1,4 +1,4 @@
-//! Workers in simulated time: tasks go through their phases, and heartbeats become due.
+//! Simulated workers: they advance their tasks through the phases and send heartbeats when due.
 
 use crate::workload::{mean_run_s, SIZES};
 use crate::Cli;
@@ -8,22 +8,22 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// The time between two heartbeats, at the least, in seconds.
+/// Minimum time between two heartbeats of a worker, in seconds.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.5;
-/// The sizes of eight machines in turn, as indices of [`SIZES`].
+/// Sizes of eight consecutive machines, as indices into [`SIZES`]; the pattern repeats.
 const SIZE_PATTERN: [usize; 8] = [0, 0, 1, 0, 2, 0, 1, 0];
 
 struct Task {
     attempt: Attempt,
     phase: TaskPhase,
     cause: Option<ExitCause>,
-    /// When its present phase ends.
-    until_s: f64,
-    /// How long it runs.
+    /// Time at which the current phase ends.
+    phase_ends_s: f64,
+    /// Duration of the running phase in seconds.
     run_s: f64,
 }
 
-/// A machine's worker. All times are simulated seconds since the start.
+/// A simulated worker. All times are in simulated seconds since the start.
 pub struct Worker {
     pub name: MachineName,
     size: usize,
@@ -31,16 +31,16 @@
     sequence: u64,
     term: Term,
     tasks: BTreeMap<TaskId, Task>,
-    /// The next heartbeat without changes.
+    /// Time of the next heartbeat without a status change.
     heartbeat_due_s: f64,
-    /// The earliest heartbeat with changes.
+    /// Earliest time of a heartbeat after a status change.
     earliest_heartbeat_s: f64,
-    /// Something has changed since the last heartbeat.
-    changed: bool,
+    /// Whether a task has changed since the last heartbeat.
+    has_changes: bool,
 }
 
 impl Worker {
-    /// All workers, whose first heartbeats are spread over one interval.
+    /// Returns all workers. Their first heartbeats are spread over one interval.
     pub fn start_all(cli: &Cli, rng: &mut SmallRng) -> Vec<Self> {
         (0..cli.machines)
             .map(|number| Self {
@@ -50,9 +50,9 @@
                 sequence: 0,
                 term: Term::new(1),
                 tasks: BTreeMap::new(),
-                heartbeat_due_s: rng.random_range(0.0..cli.report_s),
+                heartbeat_due_s: rng.random_range(0.0..cli.heartbeat_interval_s),
                 earliest_heartbeat_s: 0.0,
-                changed: false,
+                has_changes: false,
             })
             .collect()
     }
@@ -61,57 +61,58 @@
         SIZES[self.size].cpus
     }
 
-    /// Takes each task whose phase is over to the next one.
+    /// Advances each task whose phase has ended to the next phase.
     pub fn advance_tasks(&mut self, now_s: f64) {
-        for task in self.tasks.values_mut().filter(|task| task.until_s <= now_s) {
+        for task in self.tasks.values_mut().filter(|task| task.phase_ends_s <= now_s) {
             match task.phase {
                 TaskPhase::Fetching => {
                     task.phase = TaskPhase::Running;
-                    task.until_s = now_s + task.run_s;
+                    task.phase_ends_s = now_s + task.run_s;
                 }
                 TaskPhase::Running | TaskPhase::Saving => {
-                    let done = task.phase == TaskPhase::Running;
+                    let is_done = task.phase == TaskPhase::Running;
                     task.phase = TaskPhase::Exited;
-                    task.cause = Some(if done { ExitCause::Done } else { ExitCause::Stopped });
-                    task.until_s = f64::MAX;
+                    task.cause = Some(if is_done { ExitCause::Done } else { ExitCause::Stopped });
+                    task.phase_ends_s = f64::MAX;
                 }
                 _ => continue,
             }
-            self.changed = true;
+            self.has_changes = true;
         }
     }
 
-    /// Executes orders at once.
+    /// Executes orders without delay.
     pub fn execute(&mut self, orders: Vec<Order>, now_s: f64, rng: &mut SmallRng) {
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
                     let run_s = mean_run_s(&task.job) * rng.random_range(0.6..1.5);
-                    let until_s = now_s + rng.random_range(0.1..3.0);
+                    let phase_ends_s = now_s + rng.random_range(0.1..3.0);
                     let phase = TaskPhase::Fetching;
-                    self.tasks.insert(task, Task { attempt, phase, cause: None, until_s, run_s });
+                    self.tasks
+                        .insert(task, Task { attempt, phase, cause: None, phase_ends_s, run_s });
                 }
                 Order::Stop { task, attempt, .. } => {
                     let known = self.tasks.get_mut(&task).filter(|known| known.attempt == attempt);
                     if let Some(known) = known.filter(|known| known.phase != TaskPhase::Exited) {
                         known.phase = TaskPhase::Saving;
-                        known.until_s = now_s;
+                        known.phase_ends_s = now_s;
                     }
                 }
                 Order::Forget { task, .. } => drop(self.tasks.remove(&task)),
             }
-            self.changed = true;
+            self.has_changes = true;
         }
     }
 
-    /// A heartbeat is due, or may be sent early because of a change.
+    /// Returns whether a heartbeat is due, or may be sent early because a task has changed.
     pub fn is_heartbeat_due(&self, now_s: f64) -> bool {
-        now_s >= self.heartbeat_due_s || (self.changed && now_s >= self.earliest_heartbeat_s)
+        now_s >= self.heartbeat_due_s || (self.has_changes && now_s >= self.earliest_heartbeat_s)
     }
 
-    /// The next heartbeat as it is sent; draws when the one after it is due.
+    /// Returns the body of the next heartbeat, and sets the time of the following one, with jitter.
     pub fn send_heartbeat(&mut self, now_s: f64, interval_s: f64, rng: &mut SmallRng) -> Vec<u8> {
-        self.changed = false;
+        self.has_changes = false;
         self.earliest_heartbeat_s = now_s + MIN_HEARTBEAT_INTERVAL_S;
         self.heartbeat_due_s = now_s + interval_s * rng.random_range(0.75..1.25);
         self.sequence += 1;
--- a/crates/corkfield/examples/load/workload.rs
+++ b/crates/corkfield/examples/load/workload.rs
@@ -1,4 +1,4 @@
-//! The deployment, and the jobs that come.
+//! The simulated deployment and the submitted jobs.
 
 use corkfield_core::Config;
 use corkfield_wire::cloud::MachineType;
@@ -9,7 +9,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A size of machines.
+/// A machine size.
 pub struct MachineSize {
     pub name: &'static str,
     pub cpus: f64,
@@ -21,78 +21,79 @@
     MachineSize { name: "large", cpus: 32.0 },
 ];
 
-/// Jobs of one kind.
+/// A class of jobs with equal properties.
 pub struct JobClass {
     name: &'static str,
     priority: &'static str,
-    /// Tasks of a job in the mean.
-    tasks: f64,
-    /// CPUs of a task.
+    /// Mean number of tasks per job.
+    mean_tasks: f64,
+    /// CPUs per task.
     pub cpus: f64,
-    /// How long a task runs in the mean, in seconds.
-    pub run_s: f64,
-    /// Part of all the work.
+    /// Mean run time of a task in seconds.
+    pub mean_run_s: f64,
+    /// Share of the submitted work.
     pub share: f64,
-    /// Seconds between two checkpoints of a task; 0: none.
+    /// Seconds between two checkpoints of a task; 0: no checkpoints.
     checkpoint_s: f64,
 }
 
-/// A job's class is its index here, and the last digit of the job's number.
+/// The job classes. The class of a job is its index in this array and the last digit of the job id.
 pub const CLASSES: [JobClass; 3] = [
     JobClass {
         name: "sums",
         priority: "normal",
-        tasks: 500.0,
+        mean_tasks: 500.0,
         cpus: 1.0,
-        run_s: 30.0,
+        mean_run_s: 30.0,
         share: 0.45,
         checkpoint_s: 0.0,
     },
     JobClass {
         name: "alarms",
         priority: "urgent",
-        tasks: 30.0,
+        mean_tasks: 30.0,
         cpus: 4.0,
-        run_s: 16.0,
+        mean_run_s: 16.0,
         share: 0.25,
         checkpoint_s: 0.0,
     },
     JobClass {
         name: "archive",
         priority: "idle",
-        tasks: 30.0,
+        mean_tasks: 30.0,
         cpus: 4.0,
-        run_s: 100.0,
+        mean_run_s: 100.0,
         share: 0.3,
         checkpoint_s: 15.0,
     },
 ];
 
 const URGENT_CLASS: usize = 1;
-/// How many images each class has.
-const IMAGES: u32 = 8;
+/// Number of images per class.
+const IMAGES_PER_CLASS: u32 = 8;
 
-/// How long a task of a job runs in the mean, in seconds.
+/// Returns the mean run time of a job's tasks in seconds.
 pub fn mean_run_s(id: &JobId) -> f64 {
     let class = id.to_string().bytes().next_back().unwrap_or(b'0') - b'0';
-    CLASSES[usize::from(class)].run_s
+    CLASSES[usize::from(class)].mean_run_s
 }
 
-/// The next job of a class; `None` once the numbers are used up.
+/// Returns a job of a class with a random size, or `None` if the number no longer fits in a job id.
 pub fn job_spec(number: u32, class: usize, rng: &mut SmallRng) -> Option<JobSpec> {
-    let JobClass { name, priority, tasks, cpus, run_s, checkpoint_s, .. } = CLASSES[class];
-    let tasks = (tasks * rng.random_range(0.2..1.8)).max(1.0) as u32;
+    let JobClass { name, priority, mean_tasks, cpus, mean_run_s, checkpoint_s, .. } =
+        CLASSES[class];
+    let tasks = (mean_tasks * rng.random_range(0.2..1.8)).max(1.0) as u32;
     let team = if rng.random_bool(0.3) && class == URGENT_CLASS { "a" } else { "b" };
-    let image = rng.random_range(0..IMAGES);
+    let image = rng.random_range(0..IMAGES_PER_CLASS);
     let text = format!(
         "{{\"name_id\":\"j-{number:05}{class}\",\"pool\":\"{name}\",\"owner\":\"{team}\",\"shape\":\"sweep\",\"rank\":\"{priority}\",\
          \"pieces\":{tasks},\"vcpus\":{cpus:.1},\"accelerators\":0.0,\"mem_gb\":1.0,\"bundle\":\"{name}-{image}\",\"image_gb\":1.5,\
-         \"same_place\":false,\"apart\":false,\"loaners\":true,\"guess_s\":{run_s:.1},\"snapshot_s\":{checkpoint_s:.1},\"flush_s\":2.0}}"
+         \"same_place\":false,\"apart\":false,\"loaners\":true,\"guess_s\":{mean_run_s:.1},\"snapshot_s\":{checkpoint_s:.1},\"flush_s\":2.0}}"
     );
     JobSpec::parse(text.as_bytes()).ok()
 }
 
-/// A claimed record whose tasks may all be started.
+/// Returns the record of a claimed job. Its start watermark permits the start of all tasks.
 pub fn claimed_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         generation: Generation::new(1),
@@ -102,7 +103,7 @@
     }
 }
 
-/// Two teams with quotas and four objectives, for a fleet of so many CPUs.
+/// Returns the configuration for a fleet of `cpus` CPUs: two teams with quotas, four objectives.
 pub fn config(cpus: f64) -> Config {
     let team = |name: &str, share: f64| Team {
         name: name.to_owned(),
@@ -134,7 +135,7 @@
     }
 }
 
-/// A machine type for each size.
+/// Returns one machine type per machine size.
 pub fn machine_types() -> Vec<MachineType> {
     SIZES.iter().map(machine_type).collect()
 }
--- a/crates/corkfield/examples/loopback.rs
+++ b/crates/corkfield/examples/loopback.rs
@@ -1,6 +1,6 @@
-//! The real program under load: controllers as processes, stand-ins for everything around them on
-//! loopback addresses, in real time. It says what processor time each controller took, and prints
-//! their process ids, so that a profiler or a counter of system calls can be attached.
+//! Runs the program under load in real time: the controllers are processes, and fakes of the store,
+//! the cloud and the workers listen on loopback addresses. Prints the CPU time of each controller,
+//! and the process ids, so that a profiler or a system call tracer can be attached.
 //!
 //! `cargo run --release --example loopback -- --machines 360 --seconds 30`
 
@@ -31,25 +31,25 @@
 
 #[derive(Debug, Parser)]
 struct Cli {
-    /// The program to measure
+    /// Path of the program to measure
     #[arg(long, default_value = "target/release/corkfield")]
     program: PathBuf,
-    /// Where the settings files go
+    /// Folder to which the settings files are written
     #[arg(long, default_value = "target/loopback")]
     folder: PathBuf,
-    /// Controllers
+    /// Number of controllers
     #[arg(long, default_value_t = 5)]
     controllers: u8,
-    /// Machines, of 8 CPUs each, all up at the start
+    /// Number of machines, of 8 CPUs each, all up at the start
     #[arg(long, default_value_t = 360)]
     machines: u32,
-    /// Seconds before the measurement begins
+    /// Warm-up time before the measurement, in seconds
     #[arg(long, default_value_t = 20)]
     warm_up: u64,
-    /// Seconds that are measured
+    /// Duration of the measurement, in seconds
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Tasks of one second that come each second, against the CPUs; 0: idle machines only
+    /// Submitted work as a fraction of the CPU capacity; 0: all machines stay idle
     #[arg(long, default_value_t = 0.8)]
     load: f64,
 }
@@ -73,9 +73,9 @@
         controller_addr(controller, PEER_PORT)
     );
     for other in (0..cli.controllers).filter(|other| *other != controller) {
-        let back = controller_addr(other, PEER_PORT);
+        let peer_addr = controller_addr(other, PEER_PORT);
         text += &format!(
-            "[[seeds]]\nnode_name = \"n{other}\"\ndomain = \"z1\"\nendpoint = \"{back}\"\n"
+            "[[seeds]]\nnode_name = \"n{other}\"\ndomain = \"z1\"\nendpoint = \"{peer_addr}\"\n"
         );
     }
     let sockets = 2 * cli.machines + 500;
@@ -91,25 +91,25 @@
     )
 }
 
-/// Controllers, ended when this is dropped.
+/// The controller processes, which are killed when this value is dropped.
 struct Controllers(Vec<Child>);
 
 impl Controllers {
     fn start(cli: &Cli) -> std::io::Result<Self> {
         std::fs::create_dir_all(&cli.folder)?;
-        let mut started = Self(Vec::new());
+        let mut controllers = Self(Vec::new());
         for controller in 0..cli.controllers {
             let path = cli.folder.join(format!("n{controller}.toml"));
             std::fs::write(&path, settings_text(controller, cli))?;
             let mut command = Command::new(&cli.program);
             command.arg("--config").arg(path).env("LOG_LEVEL", "error").stdin(Stdio::null());
-            started.0.push(command.spawn()?);
+            controllers.0.push(command.spawn()?);
         }
-        Ok(started)
+        Ok(controllers)
     }
 
-    fn usage(&self) -> Vec<Usage> {
-        self.0.iter().map(|child| Usage::read(child.id())).collect()
+    fn resource_usage(&self) -> Vec<ResourceUsage> {
+        self.0.iter().map(|child| ResourceUsage::read(child.id())).collect()
     }
 }
 
@@ -122,32 +122,32 @@
     }
 }
 
-/// What the system says of a process.
+/// The resource usage of a process since its start, as `/proc` states it.
 #[derive(Debug, Clone, Copy, Default)]
-struct Usage {
-    processor: Duration,
-    /// How often it waited for something to do.
-    waits: u64,
-    /// The most memory it held, in KiB.
-    memory_kib: u64,
+struct ResourceUsage {
+    cpu_time: Duration,
+    /// Voluntary context switches: waits for events.
+    voluntary_switches: u64,
+    /// Peak resident memory in KiB.
+    peak_memory_kib: u64,
 }
 
-impl Usage {
-    fn read(process: u32) -> Self {
+impl ResourceUsage {
+    fn read(process_id: u32) -> Self {
         let read_file = |file: &str| {
-            std::fs::read_to_string(format!("/proc/{process}/{file}")).unwrap_or_default()
+            std::fs::read_to_string(format!("/proc/{process_id}/{file}")).unwrap_or_default()
         };
         let status = read_file("status");
-        let field = |name: &str| {
+        let read_field = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name));
             line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
         };
         let schedstat = read_file("schedstat");
         let run_ns = schedstat.split_whitespace().next().and_then(|ns| ns.parse().ok());
         Self {
-            processor: Duration::from_nanos(run_ns.unwrap_or(0)),
-            waits: field("voluntary_ctxt_switches:"),
-            memory_kib: field("VmHWM:"),
+            cpu_time: Duration::from_nanos(run_ns.unwrap_or(0)),
+            voluntary_switches: read_field("voluntary_ctxt_switches:"),
+            peak_memory_kib: read_field("VmHWM:"),
         }
     }
 }
@@ -185,13 +185,13 @@
     }
 }
 
-/// What stands around the controllers, as far as the measurement looks at it.
-struct StandIns {
+/// The fake services that the measurement reads.
+struct Fakes {
     store: Rc<FakeStore>,
     history: Rc<ExecutionHistory>,
 }
 
-impl StandIns {
+impl Fakes {
     fn start(cli: &Cli) -> Self {
         let history = Rc::new(ExecutionHistory::default());
         history.cancel_limit.set(CANCEL_LIMIT);
@@ -211,8 +211,8 @@
         Self { store, history }
     }
 
-    /// The name of the leader; empty if there is none.
-    fn leader(&self) -> String {
+    /// Returns the name of the leader, or an empty name if there is no leader.
+    fn leader_name(&self) -> String {
         let record = self.store.value(LEADER_KEY).and_then(|v| serde_json::from_value(v).ok());
         record.and_then(|record: LeaderRecord| record.node).unwrap_or_default().to_string()
     }
@@ -223,8 +223,8 @@
     Client::new(Rc::new(Tcp), addr, MAX_USER_CONNECTIONS, MAX_ANSWER_BYTES)
 }
 
-/// What a load balancer asks of every controller.
-async fn probe(controllers: u8) {
+/// Requests the readiness of every controller once per interval, as a load balancer does.
+async fn probe_readiness(controllers: u8) {
     let clients: Vec<Client> = (0..controllers).map(client).collect();
     loop {
         for client in &clients {
@@ -234,13 +234,13 @@
     }
 }
 
-/// Jobs of one kind.
+/// A class of jobs with equal properties.
 struct JobClass {
     priority: &'static str,
     tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     cpus: f64,
-    /// How long a task runs, in seconds.
+    /// Run time of a task in seconds.
     run_s: f64,
 }
 
@@ -258,14 +258,14 @@
         JobSpec::parse(text.as_bytes()).expect("a valid submission")
     }
 
-    /// CPU-seconds of a job.
-    fn work(&self) -> f64 {
+    /// Returns the CPU-seconds that a job takes.
+    fn cpu_seconds(&self) -> f64 {
         f64::from(self.tasks) * self.cpus * self.run_s
     }
 }
 
-/// A user submits a job and asks about it until it is done.
-async fn use_job(spec: JobSpec, controller: u8) {
+/// Submits a job as a user does, and polls its status until it is done.
+async fn submit_and_poll(spec: JobSpec, controller: u8) {
     let client = client(controller);
     let body = serde_json::to_vec(&spec).expect("serializable");
     while !matches!(
@@ -285,7 +285,7 @@
     }
 }
 
-/// Two urgent jobs of 30 tasks and a large one in turn, as many as the load asks for.
+/// Submits jobs at the rate that the load requires: one large job, then two urgent jobs, in turn.
 async fn submit_jobs(cli: &Cli, history: &ExecutionHistory) {
     let busy_cpus = f64::from(cli.machines) * MACHINE_CPUS * cli.load;
     let mut number = 0;
@@ -294,56 +294,63 @@
         let spec = class.spec(number);
         history.add_plan(JobPlan { spec: spec.clone(), run_s: class.run_s, fails: false });
         let controller = u8::try_from(number % u32::from(cli.controllers)).unwrap_or(0);
-        tokio::task::spawn_local(use_job(spec, controller));
+        tokio::task::spawn_local(submit_and_poll(spec, controller));
         number += 1;
-        tokio::time::sleep(Duration::from_secs_f64(class.work() / busy_cpus)).await;
+        tokio::time::sleep(Duration::from_secs_f64(class.cpu_seconds() / busy_cpus)).await;
     }
 }
 
-/// The role of a controller, in the words that the output lines have always had.
-fn role(controller: usize, leader: &str) -> &'static str {
-    if leader == format!("n{controller}") {
-        "planner"
+/// Returns the role of a controller as the output names it.
+fn role(controller: usize, leader_name: &str) -> &'static str {
+    if leader_name == format!("n{controller}") {
+        "leader"
     } else {
         "standby"
     }
 }
 
-fn print_usage(controllers: &Controllers, before: &[Usage], leader: &str, seconds: f64) {
-    for (number, (after, before)) in controllers.usage().iter().zip(before).enumerate() {
+/// Prints the usage of each controller since `before`, as a mean over `seconds`.
+fn print_usage(
+    controllers: &Controllers,
+    before: &[ResourceUsage],
+    leader_name: &str,
+    seconds: f64,
+) {
+    for (number, (after, before)) in controllers.resource_usage().iter().zip(before).enumerate() {
         println!(
-            "n{number} {}: {:.2} ms of processor time and {:.0} waits a second, {} KiB at most",
-            role(number, leader),
-            (after.processor - before.processor).as_secs_f64() * 1000.0 / seconds,
-            (after.waits - before.waits) as f64 / seconds,
-            after.memory_kib
+            "n{number} {}: {:.2} ms CPU time per second, \
+             {:.0} voluntary context switches per second, peak memory {} KiB",
+            role(number, leader_name),
+            (after.cpu_time - before.cpu_time).as_secs_f64() * 1000.0 / seconds,
+            (after.voluntary_switches - before.voluntary_switches) as f64 / seconds,
+            after.peak_memory_kib
         );
     }
 }
 
-/// Measures the controllers after the warm-up, and prints what they took.
-async fn measure(cli: &Cli, stand_ins: &StandIns, controllers: &Controllers) {
+/// Measures the resource usage of the controllers after the warm-up, and prints it.
+async fn measure(cli: &Cli, fakes: &Fakes, controllers: &Controllers) {
     tokio::time::sleep(Duration::from_secs(cli.warm_up)).await;
-    let leader = stand_ins.leader();
+    let leader_name = fakes.leader_name();
     for (number, child) in controllers.0.iter().enumerate() {
-        println!("n{number} {}: process {}", role(number, &leader), child.id());
+        println!("n{number} {}: process id {}", role(number, &leader_name), child.id());
     }
-    let (before, starts_before) = (controllers.usage(), stand_ins.history.total_starts());
+    let (before, starts_before) = (controllers.resource_usage(), fakes.history.total_starts());
     tokio::time::sleep(Duration::from_secs(cli.seconds)).await;
     let seconds = cli.seconds as f64;
-    print_usage(controllers, &before, &leader, seconds);
-    let starts = f64::from(stand_ins.history.total_starts() - starts_before) / seconds;
-    let violations = stand_ins.history.violations().len();
-    println!("{starts:.0} starts a second, {violations} broken rules");
+    print_usage(controllers, &before, &leader_name, seconds);
+    let starts = f64::from(fakes.history.total_starts() - starts_before) / seconds;
+    let violations = fakes.history.violations().len();
+    println!("{starts:.0} starts per second, {violations} violations of safety rules");
 }
 
 async fn run(cli: Cli) -> std::io::Result<()> {
-    let stand_ins = StandIns::start(&cli);
+    let fakes = Fakes::start(&cli);
     let controllers = Controllers::start(&cli)?;
-    tokio::task::spawn_local(probe(cli.controllers));
+    tokio::task::spawn_local(probe_readiness(cli.controllers));
     tokio::select! {
-        () = measure(&cli, &stand_ins, &controllers) => {}
-        () = submit_jobs(&cli, &stand_ins.history), if cli.load > 0.0 => {}
+        () = measure(&cli, &fakes, &controllers) => {}
+        () = submit_jobs(&cli, &fakes.history), if cli.load > 0.0 => {}
     }
     Ok(())
 }
