--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -16,7 +16,7 @@
 const TICK_INTERVAL_S: f64 = 0.25;
 const SCALE_INTERVAL_S: f64 = 1.0;
 const MAX_COMPLETION_COMMITS: usize = 40;
-/// Work that waits at the start, as the time in seconds that it takes on all machines.
+/// Work that waits at the start, as the time in seconds in which the load submits as much.
 const INITIAL_BACKLOG_S: f64 = 10.0;
 const TERM: Term = Term::new(1);
 
@@ -47,10 +47,10 @@
 
 /// The simulated time of a step.
 #[derive(Clone, Copy)]
-struct Moment {
+struct StepTime {
     /// Simulated seconds since the start.
     seconds: f64,
-    /// The same time on the clock that the scheduler is given.
+    /// The same time as the [`Instant`] that is passed to the scheduler.
     instant: Instant,
 }
 
@@ -96,15 +96,15 @@
         for step in 0..(self.cli.seconds / STEP_S) as u64 {
             let seconds = step as f64 * STEP_S;
             let instant = self.origin + Duration::from_secs_f64(seconds);
-            self.step(Moment { seconds, instant })?;
+            self.step(StepTime { seconds, instant })?;
         }
         Some(())
     }
 
-    fn step(&mut self, now: Moment) -> Option<()> {
+    fn step(&mut self, now: StepTime) -> Option<()> {
         self.submit_jobs(now)?;
         let pending = self.receive_heartbeats(now);
-        self.carry_out_actions(now);
+        self.execute_actions(now);
         self.run_periodic_work(now);
         self.store_completions(now);
         for reply in pending {
@@ -113,7 +113,7 @@
         Some(())
     }
 
-    fn submit_jobs(&mut self, now: Moment) -> Option<()> {
+    fn submit_jobs(&mut self, now: StepTime) -> Option<()> {
         for (number, class) in CLASSES.iter().enumerate() {
             self.due_work[number] += self.cpus * self.cli.load * class.share * STEP_S;
             while self.due_work[number] > 0.0 {
@@ -134,7 +134,7 @@
     }
 
     /// Lets all tasks go on, and takes the heartbeats that are due.
-    fn receive_heartbeats(&mut self, now: Moment) -> Vec<PendingReply> {
+    fn receive_heartbeats(&mut self, now: StepTime) -> Vec<PendingReply> {
         let mut pending = Vec::new();
         for (index, worker) in self.workers.iter_mut().enumerate() {
             worker.advance_tasks(now.seconds);
@@ -154,7 +154,7 @@
         pending
     }
 
-    fn carry_out_actions(&mut self, now: Moment) {
+    fn execute_actions(&mut self, now: StepTime) {
         for action in self.scheduler.take_actions() {
             match action {
                 Action::StoreMachineRecord(name, _) => {
@@ -179,7 +179,7 @@
         }
     }
 
-    fn run_periodic_work(&mut self, now: Moment) {
+    fn run_periodic_work(&mut self, now: StepTime) {
         let scheduler = &mut self.scheduler;
         if now.seconds >= self.due.tick_s {
             self.due.tick_s = now.seconds + TICK_INTERVAL_S;
@@ -195,7 +195,7 @@
         }
     }
 
-    fn store_completions(&mut self, now: Moment) {
+    fn store_completions(&mut self, now: StepTime) {
         let due = self.scheduler.due_completion_commits(MAX_COMPLETION_COMMITS, now.instant);
         for completion_commit in due {
             self.counts.done += completion_commit.tasks.len() as u64;
@@ -204,7 +204,7 @@
         }
     }
 
-    fn send_reply(&mut self, pending: &PendingReply, now: Moment) {
+    fn send_reply(&mut self, pending: &PendingReply, now: StepTime) {
         let worker = &mut self.workers[pending.worker];
         let scheduler = &mut self.scheduler;
         let orders = self.costs.replies.measure(|| {
--- a/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
@@ -41,10 +41,10 @@
 /// Guards against starts that are sent under an outdated generation. The first worker refuses the
 /// job's starts, because the plan of the job is added late, and the job backs off. Other tasks of
 /// the job were assigned to a machine that hangs and sends its next heartbeat during the back-off
-/// or after the next claim. In a release build their starts were sent under the previous generation
-/// ("start ordered ... generation=1 record_generation=2"), and a relaying controller dropped them
-/// ("relayed start dropped"). In a debug build an assertion of the leader failed, and the machine
-/// got no answers until its lease expired.
+/// or after the next claim. Before the fix, a release build sent their starts under the previous
+/// generation ("start ordered ... generation=1 record_generation=2"), and a relaying controller
+/// dropped them ("relayed start dropped"). In a debug build, an assertion of the leader failed, and
+/// the machine got no answers until its lease expired.
 #[test]
 fn starts_assigned_before_a_back_off_are_not_sent_after_the_next_claim() {
     for route in [HeartbeatRoute::Direct, HeartbeatRoute::Relayed] {
@@ -98,10 +98,10 @@
 /// Guards against a late answer that overwrites newer state. A job fails on three machines and
 /// backs off while one of its tasks completes on a fourth. The store executes the completion commit
 /// at once and answers late, after the leader has claimed the job again, based on the watched
-/// record. The leader took the record of the commit for the newest one and returned to the
-/// generation and version before the claim. Every later commit was conditional on that version and
-/// was refused ("completion commit failed" with a conflict), so the job never completed under that
-/// leader.
+/// record. Before the fix, the leader took the record of the commit for the newest one and returned
+/// to the generation and version before the claim. Every later commit was conditional on that
+/// version and was refused ("completion commit failed" with a conflict), so the job never completed
+/// under that leader.
 #[test]
 fn a_job_completes_when_a_commit_is_answered_after_the_next_claim() {
     for run_s in [1.0, 1.4, 1.8, 2.2, 2.6, 3.0] {
@@ -155,9 +155,9 @@
 /// Guards against a released job that is never claimed. A job is dead-lettered while one of its
 /// tasks runs; the task is stopped, and the write of the job's record is delayed. Meanwhile an
 /// operator releases the job, and the first claim after the release is lost. The delayed write is
-/// refused, and the record read afterwards has the same generation. The leader took that record for
-/// its own and did not claim the job again, because it knew the version: the overview listed no
-/// dead-lettered job, but no task of the job ran under that leader.
+/// refused, and the record read afterwards has the same generation. Before the fix, the leader took
+/// that record for its own write and did not claim the job again, because it knew the version: the
+/// overview listed no dead-lettered job, but no task of the job ran under that leader.
 #[test]
 fn a_job_released_while_its_record_is_written_runs_again() {
     for release_after_s in [0.0, 0.2, 0.4, 0.6, 0.8, 1.0, 1.2, 1.4] {
@@ -186,8 +186,8 @@
 /// Guards against a released job that stays dead-lettered in the leader's memory. The store
 /// executes the claim of the released job late, after the leader has read the record and not found
 /// the claim, and refuses the next claim as a conflict. The record then names the leader as owner,
-/// at a generation that the leader does not know. The leader took the job for claimed and did not
-/// claim it again.
+/// at a generation that the leader does not know. Before the fix, the leader took the job for
+/// claimed and did not claim it again.
 #[test]
 fn a_released_job_whose_claim_is_executed_late_runs_again() {
     // The claim that is executed late counts towards the limit.
--- a/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
@@ -80,12 +80,12 @@
             cluster.submit(&kept, 40.0).await;
             cluster.submit(&to_cancel, 300.0).await;
             sleep_s(5.0).await;
-            let old = cluster.leader();
-            cluster.net.cut(CONTROLLERS[old], "state");
-            cluster.cut_from_peers(old);
+            let old_leader = cluster.leader();
+            cluster.net.cut(CONTROLLERS[old_leader], "state");
+            cluster.cut_from_peers(old_leader);
             sleep_s(LEASE_S).await;
-            let new = cluster.leader();
-            assert_ne!(new, old);
+            let new_leader = cluster.leader();
+            assert_ne!(new_leader, old_leader);
             if has_hung_machine {
                 let worker = cluster.worker_of(&task_id(&to_cancel, 0));
                 worker.set_hung(true);
@@ -94,18 +94,18 @@
                     worker.set_hung(false);
                 });
             }
-            cluster.cancel_through(new, &to_cancel.id).await;
+            cluster.cancel_through(new_leader, &to_cancel.id).await;
             for _ in 0..20 {
-                let answer = cluster.request_about_job(old, &to_cancel.id, None).await;
+                let answer = cluster.request_about_job(old_leader, &to_cancel.id, None).await;
                 assert_eq!(answer, None, "no answer without the store");
                 sleep_s(1.0).await;
             }
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
-            cluster.net.heal(CONTROLLERS[old], "state");
-            cluster.heal_to_peers(old);
+            cluster.net.heal(CONTROLLERS[old_leader], "state");
+            cluster.heal_to_peers(old_leader);
             cluster.wait_until_done(&kept.id, 120.0).await;
             assert_eq!(
-                cluster.request_about_job(old, &to_cancel.id, None).await,
+                cluster.request_about_job(old_leader, &to_cancel.id, None).await,
                 Some(JobStatus::Cancelled)
             );
         });
@@ -195,7 +195,7 @@
 
 #[test]
 fn a_leader_that_was_partitioned_deletes_no_machine_when_the_partition_ends() {
-    for cut_s in [20.0, 45.0] {
+    for partition_s in [20.0, 45.0] {
         scenario(4, |cluster| async move {
             let mut job = job_spec(1, 30);
             job.estimate_s = 60.0;
@@ -205,7 +205,7 @@
             // The leader receives no heartbeats and requests other machines meanwhile.
             cluster.cloud.lose_answers.set(true);
             cluster.net.cut(CONTROLLERS[leader], "*");
-            sleep_s(cut_s).await;
+            sleep_s(partition_s).await;
             assert_ne!(cluster.leader(), leader);
             // The old leader learns at once that another controller owns its jobs, so that the
             // machines seem unused. Only 3 s later it learns that another controller leads and
--- a/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
@@ -9,8 +9,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Queries a job's status and repeats its submission at all controllers, several times within 60
-/// ms. The execution history records a violation when an answer is older than one given before.
+/// Queries a job's status and repeats its submission at all controllers, five times within 60 ms.
+/// The execution history records a violation when an answer is older than one given before.
 async fn request_from_all(cluster: &Rc<Cluster>, job: &JobSpec) {
     let mut requests = Vec::new();
     for wait_ms in [0, 1, 3, 10, 40] {
--- a/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
@@ -105,8 +105,8 @@
 fn a_controller_with_a_cancellation_unknown_to_the_leader_does_not_attest() {
     // The controller's notification of the leader is late, or is lost when its process restarts.
     // The links are restored during the outage.
-    for restarts in [false, true] {
-        for healed_s in [0.5, 8.0, 20.0] {
+    for has_restart in [false, true] {
+        for heal_after_s in [0.5, 8.0, 20.0] {
             scenario(3, |cluster| async move {
                 let job = job_spec(1, 4);
                 cluster.submit(&job, 400.0).await;
@@ -117,8 +117,8 @@
                 cluster.store_refuses[leader].set(true);
                 sleep_s(0.3).await;
                 cluster.cancel_through(other, &job.id).await;
-                let confirmed = tokio::time::Instant::now();
-                if restarts {
+                let confirmed_at = tokio::time::Instant::now();
+                if has_restart {
                     // The new process reads the store, but does not know which cancellations the
                     // previous process confirmed.
                     cluster.restart(other, 0.05).await;
@@ -126,9 +126,9 @@
                 }
                 cluster.store.set_down(true);
                 cluster.store_refuses[leader].set(false);
-                sleep_s(healed_s).await;
+                sleep_s(heal_after_s).await;
                 cluster.heal_to_peers(leader);
-                sleep_s(CANCEL_S - confirmed.elapsed().as_secs_f64() - 0.1).await;
+                sleep_s(CANCEL_S - confirmed_at.elapsed().as_secs_f64() - 0.1).await;
                 assert_eq!(cluster.history.running_tasks(&job.id), 0);
                 sleep_s(20.0).await;
                 cluster.store.set_down(false);
--- a/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
@@ -20,9 +20,9 @@
 struct UnreadCancellation {
     tasks: u32,
     /// Whether the leader is also cut off from the other controllers.
-    cut_from_peers: bool,
+    is_cut_from_peers: bool,
     /// Whether the link between leader and store is cut, instead of the store refusing the leader.
-    cut_from_store: bool,
+    is_cut_from_store: bool,
     /// Time in seconds for which a machine with a task of the job hangs; 0: no machine hangs.
     hung_s: f64,
     /// Seconds from the loss of the store to the cancellation.
@@ -33,8 +33,8 @@
 
 const BASE_CASE: UnreadCancellation = UnreadCancellation {
     tasks: 1,
-    cut_from_peers: false,
-    cut_from_store: false,
+    is_cut_from_peers: false,
+    is_cut_from_store: false,
     hung_s: 0.0,
     cancel_after_s: 0.4,
     outage_after_s: 1.0,
@@ -57,10 +57,10 @@
     cluster.submit(&stream, 0.7).await;
     sleep_s(5.0).await;
     let leader = cluster.leader();
-    if case.cut_from_peers {
+    if case.is_cut_from_peers {
         cluster.cut_from_peers(leader);
     }
-    if case.cut_from_store {
+    if case.is_cut_from_store {
         cluster.net.cut(CONTROLLERS[leader], "state");
     } else {
         cluster.store_refuses[leader].set(true);
@@ -69,13 +69,13 @@
     if case.hung_s > 0.0 {
         hang_for(cluster.worker_of(&task_id(&job, 0)), case.hung_s);
     }
-    let (other, confirmed) = (cluster.other_controllers(leader)[0], tokio::time::Instant::now());
+    let (other, confirmed_at) = (cluster.other_controllers(leader)[0], tokio::time::Instant::now());
     for id in [&job.id, &stream.id] {
         cluster.cancel_through(other, id).await;
     }
     sleep_s(case.outage_after_s).await;
     cluster.store.set_down(true);
-    if !case.cut_from_peers && case.hung_s == 0.0 {
+    if !case.is_cut_from_peers && case.hung_s == 0.0 {
         sleep_s(4.0).await;
         assert_eq!(
             cluster.history.running_tasks(&job.id),
@@ -88,7 +88,7 @@
             "the leader started no further task"
         );
     }
-    sleep_s(CANCEL_S - confirmed.elapsed().as_secs_f64() - 0.1).await;
+    sleep_s(CANCEL_S - confirmed_at.elapsed().as_secs_f64() - 0.1).await;
     for job in [&job, &stream] {
         assert_eq!(
             cluster.history.running_tasks(&job.id),
@@ -111,15 +111,15 @@
 
 #[test]
 fn a_cancellation_that_the_leader_cannot_read_stops_the_job_within_the_limit() {
-    for cut_from_peers in [false, true] {
-        for cut_from_store in [false, true] {
+    for is_cut_from_peers in [false, true] {
+        for is_cut_from_store in [false, true] {
             for (tasks, cancel_after_s, outage_after_s) in
                 [(1, 0.4, 1.0), (2, 0.0, 0.2), (2, 3.0, 3.0)]
             {
                 let case = UnreadCancellation {
                     tasks,
-                    cut_from_peers,
-                    cut_from_store,
+                    is_cut_from_peers,
+                    is_cut_from_store,
                     cancel_after_s,
                     outage_after_s,
                     ..BASE_CASE
@@ -132,9 +132,9 @@
 
 #[test]
 fn a_machine_that_hung_stops_tasks_whose_cancellation_the_leader_cannot_read() {
-    for cut_from_peers in [false, true] {
+    for is_cut_from_peers in [false, true] {
         for hung_s in [3.0, LEASE_S - 2.5, LEASE_S + 4.0] {
-            let case = UnreadCancellation { tasks: 2, cut_from_peers, hung_s, ..BASE_CASE };
+            let case = UnreadCancellation { tasks: 2, is_cut_from_peers, hung_s, ..BASE_CASE };
             scenario(3, |cluster| run_unread_cancellation(cluster, case));
         }
     }
--- a/crates/corkfield/tests/scenarios/combined_faults/users.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/users.rs
@@ -34,10 +34,10 @@
                         let controller = (first + round) % CONTROLLERS.len();
                         // A cancellation may be answered late; the other requests do not wait for
                         // it.
-                        let (first_requester, requested_id) = (requester.clone(), id.clone());
+                        let (background_requester, background_id) = (requester.clone(), id.clone());
                         tokio::task::spawn_local(async move {
-                            first_requester
-                                .request_about_job(controller, &requested_id, verb)
+                            background_requester
+                                .request_about_job(controller, &background_id, verb)
                                 .await;
                         });
                         tokio::join!(
