--- a/crates/corkfield/tests/scenarios/combined_faults/mod.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/mod.rs
@@ -1,9 +1,10 @@
-//! Two faults at once. `docs/fault-combinations.md` lists the combinations and their scenarios.
+//! Scenarios in which two faults occur at once. `docs/fault-combinations.md` lists the combinations
+//! and their scenarios.
 
 mod back_offs;
 mod cancellations;
-mod late_commands;
-mod leaders;
+mod delayed_orders;
+mod leader_changes;
 mod lost_answers;
 mod machines;
 mod many_small_jobs;
