--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -44,7 +44,7 @@
             Some(zone) => zone.clone(),
             None => zone_with_most_slots(capacity, candidates, &Resources::per_task(spec)),
         });
-        Self { tasks_by_zone, required_zone, max_tasks_per_zone: spec.zone_cap() }
+        Self { tasks_by_zone, required_zone, max_tasks_per_zone: spec.max_tasks_per_zone() }
     }
 
     /// Returns whether another task may be placed in the zone.
@@ -70,8 +70,8 @@
     job: &Job,
 ) -> BTreeMap<String, u32> {
     let mut tasks_by_zone = BTreeMap::new();
-    for placed in job.placements().values() {
-        if let Some(machine) = machines.get(&placed.machine) {
+    for placement in job.placements().values() {
+        if let Some(machine) = machines.get(&placement.machine) {
             *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
     }
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -64,9 +64,9 @@
 }
 
 impl Scheduler {
-    /// Begins up to `max_commits` completion commits that are due, the most urgent first, then those
-    /// of the jobs whose last commit is the oldest. In the order of their ids, the last of hundreds
-    /// of jobs would never be stored.
+    /// Begins up to `max_commits` completion commits that are due, the most urgent first, then
+    /// those of the jobs whose last commit is the oldest. In the order of their ids, the last of
+    /// hundreds of jobs would never be stored.
     ///
     /// The caller must report the outcome of each with [`Self::on_completion_committed`] or
     /// [`Self::on_completion_commit_failed`].
@@ -91,14 +91,14 @@
         let storable = if record.is_chunked() {
             let storable = StorableTasks::in_chunks(job);
             let stored = u32::try_from(storable.tasks.len()).unwrap_or(0);
-            record.done = record.done.saturating_add(stored);
+            record.finished_count = record.finished_count.saturating_add(stored);
             storable
         } else {
             record.finished = job.finished().clone();
-            record.done = record.finished.len();
+            record.finished_count = record.finished.len();
             StorableTasks::in_record(job)
         };
-        record.running = job.running;
+        record.running_count = job.running;
         if job.take_watermark_raise() {
             record.raise_start_watermark();
         }
@@ -113,7 +113,7 @@
         CompletionCommit {
             job: record.spec.id.clone(),
             version: job.version,
-            completes_job: record.done >= record.spec.tasks,
+            completes_job: record.finished_count >= record.spec.tasks,
             record,
             chunks: storable.chunks.into_iter().collect(),
             tasks: storable.tasks,
@@ -132,25 +132,25 @@
         };
         job.on_commit_succeeded(record, tasks, version);
         if *completes_job {
-            tracing::debug!(job = %id, tasks = record.done, "job done");
+            tracing::debug!(job = %id, tasks = record.finished_count, "job done");
             self.close_job(id);
         }
     }
 
     /// Handles a completion commit that was refused or not answered; it may be tried again.
     ///
-    /// `found` is the record as read from the store afterwards, with the job's finished tasks and
+    /// `stored` is the record as read from the store afterwards, with the job's finished tasks and
     /// the record's version, if the record is still of our claim.
     pub fn on_completion_commit_failed(
         &mut self,
         id: &JobId,
-        found: Option<(JobRecord, TaskSet, Revision)>,
+        stored: Option<(JobRecord, TaskSet, Revision)>,
     ) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.on_commit_failed();
-        if let Some((record, finished, version)) = found {
+        if let Some((record, finished, version)) = stored {
             job.merge_stored_record(record, &finished, version);
         }
     }
--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -38,7 +38,7 @@
     /// Creates the clients and timers; `seed` determines all random numbers of the process.
     pub fn new(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Self {
         let platform = &settings.platform;
-        let params = &platform.params;
+        let params = &platform.service;
         Self {
             name: platform.node.clone(),
             process: SmallRng::seed_from_u64(!seed).random(),
@@ -67,7 +67,8 @@
     /// Returns the minimum time since another controller recorded the wall-clock time
     /// `recorded_ms`, allowing for the largest difference between the two controllers' clocks.
     pub fn min_age(&self, recorded_ms: u64) -> Duration {
-        let max_clock_difference_ms = 2.0 * self.settings.platform.params.clock_off_ms.max(0.0);
+        let max_clock_difference_ms =
+            2.0 * self.settings.platform.service.max_clock_error_ms.max(0.0);
         let age = Duration::from_millis(unix_time_ms().saturating_sub(recorded_ms));
         age.saturating_sub(
             Duration::try_from_secs_f64(max_clock_difference_ms / 1000.0).unwrap_or_default(),
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -155,7 +155,7 @@
     fn register_claimed_jobs(&self, claim: StoredClaim) {
         let version = claim.version;
         for record in claim.records {
-            if record.is_chunked() && record.done > 0 {
+            if record.is_chunked() && record.finished_count > 0 {
                 self.load_finished_tasks(record, version);
             } else {
                 let finished = record.finished.clone();
@@ -174,7 +174,7 @@
         {
             record.claim(owner);
         } else {
-            record.claim_without_starts(owner);
+            record.claim_keeping_start_watermark(owner);
         }
         if record.claims > self.context.env.settings.operator.claim_limit {
             let (job, claims) = (&record.spec.id, record.claims);
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -76,7 +76,7 @@
     /// Returns whether no heartbeat was accepted for so long that workers may be unable to reach
     /// this controller.
     fn is_without_heartbeats(&self) -> bool {
-        let workers = &self.context.env.settings.platform.params.workers;
+        let workers = &self.context.env.settings.platform.service.workers;
         let limit =
             workers.heartbeat_interval().mul_f64(HANDOVER_HEARTBEAT_INTERVALS) + HANDOVER_GRACE;
         self.context.leadership.time_since_heartbeat().is_some_and(|elapsed| elapsed >= limit)
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -90,10 +90,10 @@
 
     fn on_heartbeat(&self, heartbeat: PeerHeartbeat) {
         let echoed_sent_at = self.peers.echoed_sent_at(&heartbeat, self.env.process);
-        // A peer sets `store_answers` only if its newest successful read started less than
+        // A peer sets `is_store_reachable` only if its newest successful read started less than
         // `HEARTBEAT_TIMEOUT` before it sent this heartbeat, so that read started after `read`.
         let read = echoed_sent_at
-            .filter(|_| heartbeat.store_answers)
+            .filter(|_| heartbeat.is_store_reachable)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
         if let Some(read) = read {
             self.outbox.record_store_read(heartbeat.node.as_str(), read);
--- a/crates/corkfield/src/peer_links/tests.rs
+++ b/crates/corkfield/src/peer_links/tests.rs
@@ -53,9 +53,9 @@
         number: 1,
         last_received_number: 0,
         last_received_process: 0,
-        attests_outage: false,
-        leading,
-        store_answers: true,
+        is_outage_attestation: false,
+        is_leader: leading,
+        is_store_reachable: true,
         leader: None,
         term: Term::new(1),
     };
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::now;
 use corkfield_wire::peer::PeerHeartbeat;
-use corkfield_wire::settings::Platform;
+use corkfield_wire::settings::PlatformSettings;
 use corkfield_wire::{ControllerName, Term};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -75,7 +75,8 @@
         let attested_at = previous.and_then(|previous| previous.attested_at);
         // The peer sent its heartbeat after it had received the echoed one, so the attestation is
         // later than the time when the echoed heartbeat was sent.
-        let attested_at = attested_at.max(echoed_sent_at.filter(|_| heartbeat.attests_outage));
+        let attested_at =
+            attested_at.max(echoed_sent_at.filter(|_| heartbeat.is_outage_attestation));
         last.insert(
             peer,
             LastHeartbeat { heartbeat, received_at, process_first_seen, attested_at },
@@ -121,11 +122,11 @@
     /// earlier process of that controller confirmed are unknown.
     pub fn attestation_age(
         &self,
-        platform: &Platform,
+        platform: &PlatformSettings,
         term: Term,
         proven_at: Instant,
     ) -> Option<Duration> {
-        if platform.peers.len() + 1 < platform.params.size as usize {
+        if platform.peers.len() + 1 < platform.service.size as usize {
             return None;
         }
         let last = self.last.borrow();
@@ -140,7 +141,10 @@
 
     /// Returns whether another controller recently reported that the state service answers it.
     pub fn has_peer_with_store_access(&self) -> bool {
-        self.last.borrow().values().any(|last| last.heartbeat.store_answers && last.is_recent())
+        self.last
+            .borrow()
+            .values()
+            .any(|last| last.heartbeat.is_store_reachable && last.is_recent())
     }
 
     /// Returns whether other controllers sent heartbeats recently and the state service answers
@@ -148,13 +152,13 @@
     pub fn is_store_unreachable_for_all_peers(&self) -> bool {
         let last = self.last.borrow();
         let mut others = last.values().filter(|last| last.is_recent()).peekable();
-        others.peek().is_some() && others.all(|last| !last.heartbeat.store_answers)
+        others.peek().is_some() && others.all(|last| !last.heartbeat.is_store_reachable)
     }
 
     /// Returns whether the peer recently reported that it leads.
     pub fn is_peer_leading(&self, peer: &str) -> bool {
         let last = self.last.borrow();
-        last.get(peer).is_some_and(|last| last.heartbeat.leading && last.is_recent())
+        last.get(peer).is_some_and(|last| last.heartbeat.is_leader && last.is_recent())
     }
 }
 
--- a/crates/corkfield/src/replica/contents/tests.rs
+++ b/crates/corkfield/src/replica/contents/tests.rs
@@ -14,9 +14,11 @@
     };
     let delete = |number| Event::Delete { key: key.clone(), version: Revision::new(number) };
     let mut contents = ReplicaContents::default();
-    contents.apply_events(Events { revision: Revision::new(3), events: vec![put(2), delete(3)] });
-    contents.apply_events(Events { revision: Revision::new(2), events: vec![put(2)] });
+    contents
+        .apply_events(WatchAnswer { revision: Revision::new(3), events: vec![put(2), delete(3)] });
+    contents.apply_events(WatchAnswer { revision: Revision::new(2), events: vec![put(2)] });
     assert!(contents.controllers.is_empty(), "the older read arrived last and must be ignored");
-    contents.apply_events(Events { revision: Revision::new(4), events: vec![delete(3), put(4)] });
+    contents
+        .apply_events(WatchAnswer { revision: Revision::new(4), events: vec![delete(3), put(4)] });
     assert_eq!(contents.controllers["n"].version, Revision::new(4));
 }
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -62,13 +62,13 @@
     let value = serde_json::to_value(&record).expect("serializable");
     let put = Event::Put { key: job_key(&id), value, version: Revision::new(1) };
     let first = now();
-    follower.apply_read(Events { revision: Revision::new(1), events: vec![put] }, first);
+    follower.apply_read(WatchAnswer { revision: Revision::new(1), events: vec![put] }, first);
     assert!(follower.replica.contents.borrow().jobs.contains_key(&id));
     assert_eq!(follower.replica.proven_at(), Some(first));
     tokio::time::advance(Duration::from_secs(1)).await;
     let second = now();
     let delete = Event::Delete { key: job_key(&id), version: Revision::new(2) };
-    follower.apply_read(Events { revision: Revision::new(2), events: vec![delete] }, second);
+    follower.apply_read(WatchAnswer { revision: Revision::new(2), events: vec![delete] }, second);
     assert_eq!(follower.replica.proven_at(), Some(second));
     let notifications = observer.notifications.borrow();
     let seen = notifications.last().expect("the observer was notified");
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -7,7 +7,7 @@
 pub use operator::{schema, Operator, OperatorError};
 
 use corkfield_core::Config;
-use corkfield_wire::settings::{Platform, SettingsError};
+use corkfield_wire::settings::{PlatformSettings, SettingsError};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -95,7 +95,7 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The platform's settings: names, addresses, limits, teams.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// The operators' settings.
     pub operator: Operator,
 }
@@ -107,7 +107,7 @@
     ///
     /// If a file can't be read or its settings are not valid.
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Self, LoadError> {
-        let platform = Platform::parse(&read_file(config)?)
+        let platform = PlatformSettings::parse(&read_file(config)?)
             .map_err(|error| LoadError::Platform { path: config.to_owned(), error })?;
         let operator = match operator {
             Some(path) => Operator::parse(&read_file(path)?)
@@ -132,7 +132,7 @@
 
     /// Returns the memory that the platform grants, in MB; `None` if the platform doesn't state it.
     fn memory_mb(&self) -> Option<f64> {
-        let memory_mb = self.platform.params.limits.memory_mb;
+        let memory_mb = self.platform.service.limits.memory_mb;
         (memory_mb.is_finite() && memory_mb > 0.0).then_some(memory_mb)
     }
 
@@ -149,7 +149,7 @@
     /// Returns how long a controller without fresh state continues to answer heartbeats (S6). After
     /// this time a worker's whole lease can still expire within the time limit of a cancellation.
     pub fn answer_limit(&self) -> Duration {
-        let workers = &self.platform.params.workers;
+        let workers = &self.platform.service.workers;
         let remaining_s = workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - ANSWER_MARGIN_S;
         Duration::from_secs_f64(remaining_s.max(MIN_ANSWER_LIMIT_S))
     }
@@ -174,7 +174,7 @@
     /// Returns the limits of each kind of connection. The remaining connections are for the state
     /// service, the cloud and the other controllers.
     pub fn connection_limits(&self) -> ConnectionLimits {
-        let total = match self.platform.params.limits.max_connections {
+        let total = match self.platform.service.limits.max_connections {
             0 => DEFAULT_MAX_CONNECTIONS,
             limit => limit as usize,
         };
@@ -189,11 +189,11 @@
 
     /// Returns the configuration of the scheduler.
     pub fn scheduler_config(&self) -> Config {
-        let params = &self.platform.params;
+        let params = &self.platform.service;
         Config {
             teams: params.teams.clone(),
             objectives: params.objectives.clone(),
-            worker_lease: params.workers.lease(),
+            worker_lease: params.workers.lease_duration(),
             heartbeat_interval: params.workers.heartbeat_interval(),
             answer_limit: self.answer_limit(),
             list_lag: Duration::from_secs_f64(params.cloud.list_lag_s),
@@ -211,8 +211,8 @@
                 "controller {} in zone {}, {} controllers, {} teams",
                 platform.node,
                 platform.zone,
-                platform.params.size,
-                platform.params.teams.len(),
+                platform.service.size,
+                platform.service.teams.len(),
             ),
             self.connection_limits().summary(),
             format!("users and workers: {}", platform.listen),
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -4,8 +4,8 @@
 use crate::rate_limiter::{RateLimiter, RequestClass};
 use corkfield_http::{Client, ClientResponse, ConnectionSizing, Network, UnexpectedResponse};
 use corkfield_wire::store::{
-    Events, Failed, Grant, GrantRequest, Item, Page, RevisionAnswer, Transaction, PATH_KEYS,
-    PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
+    FailedConditions, Item, LeaseAnswer, LeaseRequest, Page, RevisionAnswer, Transaction,
+    WatchAnswer, PATH_KEYS, PATH_LEASES, PATH_RENEW, PATH_TXN, PATH_WATCH,
 };
 use corkfield_wire::Revision;
 use serde::Serialize;
@@ -118,7 +118,7 @@
             let revision = *first_page_revision.get_or_insert(page.revision);
             let is_page_empty = page.items.is_empty();
             items.extend(page.items);
-            if !page.more || is_page_empty {
+            if !page.has_more || is_page_empty {
                 return Ok((items, revision));
             }
         }
@@ -143,7 +143,7 @@
         let body = encode_json(transaction)?;
         let response = self.send_post(class, PATH_TXN, &body, RESPONSE_TIMEOUT).await?;
         match response.status {
-            409 => Err(StateError::Conflict(response.decode_json::<Failed>()?.failed)),
+            409 => Err(StateError::Conflict(response.decode_json::<FailedConditions>()?.failed)),
             400 if response.body_contains("no such lease") => Err(StateError::NoSuchLease),
             _ => Ok(response.decode_success::<RevisionAnswer>()?.revision),
         }
@@ -156,10 +156,10 @@
     /// Returns an error if the request is refused, or has no response or an unexpected one.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StateError> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let body = encode_json(&GrantRequest { ttl_ms })?;
+        let body = encode_json(&LeaseRequest { ttl_ms })?;
         let response =
             self.send_post(RequestClass::Lease, PATH_LEASES, &body, RESPONSE_TIMEOUT).await?;
-        Ok(response.decode_success::<Grant>()?.lease)
+        Ok(response.decode_success::<LeaseAnswer>()?.lease)
     }
 
     /// Renews the lease with this id. Waits for the response for at most `time_limit`.
@@ -191,7 +191,7 @@
         prefix: &str,
         after: Revision,
         wait: Duration,
-    ) -> Result<Events, StateError> {
+    ) -> Result<WatchAnswer, StateError> {
         let wait_ms = wait.as_millis();
         let target = format!("{PATH_WATCH}?prefix={prefix}&after={after}&wait_ms={wait_ms}");
         let response = match self.send_get(class, &target, wait + RESPONSE_TIMEOUT).await {
--- a/crates/state/src/client/tests.rs
+++ b/crates/state/src/client/tests.rs
@@ -24,7 +24,7 @@
 }
 
 /// Watches a state service whose responses have a padding of `padding` bytes.
-async fn watch_with_padding(padding: usize) -> Result<Events, StateError> {
+async fn watch_with_padding(padding: usize) -> Result<WatchAnswer, StateError> {
     let addr = start_service(padding).await;
     let client = StateClient::new(Rc::new(Tcp), addr, 100.0, 40.0, 1024 * 1024);
     assert!(client.list(RequestClass::Claim, "c/").await.is_ok(), "listing the keys still works");
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file: what is read, which limits get defaults, and how wrong values are named.
+//! Tests of the settings file: parsing, defaults of limits, and errors for invalid values.
 
-use corkfield_wire::settings::Platform;
+use corkfield_wire::settings::PlatformSettings;
 use std::time::Duration;
 
 const SETTINGS: &str = r#"
@@ -56,8 +56,8 @@
 "#;
 
 #[test]
-fn every_field_is_read_under_its_own_spelling() {
-    let platform = Platform::parse(SETTINGS).expect("valid");
+fn all_fields_are_parsed() {
+    let platform = PlatformSettings::parse(SETTINGS).expect("valid");
     assert_eq!((platform.node.as_str(), platform.zone.as_str()), ("worker-0", "lahore"));
     assert_eq!(platform.listen.to_string(), "10.0.0.1:8080");
     assert_eq!(platform.peer_listen.to_string(), "10.0.0.1:8081");
@@ -66,41 +66,41 @@
     assert_eq!(peer.addr.to_string(), "10.0.0.2:8081");
     assert_eq!(platform.endpoints.cloud.to_string(), "10.2.0.2:8443");
     assert_eq!(platform.endpoints.state.to_string(), "10.2.0.1:2379");
-    let params = &platform.params;
-    assert_eq!(params.size, 3);
-    assert_eq!(params.zones, ["karachi", "lahore"]);
-    assert_eq!(params.clock_off_ms, 1000.0);
-    assert_eq!((params.teams[0].cpus, params.teams[0].cpus_max), (72.0, 232.0));
-    assert_eq!((params.teams[0].gpus, params.teams[0].gpus_max), (0.0, 0.0));
-    assert_eq!(params.objectives[0].kind, "finished");
-    assert_eq!(params.objectives[0].class.as_deref(), Some("trace-decode"));
-    assert_eq!(params.objectives[0].within_s, Some(90.0));
-    assert_eq!(params.objectives[0].share, Some(0.8));
-    assert_eq!(params.workers.heartbeat_interval(), Duration::from_secs(3));
-    assert_eq!(params.workers.lease(), Duration::from_secs(26));
-    assert_eq!(params.workers.cancel(), Duration::from_secs(46));
-    assert_eq!((params.state.rps, params.state.write_rps), (150.0, 60.0));
-    assert_eq!((params.state.value_kb, params.state.txn_ops), (16.0, 12));
-    assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (6.0, 4.0));
-    assert_eq!((params.limits.cpu_share, params.limits.memory_mb), (0.04, 72.0));
-    assert_eq!(params.limits.max_connections, 1200);
+    let service = &platform.service;
+    assert_eq!(service.size, 3);
+    assert_eq!(service.zones, ["karachi", "lahore"]);
+    assert_eq!(service.max_clock_error_ms, 1000.0);
+    assert_eq!((service.teams[0].cpus, service.teams[0].cpus_max), (72.0, 232.0));
+    assert_eq!((service.teams[0].gpus, service.teams[0].gpus_max), (0.0, 0.0));
+    assert_eq!(service.objectives[0].kind, "finished");
+    assert_eq!(service.objectives[0].class.as_deref(), Some("trace-decode"));
+    assert_eq!(service.objectives[0].within_s, Some(90.0));
+    assert_eq!(service.objectives[0].share, Some(0.8));
+    assert_eq!(service.workers.heartbeat_interval(), Duration::from_secs(3));
+    assert_eq!(service.workers.lease_duration(), Duration::from_secs(26));
+    assert_eq!(service.workers.cancel_timeout(), Duration::from_secs(46));
+    assert_eq!((service.state.rps, service.state.write_rps), (150.0, 60.0));
+    assert_eq!((service.state.value_kb, service.state.txn_ops), (16.0, 12));
+    assert_eq!((service.cloud.rps, service.cloud.list_lag_s), (6.0, 4.0));
+    assert_eq!((service.limits.cpu_share, service.limits.memory_mb), (0.04, 72.0));
+    assert_eq!(service.limits.max_connections, 1200);
 }
 
 #[test]
-fn limits_that_are_not_given_get_defaults() {
-    let cut = SETTINGS.find("[settings.state]").expect("in the text");
-    let params = Platform::parse(&SETTINGS[..cut]).expect("valid").params;
-    assert_eq!((params.state.rps, params.state.write_rps), (100.0, 40.0));
-    assert_eq!((params.state.value_kb, params.state.txn_ops), (16.0, 8));
-    assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (2.0, 0.0));
-    assert_eq!((params.limits.cpu_share, params.limits.memory_mb), (0.0, 0.0));
-    assert_eq!(params.limits.max_connections, 0);
+fn missing_limits_get_defaults() {
+    let limits_start = SETTINGS.find("[settings.state]").expect("in the text");
+    let service = PlatformSettings::parse(&SETTINGS[..limits_start]).expect("valid").service;
+    assert_eq!((service.state.rps, service.state.write_rps), (100.0, 40.0));
+    assert_eq!((service.state.value_kb, service.state.txn_ops), (16.0, 8));
+    assert_eq!((service.cloud.rps, service.cloud.list_lag_s), (2.0, 0.0));
+    assert_eq!((service.limits.cpu_share, service.limits.memory_mb), (0.0, 0.0));
+    assert_eq!(service.limits.max_connections, 0);
 }
 
 #[test]
-fn a_wrong_value_is_named_with_what_it_must_be() {
+fn errors_name_the_field_and_its_requirement() {
     let above_zero = "must be a number above 0";
-    let node = "must be 1 to 100 bytes without spaces or slashes";
+    let node_name = "must be 1 to 100 bytes without spaces or slashes";
     let cases = [
         ("size = 3", "size = 0", "settings.size", above_zero),
         ("report_s = 3.0", "report_s = 0.0", "settings.workers.report_s", above_zero),
@@ -116,15 +116,16 @@
         ("list_lag_s = 4.0", "list_lag_s = 2e6", "settings.cloud.list_lag_s", "must be 0 or more"),
         ("cpus = 72.0", "cpus = -1.0", "settings.teams", "amounts must be 0 or more"),
         ("cpus_max = 232.0", "gpus_max = nan", "settings.teams", "amounts must be 0 or more"),
-        ("\"worker-0\"", "\"\"", "node_name", node),
-        ("\"worker-0\"", "\"worker 0\"", "node_name", node),
-        ("\"worker-0\"", "\"worker/0\"", "node_name", node),
+        ("\"worker-0\"", "\"\"", "node_name", node_name),
+        ("\"worker-0\"", "\"worker 0\"", "node_name", node_name),
+        ("\"worker-0\"", "\"worker/0\"", "node_name", node_name),
     ];
-    for (valid, wrong, field, reason) in cases {
+    for (valid, invalid, field, reason) in cases {
         assert!(SETTINGS.contains(valid), "{valid}");
-        let error = Platform::parse(&SETTINGS.replacen(valid, wrong, 1)).expect_err(wrong);
-        assert_eq!(error.to_string(), format!("{field}: {reason}"), "{wrong}");
+        let error =
+            PlatformSettings::parse(&SETTINGS.replacen(valid, invalid, 1)).expect_err(invalid);
+        assert_eq!(error.to_string(), format!("{field}: {reason}"), "{invalid}");
     }
-    let error = Platform::parse("node_name = 7").expect_err("no settings").to_string();
+    let error = PlatformSettings::parse("node_name = 7").expect_err("no settings").to_string();
     assert!(error.contains("node_name = 7"), "{error}");
 }
