--- a/crates/core/src/cluster.rs
+++ b/crates/core/src/cluster.rs
@@ -64,11 +64,10 @@
         job.expected_run_s(self.estimate_corrections.correction_factor(&job.spec().class))
     }
 
-    /// Drains a machine: no new task starts on it, and it is returned to the cloud once it is
-    /// empty.
+    /// Drains a machine: no new task starts on it, and it is deleted once it is empty.
     pub(crate) fn drain_machine(&mut self, name: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.enter(MachineState::Draining);
+            machine.transition_to(MachineState::Draining);
         }
     }
 }
--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -28,7 +28,7 @@
             return None;
         }
         let unstored = !self.unstored().is_empty();
-        let visible_status_changes = (self.running > 0) != (self.record.running > 0);
+        let visible_status_changes = (self.running_tasks > 0) != (self.record.running > 0);
         let completes = unstored && self.finished().len() >= self.spec().tasks;
         if self.start_queue.is_watermark_raise_due() || visible_status_changes || completes {
             return Some(CommitUrgency::Awaited);
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -46,7 +46,7 @@
     pub record: JobRecord,
     /// Version of `record` in the key-value store; commits are conditional on it.
     pub version: Revision,
-    /// Current state of the job.
+    /// Current state of the job; see [`JobState`].
     state: JobState,
     /// Position of the job's team in the settings.
     pub(crate) team: usize,
@@ -63,8 +63,9 @@
     /// Number of attempts made so far; a new claim does not reset it.
     attempts: u64,
     /// Number of running tasks as of the last tick.
-    pub(crate) running: u32,
-    /// Time since which tasks wait and none is placed.
+    pub(crate) running_tasks: u32,
+    /// Since when tasks of the job wait while none is placed; `None` if a task is placed or none
+    /// waits.
     pub(crate) unplaced_since: Option<Instant>,
     /// When the job was claimed last.
     claimed_at: Instant,
@@ -109,7 +110,7 @@
             placements: BTreeMap::new(),
             start_queue: StartQueue::new(previous_start_watermark),
             attempts: 0,
-            running: 0,
+            running_tasks: 0,
             unplaced_since,
             claimed_at: now,
             is_refunded: false,
@@ -128,8 +129,8 @@
         self.state
     }
 
-    /// Changes the state, unless the job is closing. All changes go through this method.
-    pub(crate) fn enter(&mut self, state: JobState) {
+    /// Changes the state, unless the job is closed. All changes go through this method.
+    pub(crate) fn transition_to(&mut self, state: JobState) {
         if self.state == state || self.state == JobState::Closing {
             return;
         }
@@ -148,13 +149,13 @@
     }
 
     /// Returns whether tasks of the job may be started.
-    pub(crate) fn may_start(&self) -> bool {
+    pub(crate) fn may_start_tasks(&self) -> bool {
         self.state == JobState::Active
     }
 
     /// Returns the generation under which tasks may be started; `None` if none may be started.
     pub(crate) fn start_generation(&self) -> Option<Generation> {
-        self.may_start().then_some(self.record.generation)
+        self.may_start_tasks().then_some(self.record.generation)
     }
 
     /// Returns the tasks that are reported as done, stored or not.
@@ -192,7 +193,8 @@
         self.spec().priority <= Priority::High
     }
 
-    /// Updates the time since which tasks wait and none is placed.
+    /// Updates `unplaced_since`: sets it to `now` if tasks wait and none is placed any more, and
+    /// clears it if a task is placed or none waits.
     pub(crate) fn update_unplaced_since(&mut self, now: Instant) {
         if !self.placements.is_empty() || self.waiting_tasks() == 0 {
             self.unplaced_since = None;
@@ -214,7 +216,7 @@
 
     /// Returns whether tasks of the job have failed on any machine since the last claim and since a
     /// task last completed.
-    pub(crate) fn has_failed(&self) -> bool {
+    pub(crate) fn has_failed_tasks(&self) -> bool {
         self.failures.has_any_machine()
     }
 
@@ -257,7 +259,7 @@
 
     /// Returns whether tasks may be started but the start watermark is 0 and no raise is requested.
     pub(crate) fn needs_first_watermark(&self) -> bool {
-        self.may_start()
+        self.may_start_tasks()
             && self.record.start_watermark == 0
             && !self.start_queue.is_watermark_raise_due()
     }
@@ -274,8 +276,8 @@
             .insert(index, TaskPlacement { machine: MachineName::from(machine), attempt });
     }
 
-    /// Removes the placement of an attempt that is certainly no longer on the machine; the task
-    /// waits again if it is unfinished.
+    /// Releases a task: removes the placement of an attempt that is provably not on the machine.
+    /// The task waits again if it is unfinished.
     ///
     /// Does nothing if the task is placed under another attempt: when a worker forgets an earlier
     /// attempt, the later one may still be on the same machine.
@@ -310,10 +312,10 @@
     /// Makes the job back off, because its tasks failed on several machines or on every machine
     /// where they may run. The duration doubles with each claim, up to a limit.
     pub(crate) fn back_off(&mut self, now: Instant) {
-        if self.may_start() {
+        if self.may_start_tasks() {
             let wait_s = 2f64.powi(self.record.claims.clamp(1, MAX_BACKOFF_CLAIMS) as i32);
             tracing::info!(job = %self.record.spec.id, wait_s, "job fails on several machines");
-            self.enter(JobState::BackingOff(now + Duration::from_secs_f64(wait_s)));
+            self.transition_to(JobState::BackingOff(now + Duration::from_secs_f64(wait_s)));
         }
     }
 
@@ -326,7 +328,7 @@
         self.claimed_at = now;
         self.is_refunded = false;
         self.failures.clear_machines();
-        self.enter(state);
+        self.transition_to(state);
     }
 
     /// Returns the time that a running task has when it is stopped: enough to save a checkpoint, or
--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -15,10 +15,10 @@
 /// | any but Closing | claimed again, at the claim limit                       | `DeadLettered` |
 /// | any             | cancelled, done, or claimed by another controller       | `Closing`      |
 ///
-/// `Closing` is final: the job is removed once none of its tasks is on a machine. Every change goes
-/// through `Job::enter`. When a job leaves `Active`, or is claimed again while `Active`, its
-/// assigned tasks are removed from their machines and wait again (`Scheduler::change_job`, or
-/// `stop_job` when the job is closed). Tasks whose start was ordered continue or are stopped.
+/// `Closing` is final: the job is removed once none of its tasks is placed. Every change goes
+/// through `Job::transition_to`. When a job leaves `Active`, or is claimed again while `Active`, its
+/// assigned tasks are released and wait again (`Scheduler::change_job`, or `stop_job` when the job
+/// is closed). Tasks whose start was ordered continue or are stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
     /// Tasks of the job may be started.
@@ -30,8 +30,8 @@
     NeedsReclaim,
     /// The job has reached the claim limit; its tasks are stopped.
     DeadLettered,
-    /// The job is finished, cancelled or claimed by another controller: its tasks are stopped and
-    /// no more are started.
+    /// The job is closed, because it is done, cancelled or claimed by another controller: its tasks
+    /// are stopped and no more are started.
     Closing,
 }
 
--- a/crates/core/src/job/tests.rs
+++ b/crates/core/src/job/tests.rs
@@ -83,11 +83,11 @@
     let mut job = claimed_job(record(1), now);
     job.back_off(now);
     assert!(matches!(job.state(), JobState::BackingOff(until) if until > now));
-    job.enter(JobState::NeedsReclaim);
+    job.transition_to(JobState::NeedsReclaim);
     job.on_reclaimed(record(1), Revision::new(2), now);
     assert_eq!(job.state(), JobState::Active);
-    job.enter(JobState::Closing);
-    job.enter(JobState::Active);
+    job.transition_to(JobState::Closing);
+    job.transition_to(JobState::Active);
     assert_eq!(job.state(), JobState::Closing);
 }
 
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -102,13 +102,13 @@
         self.is_renewal_uncertain && self.earlier_leader_until.is_none_or(|until| now > until)
     }
 
-    /// Returns whether no controller can have renewed the lease within the last `expiry_after`
+    /// Returns whether no controller can have renewed the lease within the last `expiry_timeout`
     /// (S5). Returns false for a lease that is marked as expired already.
-    pub(super) fn is_expiry_due(&self, now: Instant, expiry_after: Duration) -> bool {
+    pub(super) fn is_expiry_due(&self, now: Instant, expiry_timeout: Duration) -> bool {
         let until = self.earlier_leader_until;
         let renewed_at =
             until.map_or(self.last_renewal_at, |until| until.max(self.last_renewal_at));
-        !self.is_expired && now.saturating_duration_since(renewed_at) > expiry_after
+        !self.is_expired && now.saturating_duration_since(renewed_at) > expiry_timeout
     }
 
     /// Marks the lease as expired: the worker has stopped its tasks.
--- a/crates/core/src/machine/message_processing.rs
+++ b/crates/core/src/machine/message_processing.rs
@@ -79,7 +79,7 @@
         self.last_message_at = Some(now);
         self.has_interruption_notice = heartbeat.notice_s.is_some();
         if self.state == MachineState::Booting {
-            self.enter(MachineState::Up);
+            self.transition_to(MachineState::Up);
             self.lease.assume_renewed_at(now);
         }
         gap
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -158,7 +158,7 @@
         // after the failover already proves that the machine no longer exists if it is missing
         // there.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
-        machine.enter(MachineState::Up);
+        machine.transition_to(MachineState::Up);
         machine
     }
 
@@ -189,7 +189,7 @@
 
     /// Changes the machine's state. All changes go through this method, and a machine never leaves
     /// `Deleting`.
-    pub(crate) fn enter(&mut self, state: MachineState) {
+    pub(crate) fn transition_to(&mut self, state: MachineState) {
         if self.state == state || self.state == MachineState::Deleting {
             return;
         }
@@ -256,9 +256,9 @@
     }
 
     /// Expires the worker's lease if no controller can have renewed it within the last
-    /// `expiry_after` (S5c). Returns whether the lease expired in this call.
-    pub(crate) fn expire_lease_if_due(&mut self, now: Instant, expiry_after: Duration) -> bool {
-        if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_after) {
+    /// `expiry_timeout` (S5c). Returns whether the lease expired in this call.
+    pub(crate) fn expire_lease_if_due(&mut self, now: Instant, expiry_timeout: Duration) -> bool {
+        if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_timeout) {
             return false;
         }
         tracing::debug!(machine = %self.name, "worker lease has expired");
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -11,7 +11,7 @@
 /// | any                   | worker lost its state, or doesn't answer after failover | `Deleting` |
 ///
 /// `Deleting` is final: the machine is removed once the cloud answered its deletion or no longer
-/// lists it. Every change goes through `Machine::enter`.
+/// lists it. Every change goes through `Machine::transition_to`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
     /// The machine is rented; its worker has sent no heartbeat yet.
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -24,7 +24,7 @@
 /// A task is removed once it is certainly not on the machine (S5): a later heartbeat lacks it, the
 /// machine no longer exists, or the worker's lease has expired. An `Assigned` task is removed when
 /// the machine accepts no more starts or its job is stopped. Every change goes through
-/// `MachineTask::enter`.
+/// `MachineTask::transition_to`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineTaskState {
     /// The machine was chosen for the task, but its start was not ordered yet.
@@ -128,7 +128,7 @@
     }
 
     /// Changes the state of the task. All changes go through this method.
-    pub(crate) fn enter(&mut self, state: MachineTaskState, now: Instant) {
+    pub(crate) fn transition_to(&mut self, state: MachineTaskState, now: Instant) {
         if self.state != state {
             self.state = state;
             self.state_since = now;
--- a/crates/core/src/machine/term_exposure.rs
+++ b/crates/core/src/machine/term_exposure.rs
@@ -62,7 +62,7 @@
             TermKnowledge::NotSent => TermKnowledge::SentOnce,
             _ => TermKnowledge::MaybeSeveral,
         };
-        self.enter(next);
+        self.transition_to(next);
     }
 
     /// Records that direct orders are sent under the term. Returns whether their result has to be
@@ -76,7 +76,7 @@
             TermKnowledge::NotSent => TermKnowledge::SentOnce,
             _ => TermKnowledge::MaybeSeveral,
         };
-        self.enter(next);
+        self.transition_to(next);
         matches!(next, TermKnowledge::OneProcess { .. })
     }
 
@@ -86,7 +86,7 @@
         let TermKnowledge::OneProcess { first, direct_orders } = self.knowledge else {
             return;
         };
-        self.enter(if by_known_process && direct_orders > 0 {
+        self.transition_to(if by_known_process && direct_orders > 0 {
             TermKnowledge::OneProcess { first, direct_orders: direct_orders - 1 }
         } else {
             TermKnowledge::MaybeSeveral
@@ -103,7 +103,7 @@
             }
             TermKnowledge::NotSent | TermKnowledge::MaybeSeveral => TermKnowledge::MaybeSeveral,
         };
-        self.enter(next);
+        self.transition_to(next);
     }
 
     /// Starts again from `NotSent` if `term` differs from the current term.
@@ -114,7 +114,7 @@
     }
 
     /// Changes the state. All changes go through this method.
-    fn enter(&mut self, knowledge: TermKnowledge) {
+    fn transition_to(&mut self, knowledge: TermKnowledge) {
         self.knowledge = knowledge;
     }
 }
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -53,7 +53,7 @@
     let waiting_cpus: f64 = cluster
         .jobs
         .values()
-        .filter(|job| job.may_start())
+        .filter(|job| job.may_start_tasks())
         .map(|job| f64::from(job.waiting_below_watermark()) * job.spec().cpus)
         .sum();
     free_cpus(cluster, now) - waiting_cpus
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -95,7 +95,7 @@
     /// Returns the jobs with tasks that may be started now, in order of their ids.
     fn startable_jobs(&mut self, is_reconciled: bool) -> Vec<StartableJob> {
         let mut startable = Vec::new();
-        for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.may_start()) {
+        for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.may_start_tasks()) {
             let waiting = job.waiting_tasks();
             if waiting == 0 {
                 continue;
--- a/crates/core/src/scaling/demand.rs
+++ b/crates/core/src/scaling/demand.rs
@@ -42,7 +42,7 @@
 /// Returns the CPUs that the unfinished tasks of all active jobs could use.
 pub(super) fn total_demand(cluster: &Cluster) -> Demand {
     let mut demand = Demand::default();
-    for job in cluster.jobs.values().filter(|job| job.may_start()) {
+    for job in cluster.jobs.values().filter(|job| job.may_start_tasks()) {
         let cpus = job_demand_cpus(cluster, job);
         demand.cpus += cpus;
         if job.spec().spot {
@@ -76,7 +76,7 @@
 
 /// Returns whether the job has unplaced tasks that may start.
 pub(super) fn has_waiting_tasks(job: &Job) -> bool {
-    job.may_start() && job.waiting_tasks() > 0
+    job.may_start_tasks() && job.waiting_tasks() > 0
 }
 
 /// Returns the CPUs that the unfinished tasks of a job could use.
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -68,7 +68,7 @@
 ) {
     for machine in cluster.machines.values_mut() {
         if has_boot_timed_out(machine, now) {
-            machine.enter(MachineState::Draining);
+            machine.transition_to(MachineState::Draining);
             decisions.add_drained(machine.name.as_str(), DrainReason::BootTimeout);
         }
     }
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -1,4 +1,5 @@
-//! Closing jobs that have ended or belong to another controller, and stopping their tasks.
+//! Closing jobs that have ended (are done or cancelled) or that another controller has claimed, and
+//! stopping their tasks.
 
 use super::{direct_orders_action, Scheduler};
 use crate::cluster::Cluster;
@@ -8,7 +9,8 @@
 use corkfield_wire::{AgentEpoch, JobId, TaskId};
 
 impl Scheduler {
-    /// Closes all jobs, claimed or not, for which `is_unfinished` returns false.
+    /// Closes all jobs, claimed by this leader or not, that have ended: those for which
+    /// `is_unfinished` returns false.
     pub fn close_ended_jobs(&mut self, is_unfinished: impl Fn(&JobId) -> bool) {
         let live = self.cluster.jobs.iter().filter(|(_, job)| job.is_live()).map(|(id, _)| id);
         let ended = live.chain(&self.unclaimed_jobs).filter(|id| !is_unfinished(id)).cloned();
@@ -23,7 +25,7 @@
     pub fn close_job(&mut self, id: &JobId) {
         let was_unclaimed = self.unclaimed_jobs.remove(id);
         match self.cluster.jobs.get_mut(id) {
-            Some(job) if job.is_live() => job.enter(JobState::Closing),
+            Some(job) if job.is_live() => job.transition_to(JobState::Closing),
             None if was_unclaimed => {}
             _ => return,
         }
@@ -32,7 +34,7 @@
         self.remove_job_if_closed(id);
     }
 
-    /// Stops all tasks of a job, and unassigns those whose start was not sent yet.
+    /// Stops all tasks of a job, and releases those whose start was not sent yet.
     pub(super) fn stop_job(&mut self, id: &JobId) {
         for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             let stops = stop_tasks_of(machine, id);
@@ -45,7 +47,7 @@
         self.release_missing_tasks(id);
     }
 
-    /// Releases the job's placed tasks that their machines don't have, or no longer have.
+    /// Releases the job's placed tasks that their machines don't have (any more).
     fn release_missing_tasks(&mut self, id: &JobId) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(job) = jobs.get_mut(id) else {
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Removes a closed job once none of its tasks is on a machine.
+    /// Removes the job if it is closed ([`JobState::Closing`]) and none of its tasks is placed any
+    /// more.
     pub(super) fn remove_job_if_closed(&mut self, id: &JobId) {
         if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.placements().is_empty()) {
             self.cluster.jobs.remove(id);
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -98,7 +98,7 @@
             record.done = record.finished.len();
             StorableTasks::in_record(job)
         };
-        record.running = job.running;
+        record.running = job.running_tasks;
         if job.take_watermark_raise() {
             record.raise_start_watermark();
         }
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -1,4 +1,6 @@
-//! Failover: which machines earlier leaders may have used, and when each is accounted for (S7).
+//! Failover: a new leader finds out which tasks earlier leaders have started. A task that may have
+//! been started is not started again until every machine recorded by an earlier leader is accounted
+//! for (S7).
 
 use super::{DirectPurpose, DirectRequestTarget, Scheduler, Verdict};
 use crate::machine::{
@@ -24,11 +26,11 @@
 const UNRESPONSIVE_AFTER: u32 = 2;
 
 impl Scheduler {
-    /// Adds a machine on which an earlier leader may have started tasks.
+    /// Adds a machine on which an earlier leader may have started tasks, as its record shows.
     ///
     /// Tasks that an earlier owner may have started are not started again until the machine has
-    /// sent a heartbeat under our term, is removed, or its worker's lease has expired. At least
-    /// `age` has passed since the record was written.
+    /// sent a heartbeat under our term, is removed, or its worker's lease has expired (S7). The
+    /// record was written at least `age` ago.
     pub fn add_recorded_machine(
         &mut self,
         name: &str,
@@ -38,7 +40,8 @@
     ) {
         let types = &self.cluster.machine_types;
         let mut machine = Machine::from_record(name, record, types, age, now);
-        // S6: the previous leader may have answered heartbeats until its state was no longer fresh.
+        // S6: the previous leader may still answer heartbeats, and thereby renew the worker's lease,
+        // for up to the answer limit.
         machine.lease.allow_renewal_by_earlier_leader_until(now + self.cluster.config.answer_limit);
         self.reconciliation.add(name, now);
         self.cluster.machines.insert(MachineName::from(name), machine);
@@ -49,7 +52,7 @@
     ///
     /// Machines that have reported our term are inspected: that request does not carry the term, so
     /// another process of the worker does not learn it. All others are fenced with an empty list of
-    /// orders.
+    /// orders, which carries our term.
     pub fn fence_targets(&self) -> Vec<DirectRequestTarget> {
         let targets = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
@@ -135,16 +138,16 @@
         }
     }
 
-    /// Deletes machines whose tasks have been uncertain for longer than a worker's lease, although
-    /// heartbeats arrive from them. Neither answers nor direct requests reach such a machine, so
-    /// the lease under which its tasks were started has expired.
+    /// Deletes machines whose tasks have been uncertain for longer than the lease expiry timeout,
+    /// although heartbeats arrive from them. Neither answers nor direct requests reach such a
+    /// machine, so the lease under which its tasks were started has expired.
     pub(super) fn delete_uncertain_machines(&mut self, now: Instant) {
-        let expiry_after = self.cluster.config.lease_expiry_timeout();
+        let expiry_timeout = self.cluster.config.lease_expiry_timeout();
         let mut uncertain = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             let Some(uncertainty) = machine.task_uncertainty.as_mut() else { continue };
             uncertainty.update_due(now);
-            if uncertainty.is_older_than(expiry_after, now) {
+            if uncertainty.is_older_than(expiry_timeout, now) {
                 uncertain.push(machine.name.clone());
             }
         }
@@ -167,7 +170,7 @@
             return;
         };
         if machine.state() != MachineState::Deleting {
-            machine.enter(MachineState::Deleting);
+            machine.transition_to(MachineState::Deleting);
             self.last_deletion_retry = None;
             self.log_machine_event(name, reason);
         }
@@ -179,8 +182,8 @@
     /// A few unresponsive machines delay every task that an earlier leader may have started, until
     /// their workers' leases expire or the cloud's list omits them half a minute later. Once
     /// the cloud has answered a machine's deletion, the machine provably holds no task (S5b). If
-    /// many machines don't respond, a zone or this controller is more likely to be disconnected;
-    /// then their tasks are worth the wait.
+    /// many machines don't respond, a zone or this controller is more likely to be disconnected.
+    /// The machines probably still run their tasks then, so the leader waits for their heartbeats.
     pub(super) fn advance_reconciliation(&mut self, now: Instant) {
         let Some(elapsed) = self.reconciliation.elapsed(now) else {
             return;
--- a/crates/core/src/scheduler/heartbeats/absent_tasks.rs
+++ b/crates/core/src/scheduler/heartbeats/absent_tasks.rs
@@ -1,5 +1,5 @@
-//! Known tasks of a machine that its heartbeat does not list, and what that proves about them
-//! (S5a).
+//! Known tasks of a machine that its heartbeat does not list. A heartbeat proves that such a task is
+//! not on the machine only if it was written after the task's start was executed or dropped (S5a).
 
 use super::HeartbeatContext;
 use crate::machine::{
@@ -9,9 +9,10 @@
 
 /// What a heartbeat proves about one known task that it does not list.
 enum Absence {
-    /// The task is not on the machine.
+    /// The task is provably not on the machine.
     Lost,
-    /// The task's start, sent at this time, may have been executed since, or may still be executed.
+    /// The start of the task was sent at this time. The worker may have executed it after it wrote
+    /// the heartbeat, or may still execute it.
     StartUnconfirmed(Instant),
     /// Nothing is proved about the task.
     Unknown,
@@ -19,12 +20,12 @@
 
 /// What a heartbeat proves about the known tasks that it does not list.
 pub(super) struct AbsentTasks {
-    /// Tasks that are not on the machine.
+    /// Tasks that are provably not on the machine.
     pub(super) lost_tasks: Vec<TaskAttempt>,
     /// Whether this is one of the worker's own heartbeats and does not list a task whose start was
     /// sent with the answer to an earlier one of them.
     pub(super) is_start_undelivered: bool,
-    /// When the newest unconfirmed start was sent.
+    /// When the newest start that is classified as [`Absence::StartUnconfirmed`] was sent.
     newest_unconfirmed_start_at: Option<Instant>,
 }
 
@@ -71,7 +72,8 @@
         previous: Option<TaskUncertainty>,
         context: &HeartbeatContext,
     ) -> Option<TaskUncertainty> {
-        // The answer to a direct request creates no new uncertainty: a start may be in transit.
+        // The answer to a direct request creates no new uncertainty: the start that it lacks may
+        // simply be in transit.
         if previous.is_none() && !context.origin.is_own_heartbeat() {
             return None;
         }
--- a/crates/core/src/scheduler/heartbeats/exits.rs
+++ b/crates/core/src/scheduler/heartbeats/exits.rs
@@ -7,10 +7,11 @@
 use corkfield_wire::JobId;
 use std::time::{Duration, Instant};
 
-/// Time without starts to a worker after it refused one for lack of room, or because the task is
-/// already on the machine under another attempt.
+/// After a worker has refused a start, because it has no room or because the task is already on the
+/// machine under another attempt, no start is sent to it for this long.
 const REFUSAL_PAUSE: Duration = Duration::from_secs(2);
-/// Time without starts of a job after a worker refused one because it knows no such job or task.
+/// After a worker has refused a start because it knows no such job or task, no task of the job is
+/// started for this long.
 const UNKNOWN_TASK_PAUSE: Duration = Duration::from_secs(3);
 
 impl Scheduler {
@@ -55,7 +56,7 @@
         }
         let must_back_off = job.failures.should_back_off();
         if machine.health.is_faulty(has_completed_tasks) && machine.state() == MachineState::Up {
-            machine.enter(MachineState::Draining);
+            machine.transition_to(MachineState::Draining);
             self.log_machine_event(name, "machine fails its tasks; drained and returned");
         }
         if must_back_off {
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats: which of them are accepted, and what they prove about a machine's tasks.
+//! Handles workers' heartbeats: decides which of them are accepted, and updates the machines' tasks
+//! from them.
 
 mod absent_tasks;
 mod exits;
@@ -25,8 +26,8 @@
 pub enum Verdict {
     /// The heartbeat was accepted and may be answered with 200.
     Accept,
-    /// The heartbeat was ignored: it is older than one that was accepted, may predate it, or comes
-    /// from a machine that was removed or is being deleted. It must not be answered with 200.
+    /// The heartbeat was ignored: it is older than an accepted one or may be, or its machine was
+    /// removed, or its worker has restarted its numbering. It must not be answered with 200.
     Stale,
     /// The heartbeat was ignored, because the worker has seen this term, which is higher than ours.
     HigherTerm(Term),
@@ -42,7 +43,7 @@
     origin: MessageOrigin,
     /// What is proved about the time at which the message was written.
     ordering: MessageOrdering,
-    /// Tasks of the machine that are known to the scheduler but not listed in the heartbeat.
+    /// Tasks that the scheduler knows to be on the machine but that the heartbeat does not list.
     absent_tasks: Vec<TaskAttempt>,
     /// Number of the message.
     number: MessageNumber,
@@ -115,9 +116,9 @@
         Verdict::Accept
     }
 
-    /// Returns whether a heartbeat of the machine must not be answered, because it is unknown
-    /// whether answers renew the worker's lease, and the expiry of that lease matters: the machine
-    /// has tasks or is unreconciled.
+    /// Returns whether a heartbeat of the machine must not be answered with 200. This is so if it is
+    /// uncertain whether answers renew the worker's lease, and the machine has tasks or is
+    /// unreconciled, so that the lease must be able to expire.
     fn must_withhold_answer(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
             machine.lease.should_withhold_answer(now)
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Returns the machine that sent a heartbeat, and adds it if it is unknown.
+    /// Returns the machine whose worker sent a heartbeat; adds the machine if it is unknown.
     fn get_or_insert_machine(&mut self, heartbeat: &WorkerHeartbeat, now: Instant) -> &mut Machine {
         let Cluster { machines, machine_types, .. } = &mut self.cluster;
         machines
@@ -133,8 +134,8 @@
             .or_insert_with(|| Machine::from_heartbeat(heartbeat, machine_types, now))
     }
 
-    /// Handles an accepted heartbeat of a fenced machine, which shows which tasks the machine holds
-    /// (S7).
+    /// Handles an accepted heartbeat of a fenced machine: its worker executes no start of an earlier
+    /// leader any more, so the heartbeat shows which tasks the machine holds (S7).
     fn on_fenced_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, context: &HeartbeatContext) {
         let name = &heartbeat.machine;
         if let Some(machine) = self.cluster.machines.get_mut(name) {
--- a/crates/core/src/scheduler/heartbeats/task_status.rs
+++ b/crates/core/src/scheduler/heartbeats/task_status.rs
@@ -21,10 +21,10 @@
 enum LiveAttempt {
     /// The job's task is placed on this machine under this attempt.
     Placed,
-    /// The job's task is not placed anywhere, so the job adopts this attempt. It was started by an
-    /// earlier leader, or was released before.
+    /// The job's task is not placed anywhere, so the job adopts this attempt. An earlier leader
+    /// started the attempt, or this leader has released it.
     Unplaced,
-    /// The attempt must be stopped: the job needs no more of its tasks, or not this one, or the
+    /// The attempt must be stopped: the job is closed or dead-lettered, the task is finished, or the
     /// task is placed under another attempt.
     Unwanted,
 }
@@ -82,7 +82,7 @@
     }
     let new_task = || MachineTask::from_heartbeat(state, now);
     let machine_task = machine.tasks.entry(key.clone()).or_insert_with(new_task);
-    machine_task.enter(state, now);
+    machine_task.transition_to(state, now);
     (previous, machine_task)
 }
 
@@ -103,8 +103,9 @@
             update_machine_task(machine, &key, state, context.received_at);
         let confirmed_start = previous.and_then(|previous| previous.state.answered_heartbeat());
         let Some(job) = jobs.get_mut(&key.task.job) else {
-            // The job is cancelled, done or not claimed yet. Tasks of ended jobs are stopped with
-            // the answer to a heartbeat, once it is known which jobs are still to be claimed.
+            // The job is done, cancelled, claimed by another controller, or not claimed yet. The
+            // answer to the heartbeat stops the task unless the job is one that this leader has not
+            // claimed yet (`forget_exited_or_stop_orphaned`).
             return confirmed_start;
         };
         machine_task.set_job(job.spec(), job.team);
@@ -145,7 +146,7 @@
     }
 
     /// Stops the placed attempt at a task that a delayed message shows as done under another
-    /// attempt. An attempt whose start was not sent yet is unassigned.
+    /// attempt. If the start of the placed attempt was not sent yet, releases that attempt instead.
     fn stop_superseded_attempt(&mut self, task: &TaskId, placement: &TaskPlacement) {
         let TaskPlacement { machine: name, attempt } = placement;
         let key = TaskAttempt { task: task.clone(), attempt: *attempt };
--- a/crates/core/src/scheduler/job_states.rs
+++ b/crates/core/src/scheduler/job_states.rs
@@ -14,13 +14,13 @@
 }
 
 impl Scheduler {
-    /// Changes a job. Unassigns its assigned tasks if they may no longer start under the generation
+    /// Changes a job. Releases its assigned tasks if they may no longer start under the generation
     /// that applied before the change.
     ///
     /// Starts of these tasks could not be sent, because an order must carry the generation of the
     /// job's record. If they stayed assigned, they would occupy room on their machines and count
     /// against their team's limit while the job backs off (up to a minute). After the next claim
-    /// they would be started under an attempt of an earlier claim.
+    /// they would be started under an attempt that carries the generation of the earlier claim.
     pub(super) fn change_job(&mut self, id: &JobId, change: impl FnOnce(&mut Job)) {
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
@@ -28,7 +28,7 @@
         let previous_generation = job.start_generation();
         change(job);
         if previous_generation.is_some() && previous_generation != job.start_generation() {
-            self.unassign_tasks_of(id);
+            self.release_assigned_tasks_of(id);
         }
     }
 
@@ -36,8 +36,8 @@
     pub(super) fn pause_job(&mut self, id: &JobId, until: Instant) {
         self.change_job(id, |job| {
             // A delayed refusal must not change a job that is paused already or dead-lettered.
-            if job.may_start() {
-                job.enter(JobState::BackingOff(until));
+            if job.may_start_tasks() {
+                job.transition_to(JobState::BackingOff(until));
             }
         });
     }
@@ -47,8 +47,8 @@
         self.change_job(id, |job| job.back_off(now));
     }
 
-    /// Removes a job's assigned tasks from their machines, so that they wait for placement again.
-    fn unassign_tasks_of(&mut self, id: &JobId) {
+    /// Releases a job's assigned tasks, so that they wait for placement again.
+    fn release_assigned_tasks_of(&mut self, id: &JobId) {
         for AssignedTask { machine, key } in self.assigned_tasks_of(id) {
             self.release_task(machine.as_str(), &key);
         }
--- a/crates/core/src/scheduler/machine_events.rs
+++ b/crates/core/src/scheduler/machine_events.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Minimum time between two rounds of log lines.
+/// Minimum time between two calls of [`MachineEventLog::flush`] that log something.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Events of one kind since the last log line of that kind.
 #[derive(Debug)]
 struct EventCount {
-    /// Number of events, each of one machine.
+    /// Number of events. Each event concerns one machine.
     machines: u32,
     /// Machine of the first of these events.
     first: MachineName,
--- a/crates/core/src/scheduler/machines.rs
+++ b/crates/core/src/scheduler/machines.rs
@@ -20,7 +20,7 @@
         self.cluster.machine_types = types;
     }
 
-    /// Drains a machine: it gets no new tasks, and is deleted once it is empty.
+    /// Drains a machine: no new task starts on it, and it is deleted once it is empty.
     pub fn drain_machine(&mut self, name: &str) {
         self.cluster.drain_machine(name);
     }
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Removes a task from a machine that provably does not hold it any more (S5).
+    /// Releases a task: removes it from its machine, which provably does not hold it (S5), so that
+    /// it waits for placement again if it is unfinished.
     pub(super) fn release_task(&mut self, name: &str, key: &TaskAttempt) {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
             return;
@@ -54,8 +55,8 @@
         self.remove_job_if_closed(&task.job);
     }
 
-    /// Removes all tasks that match `predicate` from a machine that provably does not hold them any
-    /// more (S5).
+    /// Releases all tasks of a machine that match `predicate`. The machine must provably hold none of
+    /// them (S5).
     pub(super) fn release_tasks(&mut self, name: &str, predicate: impl Fn(&MachineTask) -> bool) {
         let Some(machine) = self.cluster.machines.get(name) else {
             return;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Removes a machine that provably no longer exists, with all its tasks (S5b).
+    /// Removes a machine that provably no longer exists, and releases all its tasks (S5b).
     fn remove_machine(&mut self, name: &str) {
         self.release_tasks(name, |_| true);
         if let Some(machine) = self.cluster.machines.remove(name) {
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Adds or updates a machine from its entry in the cloud's list. A machine that the cloud lists
-    /// as failed is removed, and its deletion requested.
+    /// Adds or updates a machine from its entry in the cloud's list. A known machine that the cloud
+    /// lists as failed is removed, and its deletion is requested.
     fn update_listed_machine(&mut self, entry: &ListedMachine, now: Instant) {
         if self.removed_machines.contains(entry.name.as_str()) {
             return;
@@ -137,7 +138,7 @@
         let mut names_to_delete = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             if machine.state() == MachineState::Draining && machine.tasks.is_empty() {
-                machine.enter(MachineState::Deleting);
+                machine.transition_to(MachineState::Deleting);
                 names_to_delete.push(machine.name.clone());
             } else if machine.state() == MachineState::Deleting && is_retry_due {
                 names_to_delete.push(machine.name.clone());
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! The leader's scheduler: its view of all jobs and machines, which it rebuilds from stored records
 //! and workers' heartbeats.
 //!
-//! Safety rules are named S1 to S12 as in `docs/design.md`.
+//! Safety rules are referred to as S1 to S12, their names in `docs/design.md`.
 
 mod action;
 mod claims;
@@ -56,7 +56,7 @@
     pub(crate) actions: Vec<Action>,
     /// Random number generator for sampling machines.
     pub(crate) rng: SmallRng,
-    /// Pending rentals, and the outcome of earlier ones.
+    /// The autoscaler: pending rentals of machines, and the outcome of earlier rentals.
     pub(crate) scaling: Autoscaler,
     /// When pending machine deletions were last requested again.
     last_deletion_retry: Option<Instant>,
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -14,12 +14,12 @@
 
 impl Scheduler {
     /// Returns whether a placement pass may assign tasks to a machine that has just sent a
-    /// heartbeat.
+    /// heartbeat: the machine accepts starts and has free CPUs, and tasks wait.
     pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
             machine.can_accept_starts(now, Duration::MAX)
                 && machine.free_resources().is_some_and(|free| free.cpus > 0.0)
-        }) && self.cluster.jobs.values().any(|job| job.may_start() && job.waiting_tasks() > 0)
+        }) && self.cluster.jobs.values().any(|job| job.may_start_tasks() && job.waiting_tasks() > 0)
     }
 
     /// Returns whether tasks are assigned to the machine whose starts were not sent yet.
@@ -47,14 +47,15 @@
     /// Returns the orders for the answer to a heartbeat, which is identified by the machine's name,
     /// the agent epoch and the sequence number.
     ///
-    /// `may_start` is false while the lease of this controller may have expired (S4). Every call
-    /// counts as an answer with 200, which renews the worker's lease.
+    /// `may_send_starts` is false while the lease of this controller may have expired (S4): then the
+    /// orders include no starts. Every call counts as an answer with 200, which renews the worker's
+    /// lease.
     pub fn orders_for_answer(
         &mut self,
         name: &str,
         agent_epoch: AgentEpoch,
         sequence: u64,
-        may_start: bool,
+        may_send_starts: bool,
         now: Instant,
     ) -> Vec<Order> {
         let Some(machine) = self.cluster.machines.get_mut(name) else {
@@ -71,7 +72,7 @@
         orders.extend(machine.stop_orders());
         orders.truncate(MAX_ORDERS);
         let is_newest = machine.message_history.newest() == answered;
-        if may_start && is_newest && machine.can_accept_starts(now, Duration::MAX) {
+        if may_send_starts && is_newest && machine.can_accept_starts(now, Duration::MAX) {
             let max_starts = MAX_ORDERS - orders.len();
             orders.extend(order_starts(machine, &self.cluster.jobs, answered, max_starts, now));
         }
@@ -95,7 +96,8 @@
         if may_forget(machine_task.state, job, key.task.index) {
             orders.push(Order::Forget { task: key.task.clone(), attempt: key.attempt });
         } else if job.is_none() && machine_task.uses_resources() {
-            // S11: the task is orphaned, because its job is cancelled, done or lost.
+            // S11: the job is done, cancelled or claimed by another controller, so its tasks must
+            // be stopped.
             machine_task.stop_without_grace();
         }
     }
@@ -113,8 +115,8 @@
     }
 }
 
-/// Returns orders to start up to `max_starts` assigned tasks, for the answer to the heartbeat
-/// `answered` (S3).
+/// Returns orders to start up to `max_starts` assigned tasks. They must be sent only in the answer
+/// to the heartbeat `answered` (S3).
 fn order_starts(
     machine: &mut Machine,
     jobs: &BTreeMap<JobId, Job>,
@@ -128,13 +130,13 @@
         if machine_task.state != MachineTaskState::Assigned || starts.len() >= max_starts {
             continue;
         }
-        let Some(job) = jobs.get(&key.task.job).filter(|job| job.may_start()) else {
+        let Some(job) = jobs.get(&key.task.job).filter(|job| job.may_start_tasks()) else {
             continue;
         };
         // A start must carry the generation of its job's record.
         debug_assert_eq!(key.attempt.generation(), job.record.generation);
         let waited_ms = now.saturating_duration_since(machine_task.state_since).as_millis();
-        machine_task.enter(MachineTaskState::Ordered { agent_epoch, sequence }, now);
+        machine_task.transition_to(MachineTaskState::Ordered { agent_epoch, sequence }, now);
         tracing::debug!(
             task = %key.task,
             machine = machine.name.as_str(),
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -29,7 +29,7 @@
     pub machines_unreconciled: usize,
     /// Number of placement passes since this controller became the leader.
     pub passes: u64,
-    /// Number of machines and tasks examined in these passes.
+    /// Number of machines and tasks examined in these placement passes.
     pub steps: u64,
 }
 
@@ -58,7 +58,7 @@
     fn count_jobs(&self, overview: &mut Overview, now: Instant) {
         for (id, job) in &self.cluster.jobs {
             overview.waiting_tasks += u64::from(job.waiting_tasks());
-            overview.running_tasks += u64::from(job.running);
+            overview.running_tasks += u64::from(job.running_tasks);
             overview.most_claims = overview.most_claims.max(job.record.claims);
             if job.state() == JobState::DeadLettered {
                 overview.dead_lettered.push(id.clone());
--- a/crates/core/src/scheduler/reconciliation.rs
+++ b/crates/core/src/scheduler/reconciliation.rs
@@ -1,4 +1,5 @@
-//! Reconciliation after a failover: which recorded machines have not reported their tasks yet (S7).
+//! Reconciliation after a failover: tracks which machines recorded by earlier leaders have not
+//! reported their tasks yet (S7).
 
 use corkfield_wire::MachineName;
 use std::collections::BTreeSet;
@@ -72,7 +73,7 @@
         !self.last_progress_at.is_some_and(is_recent)
     }
 
-    /// Finishes this reconciliation, once its completion is logged.
+    /// Marks this reconciliation as finished. The caller has logged its completion.
     pub(super) fn finish(&mut self) {
         self.started_at = None;
     }
--- a/crates/core/src/scheduler/removed_machines.rs
+++ b/crates/core/src/scheduler/removed_machines.rs
@@ -3,8 +3,8 @@
 use corkfield_wire::MachineName;
 use std::collections::{HashSet, VecDeque};
 
-/// Names are discarded only above this number, and above [`NAMES_PER_MACHINE`] times the number of
-/// known machines.
+/// The oldest names are discarded only if there are more names than this, and more than
+/// [`NAMES_PER_MACHINE`] times the number of known machines.
 const MIN_NAMES: usize = 20_000;
 /// Names kept per known machine; see [`MIN_NAMES`].
 const NAMES_PER_MACHINE: usize = 8;
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -95,7 +95,7 @@
 /// Guards against starting a finished task again: its result arrives while the task is assigned to
 /// another machine and its start was not sent yet.
 #[test]
-fn a_task_that_a_late_heartbeat_reports_as_done_is_unassigned() {
+fn a_task_that_a_late_heartbeat_reports_as_done_is_released() {
     let now = Instant::now();
     let (mut scheduler, late_heartbeat) = scheduler_with_late_result(now);
     scheduler.on_heartbeat(&late_heartbeat, true, now);
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -216,7 +216,7 @@
 /// tasks can't be started, but would occupy room on their machines and count against their team's
 /// limit.
 #[test]
-fn assigned_tasks_of_a_job_that_backs_off_are_unassigned() {
+fn assigned_tasks_of_a_job_that_backs_off_are_released() {
     let now = Instant::now();
     let mut scheduler = scheduler_with_machines(2, now);
     scheduler.on_job_claimed(
@@ -236,7 +236,7 @@
     let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::Unknown));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-0", 3, vec![refused]), true, now);
-    assert!(!scheduler.has_assigned_tasks("host-1"), "the tasks are unassigned at once");
+    assert!(!scheduler.has_assigned_tasks("host-1"), "the tasks are released at once");
     assert_eq!(placed_task_count(&scheduler), 0);
     claim_job(&mut scheduler, 2, Priority::Normal, 8, now);
     scheduler.run_placement_pass(now);
