--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -6,7 +6,7 @@
 /// Largest ratio allowed between the rate of a worker's clock and that of the controller's clock,
 /// in either direction.
 const CLOCK_RATE_TOLERANCE: f64 = 1.002;
-/// Added to the worker lease because the controller's own process may be scheduled late.
+/// Time added to the worker lease, because the controller's own process may be scheduled late.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1500);
 
 /// A heartbeat is overdue after this many heartbeat intervals, plus the margin.
@@ -41,8 +41,8 @@
     /// Number of machines examined for one placement, from the operator's settings. If there are
     /// more candidates, a random sample of this size is examined.
     pub placement_sample: usize,
-    /// How long an idle machine is kept before it is returned to the cloud, from the operator's
-    /// settings.
+    /// How long an idle machine is kept before it may be drained, from the operator's settings.
+    /// Machines that are not likely to be needed are kept for only a fraction of this time.
     pub idle_keep: Duration,
 }
 
@@ -75,8 +75,8 @@
 }
 
 impl Config {
-    /// Returns how long after the last accepted answer a worker may still run tasks, as measured by
-    /// the controller's clock. The result allows for the difference between the clock rates and for
+    /// Returns how long after its last accepted answer a worker may still run tasks, as measured by
+    /// the controller's clock: the worker lease plus a margin. The result allows for the difference between the clock rates and for
     /// scheduling delays of the controller's own process.
     pub fn lease_expiry_timeout(&self) -> Duration {
         self.worker_lease.mul_f64(CLOCK_RATE_TOLERANCE) + LEASE_EXPIRY_MARGIN
--- a/crates/core/src/job/commit.rs
+++ b/crates/core/src/job/commit.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// A claim that is held this long without a failure is refunded: it no longer counts towards the
-/// claim limit (S12).
+/// A claim that is held for longer than this without a failed task is refunded: it no longer counts
+/// towards the claim limit (S12).
 const CLAIM_REFUND_AFTER: Duration = Duration::from_secs(10);
 
 /// Urgency of a commit; a more urgent one compares less.
@@ -108,8 +108,9 @@
         }
     }
 
-    /// Returns whether the claim should be refunded: it has lasted for a while without a failure,
-    /// so if it ends later, the job is not the cause (S12).
+    /// Returns whether the claim should be refunded: it has lasted longer than
+    /// [`CLAIM_REFUND_AFTER`] without a failed task, so if it ends later, the job is not the cause
+    /// (S12).
     fn is_refund_due(&self, now: Instant) -> bool {
         self.record.claims > 0
             && !self.is_refunded
--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -27,7 +27,8 @@
 const MAX_BACKOFF_CLAIMS: u32 = 6;
 /// Lower bound in seconds for the expected run time if it is based on an estimate.
 const MIN_ESTIMATE_S: f64 = 1.0;
-/// Additional time in seconds that a stopped task has beyond the time to save a checkpoint.
+/// Time in seconds that is added to the time to save a checkpoint, for the grace period of a stopped
+/// task.
 const SAVE_MARGIN_S: f64 = 1.0;
 
 /// Machine and attempt of a placed task.
@@ -71,7 +72,8 @@
     claimed_at: Instant,
     /// Number of claims in the record when the job was claimed last.
     claims_when_claimed: u32,
-    /// Whether this claim was refunded, or a commit that refunds it is in flight.
+    /// Whether this claim was refunded, so that it no longer counts towards the claim limit (S12),
+    /// or a commit that refunds it is in flight.
     is_refunded: bool,
     /// Failures of the job's tasks.
     pub(crate) failures: JobFailures,
@@ -188,7 +190,8 @@
         self.spec().tasks.saturating_sub(self.finished().len())
     }
 
-    /// Returns whether the job is placed before all jobs that are not urgent.
+    /// Returns whether the job is urgent: its priority is [`Priority::High`] or higher. Urgent jobs
+    /// are placed before all others.
     pub(crate) fn is_urgent(&self) -> bool {
         self.spec().priority <= Priority::High
     }
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Returns whether no task is placed or finished.
+    /// Returns whether no task of the job is placed or finished.
     pub(crate) fn has_not_started(&self) -> bool {
         self.placements.is_empty() && self.finished().is_empty()
     }
--- a/crates/core/src/job/start_queue.rs
+++ b/crates/core/src/job/start_queue.rs
@@ -33,8 +33,7 @@
 /// Queue of the tasks of a job that wait for their start.
 #[derive(Debug)]
 pub(super) struct StartQueue {
-    /// Tasks that were removed from their machines and have to be started again; the last one is
-    /// started first.
+    /// Tasks that were released and have to be started again; the last one is started first.
     retries: Vec<u32>,
     /// Index of the next task that was never placed.
     next_unplaced: u32,
@@ -93,13 +92,13 @@
         count
     }
 
-    /// Adds a task that was removed from its machine and has to be started again.
+    /// Adds a task that was released and has to be started again.
     pub(super) fn push_retry(&mut self, index: u32) {
         self.retries.push(index);
     }
 
-    /// Advances to the next task that is neither finished nor placed, and returns its position. A
-    /// placed task that is removed from its machine later is added to `retries`.
+    /// Advances the index of the next task to the first that is neither finished nor placed, and
+    /// returns the index. A placed task that is released later is added to `retries`.
     fn skip_finished_or_placed(
         &mut self,
         constraints: &StartConstraints,
@@ -115,7 +114,7 @@
     }
 
     /// Requests a higher start watermark when three quarters of the tasks below it have been
-    /// passed. The raise needs a commit, which is impossible while the key-value store is
+    /// taken from the queue or skipped. The raise needs a commit, which is impossible while the key-value store is
     /// unavailable, so it is requested before the startable tasks run out.
     fn request_watermark_raise_if_low(&mut self, constraints: &StartConstraints, next: u32) {
         let watermark = constraints.record.start_watermark;
--- a/crates/core/src/machine/health.rs
+++ b/crates/core/src/machine/health.rs
@@ -3,7 +3,8 @@
 use corkfield_wire::JobId;
 use std::time::Instant;
 
-/// A machine gets no new tasks if its slowness exceeds this value.
+/// A machine counts as slow if its slowness exceeds this value. A slow machine gets only one task at
+/// a time, and only of a long-waiting job for which no other machine has room.
 const MAX_SLOWNESS: f64 = 1.6;
 /// Number of run times that must be known before a machine can count as slow.
 const MIN_SLOWNESS_SAMPLES: u32 = 4;
@@ -13,19 +14,21 @@
 const PREVIOUS_SAMPLES_WEIGHT: f64 = 0.7;
 /// Failed tasks of this many different jobs prove that the machine is faulty.
 const FAULTY_JOBS: usize = 2;
-/// This many failures prove that the machine is faulty if the job completes on other machines.
+/// This many failures prove that the machine is faulty if any task of the job that failed last has
+/// ever completed.
 const FAULTY_FAILURES: u32 = 2;
 
 /// Failures, refused starts and slowness of a machine.
 #[derive(Debug)]
 pub(crate) struct MachineHealth {
-    /// Jobs whose tasks have failed here since a task last completed here.
+    /// Jobs whose tasks have failed on this machine since a task last completed on it.
     failed_jobs: Vec<JobId>,
-    /// Number of tasks that have failed here since a task last completed here.
+    /// Number of tasks that have failed on this machine since a task last completed on it.
     failures: u32,
     /// No starts are sent before this time, because the worker refused one.
     refused_until: Option<Instant>,
-    /// Moving average of the run times here, relative to those of the same jobs elsewhere.
+    /// Moving average of the run times on this machine, relative to the mean run times of the same
+    /// jobs on all machines.
     slowness: f64,
     /// Number of run times in `slowness`.
     slowness_samples: u32,
@@ -74,18 +77,18 @@
         self.refused_until.is_none_or(|until| now >= until)
     }
 
-    /// Records that a task ran `ratio` times as long here as tasks of the same job elsewhere.
+    /// Records that a task ran `ratio` times as long on this machine as the job's mean run time.
     pub(crate) fn record_run_time(&mut self, ratio: f64) {
         self.slowness = self.slowness * PREVIOUS_SAMPLES_WEIGHT + ratio * NEW_SAMPLE_WEIGHT;
         self.slowness_samples += 1;
     }
 
-    /// Returns whether a task has failed here since a task last completed here.
+    /// Returns whether a task has failed on this machine since a task last completed on it.
     pub(crate) fn has_failures(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns whether tasks take much longer here than tasks of the same jobs elsewhere.
+    /// Returns whether tasks take much longer on this machine than the mean run times of their jobs.
     pub(super) fn is_slow(&self) -> bool {
         self.slowness > MAX_SLOWNESS && self.slowness_samples >= MIN_SLOWNESS_SAMPLES
     }
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -1,4 +1,4 @@
-//! Tracking of a worker's lease by the controller.
+//! Tracks, for the controller, when a worker's lease may last have been renewed.
 
 use corkfield_wire::Term;
 use std::time::{Duration, Instant};
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Sets the time until which an earlier leader may have answered heartbeats (S6).
+    /// Sets the time until which an earlier leader may answer heartbeats and thereby renew the lease
+    /// (S6).
     pub(crate) fn allow_renewal_by_earlier_leader_until(&mut self, at: Instant) {
         self.earlier_leader_until = Some(at);
     }
@@ -59,7 +60,7 @@
         self.answered_term = term;
     }
 
-    /// Records a heartbeat that was certainly written after the worker had received the newest
+    /// Records a heartbeat that was provably written after the worker had received the newest
     /// answer, or had stopped waiting for it.
     ///
     /// If the heartbeat reports a lower term than that answer carried, the answer was not received
@@ -94,10 +95,12 @@
         }
     }
 
-    /// Returns whether the next heartbeat should stay unanswered: another answer would only extend
-    /// the controller's bound for a lease that the worker may never have renewed.
+    /// Returns whether the next heartbeat should not be answered with status 200. Another answer
+    /// would only raise the controller's upper bound for the last renewal of a lease that the worker
+    /// may never have renewed.
     ///
-    /// While an earlier leader may still renew the lease, an answer does not extend that bound.
+    /// While an earlier leader may still answer, the bound is the end of that time anyway, so
+    /// an answer does not raise it.
     pub(crate) fn should_withhold_answer(&self, now: Instant) -> bool {
         self.is_renewal_uncertain && self.earlier_leader_until.is_none_or(|until| now > until)
     }
--- a/crates/core/src/machine/message_history.rs
+++ b/crates/core/src/machine/message_history.rs
@@ -3,8 +3,8 @@
 use corkfield_wire::worker::WorkerHeartbeat;
 use corkfield_wire::{AgentEpoch, Term};
 
-/// Number of outdated heartbeats with increasing numbers, and no accepted message between them,
-/// after which the worker is sent a direct request, to find out whether it has restarted its
+/// After this many outdated heartbeats with increasing numbers, and no accepted message between
+/// them, the worker is sent a direct request. Its answer shows whether the worker has restarted its
 /// numbering.
 const RESTART_SUSPECTED_AFTER: u32 = 2;
 
@@ -84,7 +84,8 @@
         self.outdated_count = 0;
     }
 
-    /// Ends the agent epoch of the newest message, because the worker's lease has expired.
+    /// Records that the agent epoch of the newest message has ended, because the worker's lease has
+    /// expired. Further messages of that epoch are outdated.
     pub(super) fn end_agent_epoch(&mut self) {
         self.newest_ended_epoch = self.newest.agent_epoch;
     }
--- a/crates/core/src/machine/message_ordering.rs
+++ b/crates/core/src/machine/message_ordering.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 /// Time after which a worker no longer accepts an answer. A worker drops answers that arrive more
-/// than 4 s after it sent the heartbeat; the rest allows for the error of its clock and for the
-/// time that an answer waits to be read.
+/// than 4 s after it sent the heartbeat. The additional time allows for the error of the worker's
+/// clock and for the time that an answer waits to be read.
 pub(crate) const ANSWER_LIFETIME: Duration = Duration::from_millis(4500);
 
 /// A heartbeat that was accepted, with the connection over which it arrived.
@@ -77,7 +77,7 @@
 }
 
 impl MessageOrdering {
-    /// Returns whether the message was certainly written by the same process or a later one, after
+    /// Returns whether the message was provably written by the same process or a later one, after
     /// the worker had received the answer to the heartbeat `answered` or had stopped waiting for
     /// it. The answer was sent at `answer_sent_at`.
     ///
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns whether the message was certainly written by the same process or a later one, after
+    /// Returns whether the message was provably written by the same process or a later one, after
     /// the message `newest`, which arrived at `received_at`.
     pub(crate) fn is_after_message(
         &self,
@@ -113,7 +113,7 @@
             })
     }
 
-    /// Returns whether the message was certainly written after the worker had received the answer
+    /// Returns whether the message was provably written after the worker had received the answer
     /// to its newest known heartbeat, or had stopped waiting for it.
     pub(crate) fn is_after_newest_answer(&self) -> bool {
         self.is_ordered_by_number || self.previous_on_connection.is_some()
--- a/crates/core/src/machine/message_processing.rs
+++ b/crates/core/src/machine/message_processing.rs
@@ -16,8 +16,8 @@
     /// A worker reports a task until it is ordered to forget it, which happens only after the task
     /// has exited. So a message of the same process can't lack a task that the newest message of
     /// its epoch reported as not exited. Either the worker restarted at once and restarted its
-    /// numbering, or the message was delayed and comes from the process before. In both cases it
-    /// proves nothing about the tasks on the machine.
+    /// numbering, or the message was delayed and comes from an earlier process. In both cases the
+    /// message proves nothing about the tasks on the machine.
     pub(crate) fn is_from_other_process(
         &self,
         absent: &[TaskAttempt],
@@ -34,8 +34,8 @@
 
     /// Returns whether a message may have been written before the newest accepted message. It lacks
     /// the tasks `absent`, some of which the newest message reported as not exited, and nothing
-    /// proves that it was written later. It may come from a process before the one that runs these
-    /// tasks.
+    /// proves that it was written later. The message may come from an earlier process than the one
+    /// that runs these tasks.
     pub(crate) fn may_predate_newest_message(
         &self,
         absent: &[TaskAttempt],
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -69,7 +69,7 @@
     pub(crate) machine_type: Option<MachineType>,
     /// Current phase of the machine's life.
     state: MachineState,
-    /// Whether the key-value store has a record that the machine may hold tasks.
+    /// Whether the key-value store has a record which says that the machine may hold tasks.
     pub record_state: RecordState,
     /// Whether the worker no longer accepts orders of earlier leaders (S7).
     pub is_fenced: bool,
@@ -77,11 +77,11 @@
     pub(crate) message_history: MessageHistory,
     /// What is needed to order the worker's messages across restarts of the worker's process.
     pub(crate) ordering_tracker: OrderingTracker,
-    /// Set while the heartbeats don't prove which tasks are on the machine.
+    /// Set while the worker's messages don't prove which tasks are on the machine.
     pub(crate) task_uncertainty: Option<TaskUncertainty>,
     /// The worker's lease.
     pub(crate) lease: WorkerLease,
-    /// Time since which the machine is known to exist.
+    /// Since when the machine is known to exist.
     pub(crate) known_since: Instant,
     /// When the machine was rented; if a heartbeat or a record reported it first, when it became
     /// known to this leader.
@@ -94,7 +94,7 @@
     unanswered_requests: u32,
     /// Whether the cloud has announced that it will reclaim this spot machine.
     pub(crate) has_interruption_notice: bool,
-    /// Time since which scale-in has seen no task on the machine.
+    /// Since when scale-in has found no task on the machine.
     pub(crate) idle_since: Option<Instant>,
     /// Tasks that are, or may be, on the machine.
     pub tasks: MachineTasks,
@@ -154,9 +154,9 @@
         let mut machine = Self::new(MachineName::from(name), machine_type, zone, spot, types, now);
         machine.addr = addr;
         machine.record_state = RecordState::Stored;
-        // The machine existed when the record was stored. So a list of the cloud requested shortly
-        // after the failover already proves that the machine no longer exists if it is missing
-        // there.
+        // The machine existed when the record was stored. So if the machine is missing from a cloud
+        // list that was requested shortly after the failover, that already proves that the machine
+        // no longer exists.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
         machine.transition_to(MachineState::Up);
         machine
@@ -245,7 +245,8 @@
         self.unanswered_requests
     }
 
-    /// Fences the machine if the heartbeat permits it, and returns whether it is fenced now (S7).
+    /// Marks the machine as fenced if the heartbeat proves that the worker accepts no orders of
+    /// earlier leaders (S7). Returns whether the machine is fenced now.
     ///
     /// A heartbeat under our term proves that the worker drops orders of earlier leaders. A machine
     /// without a record and without tasks needs no such proof: no leader ever gave it a task.
@@ -311,12 +312,12 @@
         Some(free)
     }
 
-    /// Returns whether tasks take much longer here than tasks of the same jobs elsewhere.
+    /// Returns whether tasks take much longer on this machine than the mean run times of their jobs.
     pub(crate) fn is_slow(&self) -> bool {
         self.health.is_slow()
     }
 
-    /// Returns whether a task has failed here since a task last completed here.
+    /// Returns whether a task has failed on this machine since a task last completed on it.
     pub(crate) fn has_failures(&self) -> bool {
         self.health.has_failures()
     }
@@ -341,8 +342,8 @@
         self.tasks.totals().tasks == 0
     }
 
-    /// Returns whether starts may be assigned to the machine. Its newest message must not be older
-    /// than `max_silence`.
+    /// Returns whether tasks may be assigned to the machine and their starts be sent. Its newest
+    /// message must not be older than `max_silence`.
     pub(crate) fn can_accept_starts(&self, now: Instant, max_silence: Duration) -> bool {
         self.state == MachineState::Up
             && self.is_fenced
--- a/crates/core/src/machine/origin.rs
+++ b/crates/core/src/machine/origin.rs
@@ -1,4 +1,5 @@
-//! The way in which a worker's message reached the controller, which limits when it was written.
+//! The way in which a worker's message reached the controller. It shows after which other messages
+//! the message was written.
 
 use super::MessageNumber;
 use corkfield_wire::worker::ConnectionId;
@@ -10,7 +11,8 @@
     /// A heartbeat that the worker sent by itself.
     Heartbeat {
         /// Connection over which the heartbeat arrived, if known. The worker sends the next
-        /// heartbeat over the same connection only after it has the answer to the previous one.
+        /// heartbeat over the same connection only after it has received the answer to the previous
+        /// one or has stopped waiting for it.
         connection: Option<ConnectionId>,
     },
     /// An answer to a direct request: direct orders or an inspection.
--- a/crates/core/src/machine/reachability.rs
+++ b/crates/core/src/machine/reachability.rs
@@ -8,10 +8,13 @@
 ///
 /// | from          | event                                                     | to            |
 /// |---------------|-----------------------------------------------------------|---------------|
-/// | any           | a start was accepted, or a direct request was answered    | `Reachable`   |
-/// | `Reachable`   | a heartbeat lacks the starts sent before it               | `Doubtful(1)` |
-/// | `Doubtful`    | another one does, two consecutive heartbeats in all       | `Unreachable` |
-/// | `Unreachable` | another one does                                          | `Unreachable` |
+/// | any           | a start is confirmed, or a direct request is answered     | `Reachable`   |
+/// | `Reachable`   | starts are missing                                        | `Doubtful(1)` |
+/// | `Doubtful`    | starts are missing for the second consecutive time        | `Unreachable` |
+/// | `Unreachable` | starts are missing                                        | `Unreachable` |
+///
+/// Starts are missing if a heartbeat lacks a task whose start was sent before it, or if the worker's
+/// lease expires before a heartbeat reports a task whose start was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
     /// No order is known to have been lost.
--- a/crates/core/src/machine/state.rs
+++ b/crates/core/src/machine/state.rs
@@ -8,7 +8,8 @@
 /// | `Booting`             | first heartbeat, or recorded by an earlier leader       | `Up`       |
 /// | `Booting`, `Up`       | not needed, faulty, or late to boot                     | `Draining` |
 /// | `Draining`            | no task is left on the machine                          | `Deleting` |
-/// | any                   | worker lost its state, or doesn't answer after failover | `Deleting` |
+/// | any                   | worker has restarted its message numbering              | `Deleting` |
+/// | any                   | its tasks stay uncertain, or no answer after a failover | `Deleting` |
 ///
 /// `Deleting` is final: the machine is removed once the cloud answered its deletion or no longer
 /// lists it. Every change goes through `Machine::transition_to`.
@@ -20,7 +21,7 @@
     Up,
     /// The machine accepts no new tasks. Running tasks may continue or are being stopped.
     Draining,
-    /// The deletion of the machine was requested.
+    /// The deletion of the machine was requested from the cloud, or is requested at the next tick.
     Deleting,
 }
 
--- a/crates/core/src/machine/tasks.rs
+++ b/crates/core/src/machine/tasks.rs
@@ -21,9 +21,10 @@
 /// | (new), any but `Assigned`| a heartbeat reports that the task exited as done  | `Done`      |
 /// | (new), any but `Assigned`| a heartbeat reports that the task exited otherwise| `Exited`    |
 ///
-/// A task is removed once it is certainly not on the machine (S5): a later heartbeat lacks it, the
-/// machine no longer exists, or the worker's lease has expired. An `Assigned` task is removed when
-/// the machine accepts no more starts or its job is stopped. Every change goes through
+/// A task is released once it is provably not on the machine (S5): a later heartbeat lacks it, the
+/// machine no longer exists, or the worker's lease has expired. An `Assigned` task is also released
+/// when the machine accepts no more starts, when its job may no longer start it, or when the task
+/// is reported as done under another attempt. Every change goes through
 /// `MachineTask::transition_to`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineTaskState {
@@ -49,8 +50,8 @@
 }
 
 impl MachineTaskState {
-    /// Returns the number of the heartbeat whose answer carried the start, if no message has
-    /// reported the task since.
+    /// Returns the number of the heartbeat whose answer carried the start, if the start was sent and
+    /// no message has reported the task since.
     pub(crate) fn answered_heartbeat(self) -> Option<MessageNumber> {
         match self {
             Self::Ordered { agent_epoch, sequence } => {
@@ -185,7 +186,7 @@
             MachineTaskState::Ordered { .. }
             | MachineTaskState::Fetching
             | MachineTaskState::Running => true,
-            // A task that is saving already is not disturbed, unless it has to stop at once.
+            // A task that already saves a checkpoint may finish saving, unless it must stop at once.
             MachineTaskState::Saving => grace.is_zero(),
             MachineTaskState::Assigned | MachineTaskState::Done | MachineTaskState::Exited => false,
         };
--- a/crates/core/src/machine/term_exposure.rs
+++ b/crates/core/src/machine/term_exposure.rs
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Changes the state. All changes go through this method.
+    /// Changes how many processes may know the current term. All changes except the reset for a new
+    /// term go through this method.
     fn transition_to(&mut self, knowledge: TermKnowledge) {
         self.knowledge = knowledge;
     }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -14,8 +14,8 @@
     HoldsImage,
     /// The machine has to fetch the job's image.
     LacksImage,
-    /// The machine is slow. It is used only for a job that has no placed task, and only if there is
-    /// no other candidate.
+    /// The machine is slow. It is used only for a long-waiting job without a placed task
+    /// ([`PlacementScope::OneTask`]), and only if there is no other candidate.
     Slow,
 }
 
@@ -35,8 +35,9 @@
 }
 
 impl Candidates {
-    /// Sorts the candidates by preference. `image_holders` has to be sorted. The image is looked up
-    /// only once for each machine, because a job may place thousands of tasks.
+    /// Groups the candidates by preference; slow machines are kept only for
+    /// [`PlacementScope::OneTask`]. `image_holders` has to be sorted. The image is looked up only
+    /// once for each machine, not for each task, because a job may place thousands of tasks.
     pub(super) fn new(
         candidates: Vec<usize>,
         machines: &[MachineCapacity],
@@ -104,8 +105,8 @@
     }
 }
 
-/// Returns the index in `list` of the machine with the most free CPUs. A longer list than `sample`
-/// is sampled.
+/// Returns the index in `list` of the machine with the most free CPUs. If the list is longer than
+/// `sample`, only a random sample of that size is examined.
 fn entry_with_most_free_cpus(
     machines: &[MachineCapacity],
     list: &[usize],
--- a/crates/core/src/placement/capacity.rs
+++ b/crates/core/src/placement/capacity.rs
@@ -16,11 +16,11 @@
     pub(super) spot: bool,
     /// Resources that no task uses.
     pub(super) free: Resources,
-    /// Whether the machine gets only one task at a time, because its last task failed or because it
-    /// is slow.
+    /// Whether the machine gets only one task at a time, because a task has failed there and none
+    /// has completed there since, or because it is slow.
     pub(super) is_limited_to_one_task: bool,
-    /// Whether the machine is slow. A slow machine is left to jobs that have no placed task and for
-    /// which no other machine has room.
+    /// Whether the machine is slow. A slow machine is used only for long-waiting jobs without a
+    /// placed task ([`PlacementScope::OneTask`]), and only if no other machine has room.
     pub(super) is_slow: bool,
     /// Resources reserved for urgent tasks. They may still be in use by tasks of lower priority.
     pub(super) reserved: Resources,
@@ -33,8 +33,8 @@
     /// are unknown, or if it gets only one task at a time and already has one.
     fn new(machine: &Machine) -> Option<Self> {
         // If slow machines were excluded entirely, a machine that has recovered or was classified
-        // as slow by mistake could never show it, and tasks would wait indefinitely while it stays
-        // idle. Slow machines are therefore left to jobs that have no placed task.
+        // as slow by mistake could never show that it is fast, and tasks would wait indefinitely
+        // while it stays idle. So long-waiting jobs without a placed task may use slow machines.
         let is_slow = machine.is_slow();
         let is_limited_to_one_task = machine.has_failures() || is_slow;
         let free = machine.free_resources()?;
--- a/crates/core/src/placement/first_starts.rs
+++ b/crates/core/src/placement/first_starts.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// Returns whether a job that is claimed at `now` is expected to start soon.
+/// Returns whether tasks of a job that is claimed at `now` are expected to start soon: the job may
+/// preempt other tasks, or CPUs are spare and no claimed job waits for its first watermark.
 pub(super) fn may_start_soon(cluster: &Cluster, spec: &JobSpec, now: Instant) -> bool {
     if may_preempt(cluster, spec, &cluster.usage_by_team()) {
         return true;
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,6 +1,5 @@
-//! Placement: assigns waiting tasks to machines. A machine that already holds the image is
-//! preferred; otherwise the machine with the most free CPUs, within the job's zone if it is bound
-//! to one.
+//! Placement: assigns waiting tasks to machines on which the job may run. Machines that already hold
+//! the job's image are preferred, and among these the machine with the most free CPUs.
 //!
 //! A [`PlacementPass`] places tasks in the order of [`queue`], reserves capacity for urgent jobs
 //! ([`reservation`]) and preempts running tasks for jobs that still wait ([`preemption`]).
@@ -24,7 +23,7 @@
 /// Minimum number of CPUs that a task counts as in divisions, because tasks may need 0 CPUs.
 const MIN_TASK_CPUS: f64 = 0.01;
 
-/// Which of a job's waiting tasks may be placed, and in which capacity.
+/// Which of a job's waiting tasks may be placed, and whether they may use reserved capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlacementScope {
     /// One task, which may use capacity that is reserved for urgent jobs.
@@ -65,7 +64,7 @@
         self.steps += pass.steps;
     }
 
-    /// Returns whether a job that is claimed at `now` is expected to start soon.
+    /// Returns whether tasks of a job that is claimed at `now` are expected to start soon.
     pub fn may_start_soon(&self, spec: &JobSpec, now: Instant) -> bool {
         first_starts::may_start_soon(&self.cluster, spec, now)
     }
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -94,8 +94,9 @@
         is_within_limit && (!is_guarantee_only || is_within_guarantee(team, usage))
     }
 
-    /// Returns whether the job has to wait for reconciliation (S8): it has a zone constraint, and
-    /// the zones of tasks that earlier controllers may have started are not known yet.
+    /// Returns whether the job has to wait until reconciliation is complete: it has a zone
+    /// constraint, which must hold for all its tasks (S8), and the zones of tasks that earlier
+    /// controllers may have started are not known yet.
     fn needs_reconciliation(&self, job: &Job) -> bool {
         let may_have_started = job.record.previous_start_watermark > 0;
         !self.is_reconciled && has_zone_constraint(job.spec()) && may_have_started
@@ -113,9 +114,9 @@
     }
 
     /// Requests the first start watermark if the job's record has none, and returns whether it was
-    /// missing. Called only when there is room for a task: after a failover, tasks below the
-    /// watermark count as possibly started and wait until all machines have reported what they run,
-    /// which takes long if some of them send no heartbeats.
+    /// missing. This method is called only when there is room for a task of the job. After a
+    /// failover, tasks below the watermark count as possibly started and wait until all machines
+    /// have reported their tasks, which takes long if some of the machines send no heartbeats.
     fn request_first_watermark(&mut self, id: &JobId) -> bool {
         let Some(job) = self.cluster.jobs.get_mut(id) else { return true };
         let needs_watermark = job.needs_first_watermark();
@@ -125,8 +126,8 @@
         needs_watermark
     }
 
-    /// Places tasks of a job on eligible machines until no task or room is left or the team may
-    /// place no more.
+    /// Places tasks of a job on eligible machines until no task is left, no machine has room or the
+    /// team's limit or guarantee is reached.
     fn place_tasks(&mut self, id: &JobId, scope: PlacementScope, eligible: Vec<usize>) {
         let job = &self.cluster.jobs[id];
         let need = Resources::per_task(job.spec());
--- a/crates/core/src/placement/preemption/cost.rs
+++ b/crates/core/src/placement/preemption/cost.rs
@@ -5,8 +5,8 @@
 use crate::machine::{MachineTask, MachineTaskState};
 use std::time::Instant;
 
-/// A job that is not urgent does not preempt a task that entered its current state more recently
-/// than this.
+/// A task that entered its current state less than this long ago is preempted only for urgent
+/// jobs.
 const MIN_TIME_IN_STATE_S: f64 = 10.0;
 
 /// A task that is expected to end sooner than this is not preempted.
--- a/crates/core/src/placement/preemption/mod.rs
+++ b/crates/core/src/placement/preemption/mod.rs
@@ -1,4 +1,5 @@
-//! Preemption: stops running tasks for waiting jobs, those with the lowest cost first.
+//! Preemption: stops tasks on machines to make room for waiting jobs; the tasks whose stop costs the
+//! least are stopped first.
 
 mod cost;
 mod delay;
@@ -22,7 +23,8 @@
 /// placement sample.
 const SAMPLES_PER_PASS: usize = 8;
 
-/// Minimum number of machines to search for each task that needs room.
+/// For a job that needs room for many tasks, this many machines are searched for each of the tasks,
+/// even if that exceeds the placement sample.
 const MACHINES_PER_TASK: usize = 2;
 
 /// Snapshot of a machine that accepts starts, taken at the beginning of the search.
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Returns the positions of the machines that may hold tasks to be stopped for the job. Most
-    /// machines hold none.
+    /// Returns the positions of the machines that may hold tasks to be stopped for the job. The other
+    /// machines, usually most of them, need not be searched.
     fn machines_with_possible_victims(
         &self,
         job: &Job,
--- a/crates/core/src/placement/preemption/victims.rs
+++ b/crates/core/src/placement/preemption/victims.rs
@@ -57,8 +57,9 @@
 
 impl<'a> VictimSelection<'a> {
     /// Creates a selection for the job on the machine. Returns `None` if the job may not use the
-    /// machine, if the job has failed there, if the machine's last task failed, if the machine's
-    /// free resources are unknown or if the job's team has reached its limit.
+    /// machine, if tasks of the job have failed there, if any task has failed there and none has
+    /// completed there since, if the machine's free resources are unknown or if the job's team has
+    /// reached its limit.
     pub(super) fn new(
         cluster: &'a Cluster,
         id: &JobId,
@@ -67,8 +68,9 @@
         now: Instant,
     ) -> Option<Self> {
         let (waiting_job, machine) = (&cluster.jobs[id], &cluster.machines[name]);
-        let has_failed = machine.has_failures() || waiting_job.has_failed_on(machine.name.as_str());
-        if !machine.may_run(waiting_job.spec()) || has_failed {
+        let has_failures =
+            machine.has_failures() || waiting_job.has_failed_on(machine.name.as_str());
+        if !machine.may_run(waiting_job.spec()) || has_failures {
             return None;
         }
         let mut selection = Self {
@@ -103,8 +105,8 @@
     }
 
     /// Returns the next tasks whose stop makes room for one task of the waiting job. Returns `None`
-    /// if there are too few, or if the task already fits and is therefore waiting for another
-    /// reason.
+    /// if too few tasks may be stopped, or if the waiting task already fits, so that it must be
+    /// waiting for another reason.
     fn next_batch(&mut self, usage: &[Usage]) -> Option<VictimBatch> {
         let waiting_rank = self
             .preemption_rank(self.waiting_job, usage[self.waiting_job.team].plus(self.task_usage));
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -10,9 +10,9 @@
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
-/// A job that has not started anything for this long is placed before other jobs. Without this
-/// rule, the largest jobs, late jobs and jobs of low priority would wait for the end of a sustained
-/// overload. The rule no longer applies once a task of the job has been placed.
+/// A job of which no task is placed or finished this long after its acceptance is placed before all
+/// other jobs that are not urgent. Without this rule, the largest jobs, late jobs and jobs of low
+/// priority would wait for the end of a sustained overload.
 const STARVATION_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A job is late if the time left until it is due is less than this fraction of a task's expected
@@ -61,8 +61,9 @@
             .then(oldest_first)
     }
 
-    /// Compares two late jobs: the one with the longer tasks comes first, so that a job that misses
-    /// its due time anyway does not also finish last. Returns `Equal` if this job is not late.
+    /// Compares two late jobs: the job with the longer tasks comes first. It misses its due time
+    /// anyway, and would otherwise also be the last job to finish. Returns `Equal` if this job is
+    /// not late.
     fn compare_if_late(&self, other: &Self) -> Ordering {
         if self.is_late {
             compare_f64(other.expected_run_s, self.expected_run_s)
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Returns whether the job is unlikely to complete before it is due.
+    /// Returns whether the job is late: too little time is left until it is due. A job that is
+    /// never due is never late.
     fn is_late(&self, job: &Job, expected_run_s: f64, now: Instant) -> bool {
         let needed_run_time = Duration::try_from_secs_f64(expected_run_s * LATE_RUN_TIME_FRACTION)
             .unwrap_or_default();
--- a/crates/core/src/scaling/demand.rs
+++ b/crates/core/src/scaling/demand.rs
@@ -8,8 +8,9 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Tasks with a shorter expected run time than this share CPUs: their demand is the number of CPUs
-/// with which they complete in about this time, not counting the boot time of machines.
+/// Tasks with a shorter expected run time than this can run one after another on the same CPUs. The
+/// demand of a job with such tasks is the number of CPUs with which all of them complete in about
+/// this time, not counting the boot time of machines.
 const TARGET_COMPLETION_S: f64 = 20.0;
 
 /// How long the highest demand of a job with a start objective is remembered.
@@ -82,7 +83,7 @@
 /// Returns the CPUs that the unfinished tasks of a job could use.
 fn job_demand_cpus(cluster: &Cluster, job: &Job) -> f64 {
     let run_s = cluster.expected_run_s(job);
-    // Tasks shorter than the target can run one after another on the same CPUs.
+    // Tasks that run for a shorter time than the target run one after another on the same CPUs.
     let demand_cpus = job.remaining_demand().cpus * (run_s / TARGET_COMPLETION_S).min(1.0);
     demand_cpus.max(job.spec().cpus)
 }
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -1,4 +1,4 @@
-//! Scaling: rents machines for the unfinished tasks and returns machines that are not needed.
+//! Scaling: rents machines for the unfinished tasks and drains machines that are not needed.
 //!
 //! The [`Autoscaler`] keeps the state between two rounds. Each round compares the [`demand`] with
 //! the [`supply`], rents missing capacity from the cheapest [`offers`] ([`scale_out`]) and drains
@@ -34,7 +34,7 @@
     pub(crate) drained: Vec<DrainedMachine>,
 }
 
-/// A drained machine, which is returned to the cloud once it is empty.
+/// A drained machine, which is deleted once it is empty.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct DrainedMachine {
     pub(crate) name: MachineName,
@@ -54,6 +54,7 @@
 pub(crate) struct Autoscaler {
     /// First term of the leader. It is part of the names of the rental requests.
     term: Term,
+    /// Number of rental requests created so far; the names of the requests contain it.
     requests_sent: u64,
     backoff: OfferBackoff,
     rentals_in_flight: RentalsInFlight,
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in: drains machines, which are returned to the cloud once they are empty.
+//! Scale-in: drains machines, which are deleted once they are empty.
 
 use super::offers::{is_expensive, price_per_cpu};
 use super::spot_balance::SpotBalance;
@@ -9,8 +9,8 @@
 use corkfield_wire::MachineName;
 use std::time::{Duration, Instant};
 
-/// Idle machines beyond the capacity that future jobs are likely to need are returned after this
-/// fraction of the idle time allowed by the settings.
+/// Idle machines beyond the capacity that future jobs are likely to need may be drained after this
+/// fraction of the time for which the settings keep an idle machine.
 const SHORT_IDLE_KEEP_FRACTION: f64 = 0.17;
 
 /// A machine whose boot takes longer than this many times its nominal boot time, plus the margin,
@@ -56,7 +56,8 @@
     name: MachineName,
     cpus: f64,
     price_per_cpu: f64,
-    /// Whether the machine has been idle for the full time allowed by the settings, or is slow.
+    /// Whether the machine has been idle for the full time for which the settings keep an idle
+    /// machine, or is slow.
     is_past_idle_keep: bool,
 }
 
@@ -131,7 +132,8 @@
     let mut idle = idle_machines(cluster, now);
     idle.sort_by(|left, right| compare_f64(right.price_per_cpu, left.price_per_cpu));
     for machine in idle {
-        // Capacity for future jobs with a start objective is kept longer than other idle capacity.
+        // Idle machines that future jobs with a start objective are likely to need are kept for the
+        // full time, the others only for the short time.
         let headroom_cpus = if machine.is_past_idle_keep { 0.0 } else { spare.headroom_cpus };
         if spare.cpus < machine.cpus + headroom_cpus {
             continue;
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -102,10 +102,10 @@
 }
 
 /// Returns whether an on-demand offer is too expensive to rent. This is the case if its machines
-/// would be drained as soon as they are up. It is also the case while a spot request is unanswered:
-/// the number of available spot machines is unknown until then, and requested offers are missing
-/// from the available ones, so that only expensive offers might remain. If some of the demand must
-/// not run on spot machines, no offer is too expensive.
+/// would be drained as soon as they are up. It is also the case for any expensive offer while a
+/// spot request is unanswered: until then the number of available spot machines is unknown, and
+/// the offers that are requested are not available, so that only expensive offers might remain. If
+/// some of the demand must not run on spot machines, no offer is too expensive.
 fn is_too_expensive(
     offer: &PricedOffer<'_>,
     demand: Demand,
--- a/crates/core/src/scaling/spot_balance.rs
+++ b/crates/core/src/scaling/spot_balance.rs
@@ -3,11 +3,12 @@
 use super::supply::is_up_or_booting;
 use crate::cluster::Cluster;
 
-/// Expensive machines are not needed if spot machines have this many times their CPUs and meet the
-/// whole demand.
+/// Expensive on-demand machines are not needed if spot machines have at least this many times the
+/// CPUs of the on-demand machines and meet the whole demand.
 const SUFFICIENT_SPOT_RATIO: f64 = 4.0;
-/// Expensive machines are not needed if spot machines have this many times their CPUs, whatever the
-/// demand: the capacity that they add is not worth their price.
+/// Expensive on-demand machines are not needed if spot machines have at least this many times the
+/// CPUs of the on-demand machines, whatever the demand: the capacity that on-demand machines add is
+/// not worth their price.
 const DOMINANT_SPOT_RATIO: f64 = 6.0;
 
 /// CPUs of spot machines and of on-demand machines.
--- a/crates/core/src/scaling/supply.rs
+++ b/crates/core/src/scaling/supply.rs
@@ -75,7 +75,8 @@
 }
 
 /// Returns whether the machine's heartbeat is overdue, so that the machine has probably failed. A
-/// replacement may be rented at once; rule S5 decides what happens to its tasks.
+/// replacement may be rented at once. The machine's tasks stay placed until it provably holds none
+/// of them (S5).
 fn is_heartbeat_overdue(machine: &Machine, heartbeat_timeout: Duration, now: Instant) -> bool {
     machine.last_message_at.is_some_and(|at| now.saturating_duration_since(at) > heartbeat_timeout)
 }
