--- a/crates/core/src/job/state.rs
+++ b/crates/core/src/job/state.rs
@@ -17,7 +17,7 @@
 ///
 /// `Closing` is final: the job is removed once none of its tasks is placed. Every change goes
 /// through `Job::transition_to`. When a job leaves `Active`, or is claimed again while `Active`, its
-/// assigned tasks are released and wait again (`Scheduler::change_job`, or `stop_job` when the job
+/// assigned tasks are released and wait again (`Scheduler::change_job`, or `stop_job_tasks` when the job
 /// is closed). Tasks whose start was ordered continue or are stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
--- a/crates/core/src/machine/task_uncertainty.rs
+++ b/crates/core/src/machine/task_uncertainty.rs
@@ -31,7 +31,7 @@
     }
 
     /// Updates whether an inspection is due at `now`.
-    pub(crate) fn update_due(&mut self, now: Instant) {
+    pub(crate) fn update_inspection_due(&mut self, now: Instant) {
         self.is_inspection_due = self.is_inspection_due || now >= self.inspect_from;
     }
 
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -110,13 +110,13 @@
         let demand = demand::total_demand(cluster);
         let supply_cpus = supply::supply_cpus(cluster, &self.rentals_in_flight, now);
         self.scale_out(cluster, demand, supply_cpus, &mut decisions, now);
-        self.scale_out_for_constrained(cluster, &mut decisions, now);
+        self.scale_out_for_constrained_jobs(cluster, &mut decisions, now);
         if is_reconciled {
-            scale_in::drain_expensive(cluster, demand.cpus, &mut decisions);
+            scale_in::drain_expensive_machines(cluster, demand.cpus, &mut decisions);
         }
         let headroom_cpus = self.recent_demand.update(cluster, now);
         let spare = scale_in::SpareCapacity { cpus: supply_cpus - demand.cpus, headroom_cpus };
-        scale_in::drain_idle(cluster, spare, &mut decisions, now);
+        scale_in::drain_idle_machines(cluster, spare, &mut decisions, now);
         decisions
     }
 }
--- a/crates/core/src/scaling/scale_in.rs
+++ b/crates/core/src/scaling/scale_in.rs
@@ -85,7 +85,7 @@
 
 /// Drains the expensive machines once spot machines provide most of the capacity at a far lower
 /// price. Tasks that run on the drained machines may finish, but no new tasks start there.
-pub(super) fn drain_expensive(
+pub(super) fn drain_expensive_machines(
     cluster: &mut Cluster,
     demand_cpus: f64,
     decisions: &mut ScalingDecisions,
@@ -123,7 +123,7 @@
 }
 
 /// Drains idle machines that are not needed, the most expensive ones first.
-pub(super) fn drain_idle(
+pub(super) fn drain_idle_machines(
     cluster: &mut Cluster,
     mut spare: SpareCapacity,
     decisions: &mut ScalingDecisions,
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -41,7 +41,7 @@
     /// Rents the capacity that is missing for jobs bound to a zone, to machine types or to
     /// on-demand machines. Such jobs cannot use spare capacity elsewhere, so only machines that
     /// they may use count as their supply.
-    pub(super) fn scale_out_for_constrained(
+    pub(super) fn scale_out_for_constrained_jobs(
         &mut self,
         cluster: &Cluster,
         decisions: &mut ScalingDecisions,
--- a/crates/core/src/scheduler/claims.rs
+++ b/crates/core/src/scheduler/claims.rs
@@ -60,7 +60,7 @@
             let dead_lettered = record.dead_lettered;
             self.change_job(&id, |job| job.on_reclaimed(record, version, now));
             if dead_lettered {
-                self.stop_job(&id);
+                self.stop_job_tasks(&id);
             }
             return;
         }
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -30,12 +30,12 @@
             _ => return,
         }
         tracing::debug!(job = %id, "job closed");
-        self.stop_job(id);
+        self.stop_job_tasks(id);
         self.remove_job_if_closed(id);
     }
 
     /// Stops all tasks of a job, and releases those whose start was not sent yet.
-    pub(super) fn stop_job(&mut self, id: &JobId) {
+    pub(super) fn stop_job_tasks(&mut self, id: &JobId) {
         for machine in self.cluster.machines.values_mut().filter(|m| m.tasks.has_tasks_of(id)) {
             let stops = stop_tasks_of(machine, id);
             if !stops.is_empty()
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -53,7 +53,7 @@
     /// Machines that have reported our term are inspected: that request does not carry the term, so
     /// another process of the worker does not learn it. All others are fenced with an empty list of
     /// orders, which carries our term.
-    pub fn fence_targets(&self) -> Vec<DirectRequestTarget> {
+    pub fn direct_request_targets(&self) -> Vec<DirectRequestTarget> {
         let targets = self.cluster.machines.values().filter(|machine| {
             !machine.addr.is_empty()
                 && machine.state() != MachineState::Deleting
@@ -146,7 +146,7 @@
         let mut uncertain = Vec::new();
         for machine in self.cluster.machines.values_mut() {
             let Some(uncertainty) = machine.task_uncertainty.as_mut() else { continue };
-            uncertainty.update_due(now);
+            uncertainty.update_inspection_due(now);
             if uncertainty.is_older_than(expiry_timeout, now) {
                 uncertain.push(machine.name.clone());
             }
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -147,7 +147,7 @@
         self.sync_tasks(heartbeat, context);
         self.reconciliation.mark_reconciled(name.as_str(), context.received_at);
         if heartbeat.notice_s.is_some() {
-            self.stop_with_checkpoints(name.as_str());
+            self.stop_tasks_with_checkpoints(name.as_str());
         }
     }
 
@@ -176,7 +176,7 @@
 
     /// Stops the running tasks that save checkpoints on a machine with an interruption notice. Each
     /// task gets the grace period that its job needs to save.
-    fn stop_with_checkpoints(&mut self, name: &str) {
+    fn stop_tasks_with_checkpoints(&mut self, name: &str) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(machine) = machines.get_mut(name) else {
             return;
--- a/crates/core/src/scheduler/orders.rs
+++ b/crates/core/src/scheduler/orders.rs
@@ -15,7 +15,7 @@
 impl Scheduler {
     /// Returns whether a placement pass may assign tasks to a machine that has just sent a
     /// heartbeat: the machine accepts starts and has free CPUs, and tasks wait.
-    pub fn may_start_on(&self, name: &str, now: Instant) -> bool {
+    pub fn may_start_tasks_on(&self, name: &str, now: Instant) -> bool {
         self.cluster.machines.get(name).is_some_and(|machine| {
             machine.can_accept_starts(now, Duration::MAX)
                 && machine.free_resources().is_some_and(|free| free.cpus > 0.0)
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -43,7 +43,7 @@
             steps: self.steps,
             ..Overview::default()
         };
-        self.count_jobs(&mut overview, now);
+        self.add_job_statistics(&mut overview, now);
         for machine in self.cluster.machines.values() {
             match machine.state() {
                 MachineState::Up => overview.machines_up += 1,
@@ -55,7 +55,7 @@
     }
 
     /// Adds the statistics of all claimed jobs and their tasks.
-    fn count_jobs(&self, overview: &mut Overview, now: Instant) {
+    fn add_job_statistics(&self, overview: &mut Overview, now: Instant) {
         for (id, job) in &self.cluster.jobs {
             overview.waiting_tasks += u64::from(job.waiting_tasks());
             overview.running_tasks += u64::from(job.running_tasks);
--- a/crates/core/tests/scheduler/random_faults/machines.rs
+++ b/crates/core/tests/scheduler/random_faults/machines.rs
@@ -55,7 +55,9 @@
 
     /// Sends a direct request to a random machine that needs to be fenced or inspected.
     pub(super) fn send_random_direct_request(&mut self) {
-        let Some(target) = self.scheduler.fence_targets().into_iter().choose(&mut self.rng) else {
+        let Some(target) =
+            self.scheduler.direct_request_targets().into_iter().choose(&mut self.rng)
+        else {
             return;
         };
         self.send_direct_request(&target.machine, target.agent_epoch, target.purpose, Vec::new());
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -191,7 +191,7 @@
         scheduler.on_heartbeat(&heartbeat(4, 1, Vec::new()), true, later);
         assert_eq!(attempt_after_pass(&mut scheduler, later), Some(attempt));
         let purposes: Vec<DirectPurpose> =
-            scheduler.fence_targets().iter().map(|target| target.purpose).collect();
+            scheduler.direct_request_targets().iter().map(|target| target.purpose).collect();
         assert_eq!(purposes.len(), usize::from(is_proof), "inspected only once this is a proof");
         assert!(purposes.iter().all(|purpose| *purpose == DirectPurpose::Inspect));
         let request = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, later);
@@ -240,7 +240,7 @@
     let request = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, now);
     scheduler.on_direct_request_answered(&heartbeat(4, 1, vec![running(attempt)]), request, now);
     assert_eq!(attempt_after_pass(&mut scheduler, now), Some(attempt), "the task still runs");
-    assert!(scheduler.fence_targets().is_empty(), "no inspection is needed any more");
+    assert!(scheduler.direct_request_targets().is_empty(), "no inspection is needed any more");
 }
 
 /// Guards against the same fault for a start that no heartbeat has reported yet.
@@ -264,7 +264,7 @@
     let mut later_epoch = heartbeat(1, 1, Vec::new());
     later_epoch.agent_epoch = AgentEpoch::new(2);
     assert_eq!(scheduler.on_heartbeat(&later_epoch, true, now), Verdict::Stale);
-    assert_eq!(scheduler.fence_targets().len(), 1);
+    assert_eq!(scheduler.direct_request_targets().len(), 1);
     let request = scheduler.begin_direct_request("host-1", DirectPurpose::Inspect, now);
     later_epoch.sequence = 2;
     scheduler.on_direct_request_answered(&later_epoch, request, now);
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -248,6 +248,6 @@
         return None;
     }
     // A leader asks whether a placement pass might start something there before it replies.
-    let _ = scheduler.may_start_on(heartbeat.machine.as_str(), now);
+    let _ = scheduler.may_start_tasks_on(heartbeat.machine.as_str(), now);
     Some(heartbeat)
 }
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -56,7 +56,7 @@
         last_attempts: &HashMap<MachineName, Instant>,
         round_started: Instant,
     ) -> Vec<DirectRequestTarget> {
-        let targets = self.scheduler.borrow().fence_targets();
+        let targets = self.scheduler.borrow().direct_request_targets();
         let in_flight = self.context.leadership.direct_orders.machines();
         let was_tried_recently = |machine: &MachineName| {
             let last_attempt = last_attempts.get(machine);
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -132,7 +132,7 @@
             return refusal;
         }
         self.leadership.record_heartbeat();
-        if scheduler.borrow().may_start_on(heartbeat.machine.as_str(), now()) {
+        if scheduler.borrow().may_start_tasks_on(heartbeat.machine.as_str(), now()) {
             self.leadership.wait_for_pass().await;
         }
         self.hold_answer(&scheduler, heartbeat.machine.as_str()).await;
