--- a/crates/core/src/job/completion.rs
+++ b/crates/core/src/job/completion.rs
@@ -8,7 +8,8 @@
 /// Minimum time between two commits of a job that only store progress.
 const MIN_PROGRESS_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Finished tasks of a job, and the commits that store them (S9).
+/// Finished tasks of a job, and the commits that store them. A worker may forget a finished task only
+/// after the task is stored (S9).
 #[derive(Debug)]
 pub(super) struct Completion {
     /// Tasks that are reported as done, stored or not.
--- a/crates/core/src/job/start_queue.rs
+++ b/crates/core/src/job/start_queue.rs
@@ -37,7 +37,8 @@
     retries: Vec<u32>,
     /// Index of the next task that was never placed.
     next_unplaced: u32,
-    /// Index of the next task that no earlier owner of the job can have started (S7).
+    /// Index of the next task that no earlier owner of the job can have started. Until
+    /// reconciliation is complete, only such tasks are started (S7).
     next_never_started: u32,
     /// Whether the next commit should raise the start watermark.
     is_watermark_raise_due: bool,
--- a/crates/core/src/machine/lease.rs
+++ b/crates/core/src/machine/lease.rs
@@ -3,8 +3,9 @@
 use corkfield_wire::Term;
 use std::time::{Duration, Instant};
 
-/// Upper bound for the last renewal of a worker's lease, and whether the lease has expired (S5,
-/// S6).
+/// Upper bound for the last renewal of a worker's lease, and whether the lease has expired. The
+/// worker's tasks count as stopped only once no controller can have renewed the lease for the lease
+/// expiry timeout (S5). An earlier leader may renew it for a limited time (S6).
 ///
 /// A worker renews its lease when a heartbeat is answered with status 200, by any controller. The
 /// controller can't see whether an answer arrived, so it tracks the latest possible renewal.
--- a/crates/core/src/machine/message_history.rs
+++ b/crates/core/src/machine/message_history.rs
@@ -1,4 +1,4 @@
-//! Order of a worker's messages, and detection of outdated messages (S10).
+//! Order of a worker's messages, and detection of outdated messages, which must be ignored (S10).
 
 use corkfield_wire::worker::WorkerHeartbeat;
 use corkfield_wire::{AgentEpoch, Term};
--- a/crates/core/src/machine/message_ordering.rs
+++ b/crates/core/src/machine/message_ordering.rs
@@ -1,5 +1,5 @@
-//! Proofs that a worker wrote a message after another message, or after it received an answer
-//! (S5a).
+//! Proofs that a worker wrote a message after another message, or after it received an answer. Only
+//! a message with such a proof shows that a task which it lacks is not on the machine (S5a).
 
 use super::{MessageNumber, MessageOrigin, TermExposure};
 use corkfield_wire::worker::ConnectionId;
--- a/crates/core/src/placement/pass.rs
+++ b/crates/core/src/placement/pass.rs
@@ -22,10 +22,11 @@
     /// Usage of each team, indexed by its position in the settings, including the tasks placed in
     /// this pass.
     pub(super) usage: Vec<Usage>,
-    /// Upper bound of the usage by tasks that are not known yet (S8); `None` if there is no known
-    /// bound.
+    /// Upper bound of the usage by tasks that are not known yet, which is counted against each team's
+    /// limit (S8); `None` if no bound is known.
     pub(super) unaccounted_usage: Option<Usage>,
-    /// Whether all tasks that earlier leaders started are accounted for (S7).
+    /// Whether all tasks that earlier leaders started are accounted for. If not, only tasks that no
+    /// earlier leader can have started are placed (S7).
     pub(super) is_reconciled: bool,
     pub(super) rng: &'a mut SmallRng,
     pub(super) actions: &'a mut Vec<Action>,
--- a/crates/core/src/placement/zones.rs
+++ b/crates/core/src/placement/zones.rs
@@ -1,4 +1,5 @@
-//! Constraints on the zones of one job's tasks relative to each other (S8).
+//! Constraints on the zones of one job's tasks relative to each other. They must hold for all placed
+//! tasks of the job, including those that earlier controllers started (S8).
 
 use super::capacity::MachineCapacity;
 use super::MIN_TASK_CPUS;
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -97,8 +97,8 @@
     }
 
     /// Runs one scaling round: rents capacity that the unfinished tasks need, and drains machines
-    /// that they do not need. Expensive machines are drained only after reconciliation, when all
-    /// tasks of earlier leaders are accounted for (S7).
+    /// that they do not need. Expensive machines are drained only when reconciliation is complete:
+    /// all tasks of earlier leaders are then accounted for (S7).
     pub(crate) fn scale(
         &mut self,
         cluster: &mut Cluster,
--- a/crates/core/src/scheduler/closing.rs
+++ b/crates/core/src/scheduler/closing.rs
@@ -47,7 +47,7 @@
         self.release_missing_tasks(id);
     }
 
-    /// Releases the job's placed tasks that their machines don't have (any more).
+    /// Releases the job's placed tasks that are not in their machine's list of tasks.
     fn release_missing_tasks(&mut self, id: &JobId) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let Some(job) = jobs.get_mut(id) else {
@@ -67,8 +67,7 @@
         }
     }
 
-    /// Removes the job if it is closed ([`JobState::Closing`]) and none of its tasks is placed any
-    /// more.
+    /// Removes the job if it is closed ([`JobState::Closing`]) and none of its tasks is placed.
     pub(super) fn remove_job_if_closed(&mut self, id: &JobId) {
         if self.cluster.jobs.get(id).is_some_and(|j| !j.is_live() && j.placements().is_empty()) {
             self.cluster.jobs.remove(id);
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -1,5 +1,5 @@
-//! Completion commits: writes that store finished tasks and start watermarks in the key-value store
-//! (S9).
+//! Completion commits: writes that store finished tasks and start watermarks in the key-value store.
+//! A worker may forget a finished task only after the task is stored (S9).
 
 use super::Scheduler;
 use crate::job::{CommitUrgency, Job};
@@ -12,7 +12,7 @@
 /// the limits of a transaction.
 const MAX_CHUNKS_PER_COMMIT: usize = 2;
 
-/// A conditional write of one job's record that stores finished tasks (S9).
+/// A conditional write of one job's record, which also stores the job's finished tasks.
 #[derive(Debug, Clone)]
 pub struct CompletionCommit {
     /// Id of the job.
@@ -106,7 +106,7 @@
             record.claims -= 1;
         }
         if !storable.tasks.is_empty() {
-            // Progress resets the count of claims (S12).
+            // S12: a commit that stores finished tasks resets the number of claims.
             record.claims = 0;
         }
         job.begin_commit(now);
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -230,8 +230,8 @@
         self.reconciliation.is_complete()
     }
 
-    /// Returns whether the machine may hold tasks of earlier leaders that are not known yet (S7,
-    /// S8).
+    /// Returns whether the machine may hold tasks of earlier leaders that are not known yet. Such
+    /// tasks must not be started again (S7), and must be counted against the teams' limits (S8).
     pub(crate) fn is_unreconciled(&self, machine: &str) -> bool {
         self.reconciliation.contains(machine)
     }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! The leader's scheduler: its view of all jobs and machines, which it rebuilds from stored records
 //! and workers' heartbeats.
 //!
-//! Safety rules are referred to as S1 to S12, their names in `docs/design.md`.
+//! Comments cite the safety rules S1 to S12, which `docs/design.md` defines.
 
 mod action;
 mod claims;
@@ -64,7 +64,7 @@
     pub(crate) passes: u64,
     /// Machine events that have not been logged yet.
     machine_events: MachineEventLog,
-    /// Number of machines and tasks examined in placement passes so far.
+    /// Number of machines and tasks examined in all placement passes so far.
     pub(crate) steps: u64,
 }
 
--- a/crates/core/src/scheduler/tick.rs
+++ b/crates/core/src/scheduler/tick.rs
@@ -59,9 +59,8 @@
         }
     }
 
-    /// Ends the backoffs of jobs whose backoff time has passed, updates since when the waiting jobs
-    /// have no placed task, and backs off jobs whose tasks have failed on every machine that they
-    /// may run on.
+    /// Ends backoffs whose time has passed, records since when jobs have waiting tasks but no placed
+    /// one, and backs off jobs whose tasks have failed on every machine that they may run on.
     fn update_job_timers(&mut self, now: Instant) {
         let Cluster { jobs, machines, .. } = &mut self.cluster;
         let mut failed_everywhere = Vec::new();
