--- a/crates/core/src/job/mod.rs
+++ b/crates/core/src/job/mod.rs
@@ -279,8 +279,8 @@
             .insert(index, TaskPlacement { machine: MachineName::from(machine), attempt });
     }
 
-    /// Releases a task: removes the placement of an attempt that is provably not on the machine.
-    /// The task waits again if it is unfinished.
+    /// Releases a task: removes the placement of an attempt that has exited or is provably not on
+    /// the machine. The task waits again if it is unfinished.
     ///
     /// Does nothing if the task is placed under another attempt: when a worker forgets an earlier
     /// attempt, the later one may still be on the same machine.
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_machine_is_faulty_after_failures_of_two_jobs_or_of_one_that_completes_elsewhere() {
+fn a_machine_is_faulty_after_failures_of_two_jobs_or_of_one_that_completes_tasks() {
     let job = |id| JobId::parse(id).expect("a valid job id");
     let mut health = MachineHealth::default();
     health.record_failure(&job("j-000001"));
--- a/crates/core/src/scheduler/completion_commit.rs
+++ b/crates/core/src/scheduler/completion_commit.rs
@@ -65,8 +65,8 @@
 
 impl Scheduler {
     /// Begins up to `max_commits` completion commits that are due, the most urgent first, then
-    /// those of the jobs whose last commit is the oldest. In the order of their ids, the last of
-    /// hundreds of jobs would never be stored.
+    /// those of the jobs whose last commit is the oldest. If they began in the order of job ids, the
+    /// finished tasks of the last of hundreds of jobs would never be stored.
     ///
     /// The caller must report the outcome of each with [`Self::on_completion_committed`] or
     /// [`Self::on_completion_commit_failed`].
--- a/crates/core/src/scheduler/failover.rs
+++ b/crates/core/src/scheduler/failover.rs
@@ -11,12 +11,12 @@
 use corkfield_wire::{AgentEpoch, MachineName};
 use std::time::{Duration, Instant};
 
-/// Time that machines have after a failover to report their tasks, in addition to one heartbeat
-/// interval.
+/// After a failover, machines have one heartbeat interval plus this time to report their tasks
+/// before they may be deleted as unresponsive.
 const RECONCILIATION_GRACE: Duration = Duration::from_secs(2);
 /// Unresponsive machines are deleted only while at most this many machines are unreconciled, or one
-/// in [`DELETION_LIMIT_DIVISOR`] of all machines if that is more. In a small fleet the limit is
-/// half of the machines, so that most of the fleet is never deleted.
+/// in [`DELETION_LIMIT_DIVISOR`] of all machines if that is more. In a small fleet the limit is at
+/// most half of the machines, so that most of the fleet is never deleted.
 const BASE_DELETION_LIMIT: usize = 2;
 /// See [`BASE_DELETION_LIMIT`].
 const DELETION_LIMIT_DIVISOR: usize = 8;
@@ -218,7 +218,8 @@
         self.reconciliation.machines().filter(is_unresponsive).cloned().collect()
     }
 
-    /// Counts a direct request that a machine's worker did not answer in time.
+    /// Counts a direct request that a machine's worker did not answer in time. A caller that has
+    /// begun a request calls [`Self::on_direct_request_failed`] instead, which calls this method.
     pub fn on_direct_request_unanswered(&mut self, name: &str) {
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.record_unanswered_request();
