--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! State of one machine: its worker, the tasks on it, and how far this leader can trust both.
+//! State of one machine: its worker, the tasks on it, and what is proved about both.
 //!
 //! All knowledge about a machine comes from the messages of its worker, from the cloud's list of
 //! machines, and from the record that an earlier leader stored.
@@ -208,8 +208,8 @@
     }
 
     /// Updates the reachability; all changes go through this method. `delivered` is true if the
-    /// newest heartbeat reports the starts sent before it, or if the worker answered a direct
-    /// request.
+    /// newest heartbeat confirms a start that was sent before it, or if the worker answered a direct
+    /// request. It is false if starts are missing; see [`Reachability`].
     pub(crate) fn update_reachability(&mut self, delivered: bool) {
         let next = self.reachability.after_delivery(delivered);
         if (next == Reachability::Unreachable) != (self.reachability == Reachability::Unreachable) {
@@ -278,8 +278,8 @@
         self.lease.is_expired()
     }
 
-    /// Marks the machine's record as being written and returns the record to store; `None` if the
-    /// record is stored or being written already.
+    /// Marks the machine's record as being written and returns the record to store. Returns `None`
+    /// if the record is stored or being written already.
     pub(crate) fn begin_record_write(&mut self) -> Option<MachineRecord> {
         if self.record_state != RecordState::NotStored {
             return None;
--- a/crates/core/src/placement/long_waiting.rs
+++ b/crates/core/src/placement/long_waiting.rs
@@ -9,8 +9,9 @@
 const MAX_LONG_WAITING_JOBS: usize = 8;
 
 /// A job without a placed task for longer than this gets the next free capacity that fits one of
-/// its tasks, even if that capacity is reserved for an urgent job with larger tasks. Reserved
-/// capacity is idle only briefly, but under sustained overload some machine always has some.
+/// its tasks, even if that capacity is reserved for an urgent job with larger tasks. Each
+/// reservation leaves capacity idle only briefly, but under sustained overload some machine always
+/// has idle reserved capacity.
 const LONG_WAIT_THRESHOLD: Duration = Duration::from_secs(60);
 
 impl Cluster {
--- a/crates/core/src/placement/reservation.rs
+++ b/crates/core/src/placement/reservation.rs
@@ -6,9 +6,9 @@
 use corkfield_wire::JobId;
 
 impl PlacementPass<'_> {
-    /// Reserves capacity for the waiting tasks of an urgent job on machines where it is free or
-    /// becomes free when tasks of lower priority end. Without a reservation, smaller tasks of lower
-    /// priority would fill each gap first.
+    /// Reserves capacity for the waiting tasks of an urgent job, on machines where the capacity is
+    /// free or becomes free when tasks of lower priority end. Without a reservation, smaller tasks
+    /// of lower priority would use the freed capacity first.
     pub(super) fn reserve_for_urgent(&mut self, id: &JobId) {
         let Some(job) = self.cluster.jobs.get(id) else { return };
         let mut unreserved_tasks = job.waiting_tasks();
