--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! State of one machine: its worker, the tasks on it, and how far this leader can trust both.
+//! State of one machine: its worker, the tasks on it, and what is proved about both.
 //!
 //! All knowledge about a machine comes from the messages of its worker, from the cloud's list of
 //! machines, and from the record that an earlier leader stored.
@@ -69,7 +69,7 @@
     pub(crate) machine_type: Option<MachineType>,
     /// Current phase of the machine's life.
     state: MachineState,
-    /// Whether the key-value store has a record that the machine may hold tasks.
+    /// Whether the key-value store has a record which says that the machine may hold tasks.
     pub record_state: RecordState,
     /// Whether the worker no longer accepts orders of earlier leaders (S7).
     pub is_fenced: bool,
@@ -77,11 +77,11 @@
     pub(crate) message_history: MessageHistory,
     /// What is needed to order the worker's messages across restarts of the worker's process.
     pub(crate) ordering_tracker: OrderingTracker,
-    /// Set while the heartbeats don't prove which tasks are on the machine.
+    /// Set while the worker's messages don't prove which tasks are on the machine.
     pub(crate) task_uncertainty: Option<TaskUncertainty>,
     /// The worker's lease.
     pub(crate) lease: WorkerLease,
-    /// Time since which the machine is known to exist.
+    /// Since when the machine is known to exist.
     pub(crate) known_since: Instant,
     /// When the machine was rented; if a heartbeat or a record reported it first, when it became
     /// known to this leader.
@@ -94,7 +94,7 @@
     unanswered_requests: u32,
     /// Whether the cloud has announced that it will reclaim this spot machine.
     pub(crate) has_interruption_notice: bool,
-    /// Time since which scale-in has seen no task on the machine.
+    /// Since when scale-in has found no task on the machine.
     pub(crate) idle_since: Option<Instant>,
     /// Tasks that are, or may be, on the machine.
     pub tasks: MachineTasks,
@@ -154,11 +154,11 @@
         let mut machine = Self::new(MachineName::from(name), machine_type, zone, spot, types, now);
         machine.addr = addr;
         machine.record_state = RecordState::Stored;
-        // The machine existed when the record was stored. So a list of the cloud requested shortly
-        // after the failover already proves that the machine no longer exists if it is missing
-        // there.
+        // The machine existed when the record was stored. So if the machine is missing from a cloud
+        // list that was requested shortly after the failover, that already proves that the machine
+        // no longer exists.
         machine.known_since = now.checked_sub(age).unwrap_or(now);
-        machine.enter(MachineState::Up);
+        machine.transition_to(MachineState::Up);
         machine
     }
 
@@ -189,7 +189,7 @@
 
     /// Changes the machine's state. All changes go through this method, and a machine never leaves
     /// `Deleting`.
-    pub(crate) fn enter(&mut self, state: MachineState) {
+    pub(crate) fn transition_to(&mut self, state: MachineState) {
         if self.state == state || self.state == MachineState::Deleting {
             return;
         }
@@ -208,8 +208,8 @@
     }
 
     /// Updates the reachability; all changes go through this method. `delivered` is true if the
-    /// newest heartbeat reports the starts sent before it, or if the worker answered a direct
-    /// request.
+    /// newest heartbeat confirms a start that was sent before it, or if the worker answered a direct
+    /// request. It is false if starts are missing; see [`Reachability`].
     pub(crate) fn update_reachability(&mut self, delivered: bool) {
         let next = self.reachability.after_delivery(delivered);
         if (next == Reachability::Unreachable) != (self.reachability == Reachability::Unreachable) {
@@ -245,7 +245,8 @@
         self.unanswered_requests
     }
 
-    /// Fences the machine if the heartbeat permits it, and returns whether it is fenced now (S7).
+    /// Marks the machine as fenced if the heartbeat proves that the worker accepts no orders of
+    /// earlier leaders (S7). Returns whether the machine is fenced now.
     ///
     /// A heartbeat under our term proves that the worker drops orders of earlier leaders. A machine
     /// without a record and without tasks needs no such proof: no leader ever gave it a task.
@@ -256,9 +257,9 @@
     }
 
     /// Expires the worker's lease if no controller can have renewed it within the last
-    /// `expiry_after` (S5c). Returns whether the lease expired in this call.
-    pub(crate) fn expire_lease_if_due(&mut self, now: Instant, expiry_after: Duration) -> bool {
-        if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_after) {
+    /// `expiry_timeout` (S5c). Returns whether the lease expired in this call.
+    pub(crate) fn expire_lease_if_due(&mut self, now: Instant, expiry_timeout: Duration) -> bool {
+        if self.state == MachineState::Booting || !self.lease.is_expiry_due(now, expiry_timeout) {
             return false;
         }
         tracing::debug!(machine = %self.name, "worker lease has expired");
@@ -277,8 +278,8 @@
         self.lease.is_expired()
     }
 
-    /// Marks the machine's record as being written and returns the record to store; `None` if the
-    /// record is stored or being written already.
+    /// Marks the machine's record as being written and returns the record to store. Returns `None`
+    /// if the record is stored or being written already.
     pub(crate) fn begin_record_write(&mut self) -> Option<MachineRecord> {
         if self.record_state != RecordState::NotStored {
             return None;
@@ -311,12 +312,12 @@
         Some(free)
     }
 
-    /// Returns whether tasks take much longer here than tasks of the same jobs elsewhere.
+    /// Returns whether tasks take much longer on this machine than the mean run times of their jobs.
     pub(crate) fn is_slow(&self) -> bool {
         self.health.is_slow()
     }
 
-    /// Returns whether a task has failed here since a task last completed here.
+    /// Returns whether a task has failed on this machine since a task last completed on it.
     pub(crate) fn has_failures(&self) -> bool {
         self.health.has_failures()
     }
@@ -341,8 +342,8 @@
         self.tasks.totals().tasks == 0
     }
 
-    /// Returns whether starts may be assigned to the machine. Its newest message must not be older
-    /// than `max_silence`.
+    /// Returns whether tasks may be assigned to the machine and their starts be sent. Its newest
+    /// message must not be older than `max_silence`.
     pub(crate) fn can_accept_starts(&self, now: Instant, max_silence: Duration) -> bool {
         self.state == MachineState::Up
             && self.is_fenced
--- a/crates/core/src/scaling/mod.rs
+++ b/crates/core/src/scaling/mod.rs
@@ -1,4 +1,4 @@
-//! Scaling: rents machines for the unfinished tasks and returns machines that are not needed.
+//! Scaling: rents machines for the unfinished tasks and drains machines that are not needed.
 //!
 //! The [`Autoscaler`] keeps the state between two rounds. Each round compares the [`demand`] with
 //! the [`supply`], rents missing capacity from the cheapest [`offers`] ([`scale_out`]) and drains
@@ -34,7 +34,7 @@
     pub(crate) drained: Vec<DrainedMachine>,
 }
 
-/// A drained machine, which is returned to the cloud once it is empty.
+/// A drained machine, which is deleted once it is empty.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct DrainedMachine {
     pub(crate) name: MachineName,
@@ -54,6 +54,7 @@
 pub(crate) struct Autoscaler {
     /// First term of the leader. It is part of the names of the rental requests.
     term: Term,
+    /// Number of rental requests created so far; the names of the requests contain it.
     requests_sent: u64,
     backoff: OfferBackoff,
     rentals_in_flight: RentalsInFlight,
@@ -96,8 +97,8 @@
     }
 
     /// Runs one scaling round: rents capacity that the unfinished tasks need, and drains machines
-    /// that they do not need. Expensive machines are drained only after reconciliation, when all
-    /// tasks of earlier leaders are accounted for (S7).
+    /// that they do not need. Expensive machines are drained only when reconciliation is complete:
+    /// all tasks of earlier leaders are then accounted for (S7).
     pub(crate) fn scale(
         &mut self,
         cluster: &mut Cluster,
@@ -109,13 +110,13 @@
         let demand = demand::total_demand(cluster);
         let supply_cpus = supply::supply_cpus(cluster, &self.rentals_in_flight, now);
         self.scale_out(cluster, demand, supply_cpus, &mut decisions, now);
-        self.scale_out_for_constrained(cluster, &mut decisions, now);
+        self.scale_out_for_constrained_jobs(cluster, &mut decisions, now);
         if is_reconciled {
-            scale_in::drain_expensive(cluster, demand.cpus, &mut decisions);
+            scale_in::drain_expensive_machines(cluster, demand.cpus, &mut decisions);
         }
         let headroom_cpus = self.recent_demand.update(cluster, now);
         let spare = scale_in::SpareCapacity { cpus: supply_cpus - demand.cpus, headroom_cpus };
-        scale_in::drain_idle(cluster, spare, &mut decisions, now);
+        scale_in::drain_idle_machines(cluster, spare, &mut decisions, now);
         decisions
     }
 }
--- a/crates/core/src/scaling/scale_out.rs
+++ b/crates/core/src/scaling/scale_out.rs
@@ -41,7 +41,7 @@
     /// Rents the capacity that is missing for jobs bound to a zone, to machine types or to
     /// on-demand machines. Such jobs cannot use spare capacity elsewhere, so only machines that
     /// they may use count as their supply.
-    pub(super) fn scale_out_for_constrained(
+    pub(super) fn scale_out_for_constrained_jobs(
         &mut self,
         cluster: &Cluster,
         decisions: &mut ScalingDecisions,
@@ -103,10 +103,10 @@
 }
 
 /// Returns whether an on-demand offer is too expensive to rent. This is the case if its machines
-/// would be drained as soon as they are up. It is also the case while a spot request is unanswered:
-/// the number of available spot machines is unknown until then, and requested offers are missing
-/// from the available ones, so that only expensive offers might remain. If some of the demand must
-/// not run on spot machines, no offer is too expensive.
+/// would be drained as soon as they are up. It is also the case for any expensive offer while a
+/// spot request is unanswered: until then the number of available spot machines is unknown, and
+/// the offers that are requested are not available, so that only expensive offers might remain. If
+/// some of the demand must not run on spot machines, no offer is too expensive.
 fn is_too_expensive(
     offer: &PricedOffer<'_>,
     demand: Demand,
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! The leader's scheduler: its view of all jobs and machines, which it rebuilds from stored records
 //! and workers' heartbeats.
 //!
-//! Safety rules are named S1 to S12 as in `docs/design.md`.
+//! Comments cite the safety rules S1 to S12, which `docs/design.md` defines.
 
 mod action;
 mod claims;
@@ -56,7 +56,7 @@
     pub(crate) actions: Vec<Action>,
     /// Random number generator for sampling machines.
     pub(crate) rng: SmallRng,
-    /// Pending rentals, and the outcome of earlier ones.
+    /// The autoscaler: pending rentals of machines, and the outcome of earlier rentals.
     pub(crate) scaling: Autoscaler,
     /// When pending machine deletions were last requested again.
     last_deletion_retry: Option<Instant>,
@@ -64,7 +64,7 @@
     pub(crate) passes: u64,
     /// Machine events that have not been logged yet.
     machine_events: MachineEventLog,
-    /// Number of machines and tasks examined in placement passes so far.
+    /// Number of machines and tasks examined in all placement passes so far.
     pub(crate) steps: u64,
 }
 
--- a/crates/core/src/scheduler/overview.rs
+++ b/crates/core/src/scheduler/overview.rs
@@ -29,7 +29,7 @@
     pub machines_unreconciled: usize,
     /// Number of placement passes since this controller became the leader.
     pub passes: u64,
-    /// Number of machines and tasks examined in these passes.
+    /// Number of machines and tasks examined in these placement passes.
     pub steps: u64,
 }
 
@@ -43,7 +43,7 @@
             steps: self.steps,
             ..Overview::default()
         };
-        self.count_jobs(&mut overview, now);
+        self.add_job_statistics(&mut overview, now);
         for machine in self.cluster.machines.values() {
             match machine.state() {
                 MachineState::Up => overview.machines_up += 1,
@@ -55,10 +55,10 @@
     }
 
     /// Adds the statistics of all claimed jobs and their tasks.
-    fn count_jobs(&self, overview: &mut Overview, now: Instant) {
+    fn add_job_statistics(&self, overview: &mut Overview, now: Instant) {
         for (id, job) in &self.cluster.jobs {
             overview.waiting_tasks += u64::from(job.waiting_tasks());
-            overview.running_tasks += u64::from(job.running);
+            overview.running_tasks += u64::from(job.running_tasks);
             overview.most_claims = overview.most_claims.max(job.record.claims);
             if job.state() == JobState::DeadLettered {
                 overview.dead_lettered.push(id.clone());
--- a/crates/corkfield/examples/load/simulation.rs
+++ b/crates/corkfield/examples/load/simulation.rs
@@ -253,6 +253,6 @@
         return None;
     }
     // Before it replies, a leader checks whether a placement pass may start tasks on the machine.
-    let _ = scheduler.may_start_on(heartbeat.machine.as_str(), now);
+    let _ = scheduler.may_start_tasks_on(heartbeat.machine.as_str(), now);
     Some(heartbeat)
 }
