--- a/crates/corkfield/src/leadership/actions.rs
+++ b/crates/corkfield/src/leadership/actions.rs
@@ -16,13 +16,13 @@
                 continue;
             }
             let mut records = Vec::new();
-            let mut erased = Vec::new();
+            let mut deleted = Vec::new();
             for action in actions {
                 match action {
                     Action::StoreMachineRecord(machine, record) => {
                         records.push(MachineRecordWrite { machine, record });
                     }
-                    Action::DeleteMachineRecord(machine) => erased.push(machine),
+                    Action::DeleteMachineRecord(machine) => deleted.push(machine),
                     Action::SendHeldAnswer(machine) => {
                         self.context.leadership.held_answers.release(machine.as_str());
                     }
@@ -38,7 +38,7 @@
                     Action::DeleteMachines(machines) => self.return_machines(machines),
                 }
             }
-            self.update_machine_records(records, erased);
+            self.update_machine_records(records, deleted);
         }
     }
 }
--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -92,7 +92,7 @@
         self.claim_next_batch().await;
         let leadership = &self.context.leadership;
         leadership.enter(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
-        leadership.close_all_but(&self.context.replica.contents.borrow().jobs);
+        leadership.close_ended_jobs(&self.context.replica.contents.borrow().jobs);
     }
 
     /// Waits until the replica contains the claim of the leader record, and so every job that
--- a/crates/corkfield/src/leadership/cancelled_jobs.rs
+++ b/crates/corkfield/src/leadership/cancelled_jobs.rs
@@ -10,8 +10,8 @@
 const MAX_CANCELLED_JOBS: usize = 65_536;
 
 /// Jobs that are stored as cancelled in the state service, with the time at which this controller
-/// learned of it. They are kept until the replica is newer than that, so that a lagging replica
-/// does not make the leader claim them again.
+/// learned of the cancellation. A job is kept until the replica is newer than that time, so that a
+/// lagging replica does not make the leader claim them again.
 #[derive(Default)]
 pub(super) struct CancelledJobs {
     known_since: HashMap<JobId, Instant>,
--- a/crates/corkfield/src/leadership/claims.rs
+++ b/crates/corkfield/src/leadership/claims.rs
@@ -16,11 +16,11 @@
 /// Interval at which the replica is checked for job records to claim. A change in the replica
 /// triggers the check earlier.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(250);
-/// If more records than this have to be claimed, a batch contains as many as a transaction may
-/// change.
+/// If more records than this have to be claimed, a batch contains as many records as a transaction
+/// may change.
 const LARGE_BATCH_THRESHOLD: usize = 32;
 /// Pause after a failed read of a job's finished tasks.
-const FINISHED_TASKS_RETRY: Duration = Duration::from_millis(200);
+const FINISHED_TASKS_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Outcome of claiming one batch of job records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -203,8 +203,9 @@
         }
     }
 
-    /// Reads back one record of a claim that was not answered. Returns its version if the claim
-    /// was carried out, which then holds for all records, as they share one transaction.
+    /// Reads back one record of a claim that was not answered. If the claim was carried out,
+    /// returns the version of that record, which all records of the claim have, as they share one
+    /// transaction.
     async fn read_back_claim(&self, record: &JobRecord) -> Option<Revision> {
         let key = job_key(&record.spec.id);
         let item = self.context.env.state.get(RequestClass::Claim, &key).await.ok()??;
@@ -219,7 +220,7 @@
         let id = record.spec.id.clone();
         self.loading_jobs.borrow_mut().insert(id.clone());
         let (context, loading_jobs) = (self.context.clone(), self.loading_jobs.clone());
-        // A weak reference, so that the reads end with the leader that claimed the job.
+        // With a weak reference, the reads end when the leader that claimed the job stops leading.
         let scheduler = Rc::downgrade(&self.scheduler);
         tokio::task::spawn_local(async move {
             while let Some(scheduler) = scheduler.upgrade() {
@@ -229,7 +230,7 @@
                     break;
                 }
                 drop(scheduler);
-                tokio::time::sleep(FINISHED_TASKS_RETRY).await;
+                tokio::time::sleep(FINISHED_TASKS_RETRY_PAUSE).await;
             }
             loading_jobs.borrow_mut().remove(&id);
         });
--- a/crates/corkfield/src/leadership/cloud_inventory.rs
+++ b/crates/corkfield/src/leadership/cloud_inventory.rs
@@ -8,8 +8,9 @@
 use corkfield_wire::records::{MachineTypesRecord, MACHINE_TYPES_KEY};
 use std::time::Duration;
 
-/// The machine list is read once in the time in which the cloud's rate limit allows this many
-/// requests, within [`MIN_LIST_INTERVAL_S`] and [`MAX_LIST_INTERVAL_S`].
+/// The interval between two reads of the machine list is the time in which the cloud's rate limit
+/// allows this many requests, but at least [`MIN_LIST_INTERVAL_S`] and at most
+/// [`MAX_LIST_INTERVAL_S`].
 const REQUESTS_PER_LIST: f64 = 6.0;
 /// Lower bound on the interval between two reads of the machine list, in seconds.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
@@ -19,7 +20,7 @@
 /// Interval between two reads of the machine types.
 const TYPES_INTERVAL: Duration = Duration::from_secs(20);
 /// Pause after a failed read of the machine types.
-const TYPES_RETRY: Duration = Duration::from_secs(1);
+const TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 impl ActiveLeader {
     /// Periodically reads the cloud's list of machines and passes it to the scheduler.
@@ -43,7 +44,7 @@
     }
 
     /// Periodically reads the machine types from the cloud. They are also stored in the state
-    /// service, so that a new leader has them while the cloud does not answer.
+    /// service, so that a new leader knows them even if the cloud does not answer.
     pub(super) async fn refresh_machine_types(&self) {
         loop {
             let pause = match self.context.env.cloud.list_machine_types().await {
@@ -53,7 +54,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "can't read the machine types");
-                    TYPES_RETRY
+                    TYPES_RETRY_PAUSE
                 }
             };
             tokio::time::sleep(pause).await;
--- a/crates/corkfield/src/leadership/completion_commits.rs
+++ b/crates/corkfield/src/leadership/completion_commits.rs
@@ -32,8 +32,8 @@
 const CHUNKS_PER_DELETION: usize = 4;
 
 /// Interval at which due completion commits are collected while none are due. The end of a
-/// placement pass or of a transaction triggers this earlier. What becomes due between two passes is
-/// stored together.
+/// placement pass or of a transaction triggers the next collection earlier. Commits that become due
+/// between two passes are stored together.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after a transaction that failed for another reason than a conflict or a missing answer.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(300);
@@ -178,8 +178,8 @@
     }
 
     /// Reads the job's stored record and finished tasks. Returns `None` if the read fails or the
-    /// record is no longer of the same claim. Closes the job if its record was deleted or claimed
-    /// by another incarnation.
+    /// record was claimed again or deleted in the meantime. Closes the job if its record was
+    /// deleted or claimed by another incarnation.
     async fn read_own_record(&self, id: &JobId, ours: &JobRecord) -> Option<ClaimedJob> {
         let state = &self.context.env.state;
         let read = state.get(RequestClass::Completion, &job_key(id)).await.ok()?;
--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -12,9 +12,9 @@
 pub struct LeadershipContext {
     /// Settings, clients of external services, timers and the random number generator.
     pub env: Rc<Environment>,
-    /// Local copy of the replicated keys of the state service.
+    /// The replica of the state service's records.
     pub replica: Rc<StoreReplica>,
-    /// This controller's lease and membership key.
+    /// This controller's session lease and membership key.
     pub session_lease: Rc<SessionLease>,
     /// Last known state of the other controllers.
     pub peers: Rc<Peers>,
--- a/crates/corkfield/src/leadership/direct_orders.rs
+++ b/crates/corkfield/src/leadership/direct_orders.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time limit of one request to a machine.
+/// Timeout of one request to a machine.
 const DIRECT_ORDER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum number of agent epochs tried per call. A worker in a later agent epoch than the one
 /// known here refuses the orders, and its refusal contains its current agent epoch.
@@ -31,8 +31,8 @@
 
 impl DirectOrdersInFlight {
     /// Counts a request to `machine` until the guard is dropped. Returns `None` if `max` requests
-    /// to all machines are in flight: each takes a socket, and after a failover every machine gets
-    /// one.
+    /// to all machines are in flight: each request takes a socket, and after a failover one is sent
+    /// to every machine.
     fn try_begin<'a>(&'a self, machine: &'a str, max: usize) -> Option<DirectOrderGuard<'a>> {
         let mut by_machine = self.by_machine.borrow_mut();
         if by_machine.values().sum::<usize>() >= max {
@@ -70,7 +70,7 @@
 enum DirectOrderOutcome {
     /// The machine answered, and its answer was passed to the scheduler.
     Answered,
-    /// The machine refused the orders, as it is in this agent epoch.
+    /// The machine's worker refused the orders, because it is in this agent epoch.
     OtherAgentEpoch(AgentEpoch),
     /// The machine gave no usable answer, or one with a higher term than this leader's.
     NoUsableAnswer,
@@ -86,7 +86,7 @@
 }
 
 /// Sends direct orders to a machine, or inspects which tasks it holds, and passes its answer, a
-/// heartbeat, to the scheduler. If this fails, orders are sent again with the answer to the
+/// heartbeat, to the scheduler. If the request fails, orders are sent again with the answer to the
 /// machine's next heartbeat, and fences and inspections are repeated soon after.
 pub(super) async fn send_direct_orders(
     context: &LeadershipContext,
@@ -122,7 +122,7 @@
     let DirectRequest { machine, purpose, .. } = *request;
     let pending = scheduler.borrow_mut().begin_direct_request(machine, purpose, now());
     let term = scheduler.borrow().term();
-    let Some((reply, heartbeat)) = send_http_request(context, request, term).await else {
+    let Some((response, heartbeat)) = send_http_request(context, request, term).await else {
         scheduler.borrow_mut().on_direct_request_failed(machine, pending);
         return DirectOrderOutcome::NoUsableAnswer;
     };
@@ -131,7 +131,7 @@
         context.leadership.record_higher_term(term);
         return DirectOrderOutcome::NoUsableAnswer;
     }
-    let is_refused = reply.status == STATUS_OTHER_AGENT_EPOCH;
+    let is_refused = response.status == STATUS_OTHER_AGENT_EPOCH;
     if is_refused && heartbeat.agent_epoch != request.agent_epoch {
         return DirectOrderOutcome::OtherAgentEpoch(heartbeat.agent_epoch);
     }
@@ -155,20 +155,20 @@
         }
     };
     let client = Client::new(context.env.network.clone(), addr, 1, MAX_ANSWER_BYTES);
-    let reply = match client.request(method, path, &body, DIRECT_ORDER_TIMEOUT).await {
-        Ok(reply) => reply,
+    let response = match client.request(method, path, &body, DIRECT_ORDER_TIMEOUT).await {
+        Ok(response) => response,
         Err(error) => {
             tracing::debug!(machine, ?purpose, %error, "direct orders not answered");
             return None;
         }
     };
-    let heartbeat: WorkerHeartbeat = serde_json::from_slice(&reply.body).ok()?;
+    let heartbeat: WorkerHeartbeat = serde_json::from_slice(&response.body).ok()?;
     if heartbeat.machine.as_str() != machine {
         let answered_by = &heartbeat.machine;
         tracing::debug!(machine, %answered_by, "direct orders answered by another machine");
         return None;
     }
-    Some((reply, heartbeat))
+    Some((response, heartbeat))
 }
 
 #[cfg(test)]
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -13,22 +13,23 @@
 use std::time::{Duration, Instant};
 
 /// Minimum time between two fences of a machine that does not answer.
-const FENCE_RETRY: Duration = Duration::from_millis(1500);
-/// Interval at which machines to fence and higher terms are checked for while there are none.
+const FENCE_RETRY_INTERVAL: Duration = Duration::from_millis(1500);
+/// Interval between two checks for machines to fence, or for higher terms, while there are none.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of machines fenced in one round.
 const MAX_FENCES_PER_ROUND: usize = 64;
 /// Pause after each round, in which its answers are processed.
 const FENCE_ROUND_PAUSE: Duration = Duration::from_millis(50);
 /// Pause after a failed attempt to raise the term.
-const RAISE_TERM_RETRY: Duration = Duration::from_millis(200);
+const RAISE_TERM_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl ActiveLeader {
-    /// Fences every recorded machine by an empty list of orders under this leader's term (S7),
-    /// repeated until the machine has answered, its worker's lease has expired or it is gone.
-    /// Machines are fenced in rounds, as each request takes a socket, and the answers of all
-    /// machines together would delay the heartbeats that arrive at the same time. Machines that the
-    /// scheduler only wants to inspect are handled in the same way.
+    /// Fences every recorded machine by sending it an empty list of orders under this leader's term
+    /// (S7). Fences of a machine are repeated until the machine has answered, its worker's lease
+    /// has expired or the machine no longer exists. Machines are fenced in rounds, as each request
+    /// takes a socket, and the answers of all machines together would delay the heartbeats that
+    /// arrive at the same time. Machines that the scheduler only wants to inspect are handled in
+    /// the same way.
     pub(super) async fn fence_machines(&self) {
         let mut last_attempts: HashMap<MachineName, Instant> = HashMap::new();
         loop {
@@ -60,8 +61,9 @@
         let in_flight = self.context.leadership.direct_orders.machines();
         let was_tried_recently = |machine: &MachineName| {
             let last_attempt = last_attempts.get(machine);
-            last_attempt
-                .is_some_and(|at| round_started.saturating_duration_since(*at) < FENCE_RETRY)
+            last_attempt.is_some_and(|at| {
+                round_started.saturating_duration_since(*at) < FENCE_RETRY_INTERVAL
+            })
         };
         let mut targets: Vec<DirectRequestTarget> = targets
             .into_iter()
@@ -111,7 +113,7 @@
             }
             Err(error) => {
                 tracing::debug!(term = term.get(), %error, "can't raise the term");
-                tokio::time::sleep(RAISE_TERM_RETRY).await;
+                tokio::time::sleep(RAISE_TERM_RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -16,7 +16,8 @@
 /// A leader hands over only after this many heartbeat intervals plus [`HANDOVER_GRACE`] without a
 /// heartbeat.
 const HANDOVER_HEARTBEAT_INTERVALS: f64 = 1.5;
-/// See [`HANDOVER_HEARTBEAT_INTERVALS`].
+/// Fixed part of the time without a heartbeat after which a leader hands over; see
+/// [`HANDOVER_HEARTBEAT_INTERVALS`].
 const HANDOVER_GRACE: Duration = Duration::from_secs(1);
 /// Time for which a transfer request is valid.
 const MAX_TRANSFER_REQUEST_AGE: Duration = Duration::from_secs(3);
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Hands leadership over if this controller receives no heartbeats and another controller,
-    /// which does, has requested a transfer. Returns whether leadership was handed over.
+    /// Hands leadership over if this controller receives no heartbeats and another controller that
+    /// receives some has requested a transfer. Returns whether leadership was handed over.
     async fn try_hand_over(&self) -> bool {
         if !self.is_without_heartbeats() {
             return false;
--- a/crates/corkfield/src/leadership/held_answers.rs
+++ b/crates/corkfield/src/leadership/held_answers.rs
@@ -14,9 +14,9 @@
 }
 
 impl HeldAnswers {
-    /// Registers a held answer, and returns the signal that is notified when it should be sent.
-    /// An answer already held for the machine is no longer released from here; its handler sends it
-    /// after the handler's own time limit.
+    /// Registers a held answer, and returns the signal that is notified when it should be sent. If
+    /// an answer is already held for the machine, its signal is replaced and never notified; the
+    /// handler that holds the answer sends it after its own timeout.
     pub(super) fn hold(&self, machine: &str) -> Rc<Notify> {
         let release_signal = Rc::new(Notify::new());
         self.release_signals
--- a/crates/corkfield/src/leadership/machine_records.rs
+++ b/crates/corkfield/src/leadership/machine_records.rs
@@ -1,4 +1,4 @@
-//! Writes, loads and erases the records of machines that may hold tasks. A machine's record is
+//! Writes, loads and deletes the records of machines that may hold tasks. A machine's record is
 //! stored before the first task is started on the machine.
 
 use super::active_leader::ActiveLeader;
@@ -17,7 +17,7 @@
 /// Maximum number of concurrent writes of machine records.
 const MAX_WRITES_IN_FLIGHT: usize = 4;
 /// Pause after a failed read of the machine records.
-const LOAD_RETRY: Duration = Duration::from_millis(200);
+const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// A machine record to be written.
 pub(super) struct MachineRecordWrite {
@@ -50,8 +50,8 @@
 }
 
 impl ActiveLeader {
-    /// Loads the records of all machines on which earlier leaders may have started tasks into the
-    /// scheduler (S7).
+    /// Loads into the scheduler the records of all machines on which earlier leaders may have
+    /// started tasks, so that these machines are fenced (S7).
     pub(super) async fn load_machine_records(&self) {
         let store = &self.context.env.state;
         loop {
@@ -64,7 +64,7 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "can't read the machine records");
-                    tokio::time::sleep(LOAD_RETRY).await;
+                    tokio::time::sleep(LOAD_RETRY_PAUSE).await;
                 }
             }
         }
@@ -83,24 +83,25 @@
         }
     }
 
-    /// Queues records to be written, and erases the records of machines that no longer exist.
+    /// Queues records to be written, and deletes the records of machines that no longer exist.
     pub(super) fn update_machine_records(
         &self,
         records: Vec<MachineRecordWrite>,
-        erased: Vec<MachineName>,
+        deleted: Vec<MachineName>,
     ) {
         let queue = &self.machine_records;
         if !records.is_empty() {
             queue.pending.borrow_mut().extend(records);
             queue.queue_changed.notify_one();
         }
-        if !erased.is_empty() {
-            // A record written after its machine was erased would delay the next failover.
-            queue.pending.borrow_mut().retain(|write| !erased.contains(&write.machine));
+        if !deleted.is_empty() {
+            // A record that is written after its deletion would delay the next failover.
+            queue.pending.borrow_mut().retain(|write| !deleted.contains(&write.machine));
         }
-        // Hundreds of machines may go at the same time, so their erasures share transactions.
-        for machines in erased.chunks(self.context.max_transaction_changes()) {
-            self.erase_machine_records(machines.to_vec());
+        // Hundreds of machines may disappear at the same time, so deletions of records share
+        // transactions.
+        for machines in deleted.chunks(self.context.max_transaction_changes()) {
+            self.delete_machine_records(machines.to_vec());
         }
     }
 
@@ -148,8 +149,8 @@
     }
 
     /// Erases machine records in the background. A leftover record would delay the next failover,
-    /// so the erasure is retried until it succeeds or another controller leads.
-    fn erase_machine_records(&self, machines: Vec<MachineName>) {
+    /// so the deletion is retried until it succeeds or another controller leads.
+    fn delete_machine_records(&self, machines: Vec<MachineName>) {
         let (context, claim) = (self.context.clone(), self.claim.clone());
         tokio::task::spawn_local(async move {
             loop {
@@ -163,9 +164,9 @@
                 else {
                     return;
                 };
-                tracing::debug!(?machines, %error, "can't erase machine records");
+                tracing::debug!(?machines, %error, "can't delete machine records");
                 // If this leader raised its term in the meantime, the conflict is due to its own
-                // new version of the leader record, and the erasure is retried.
+                // new version of the leader record, and the deletion is retried.
                 if matches!(error, StateError::Conflict(_)) && version == claim.record_version.get()
                 {
                     return;
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -12,7 +12,7 @@
 //! | [`completion_commits`] | stores finished tasks and start watermarks |
 //! | [`placement_passes`] | runs placement passes at a limited rate |
 //! | [`actions`] | carries out the scheduler's decisions |
-//! | [`machine_records`] | writes and erases the records of machines that may hold tasks |
+//! | [`machine_records`] | writes and deletes the records of machines that may hold tasks |
 //! | [`scaling`] | rents and returns machines, and ticks the scheduler's timers |
 //! | [`cloud_inventory`] | reads the cloud's list of machines and the machine types |
 //! | [`fencing`] | fences recorded machines, and raises the term above terms that workers report |
--- a/crates/corkfield/src/leadership/scaling.rs
+++ b/crates/corkfield/src/leadership/scaling.rs
@@ -26,7 +26,7 @@
 /// Maximum number of times that a rental request is sent while it is not answered.
 const MAX_RENTAL_ATTEMPTS: u32 = 4;
 /// Pause between two attempts to send a rental request.
-const RENTAL_RETRY: Duration = Duration::from_millis(500);
+const RENTAL_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl ActiveLeader {
     /// Ticks the scheduler's timers and runs scaling, in an endless loop.
@@ -60,8 +60,8 @@
 
     /// Returns whether this controller may run scaling. Without a valid lease another controller
     /// may lead and use machines that seem idle, silent or not booted from here. But while no
-    /// controller gets answers from the state service, none can have claimed the leader record
-    /// since.
+    /// controller gets answers from the state service, no other controller can have claimed the
+    /// leader record in the meantime.
     fn may_scale(&self) -> bool {
         self.context.has_valid_lease() || self.context.peers.is_store_unreachable_for_all_peers()
     }
@@ -134,7 +134,7 @@
                 // If the cloud carried the request out, it answers the repeated request with the
                 // same machines, as both have the same name.
                 tracing::debug!(%error, request = %request.request, "rental request not answered");
-                tokio::time::sleep(RENTAL_RETRY).await;
+                tokio::time::sleep(RENTAL_RETRY_PAUSE).await;
             }
             Err(error) => {
                 tracing::debug!(%error, request = %request.request, "rental request failed");
--- a/crates/corkfield/src/leadership/shared_state.rs
+++ b/crates/corkfield/src/leadership/shared_state.rs
@@ -128,8 +128,9 @@
         self.actions_pending.notify_one();
     }
 
-    /// Closes all jobs that are not in `unfinished`; see [`Self::close_jobs`].
-    pub fn close_all_but(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
+    /// Closes all jobs that have finished or were cancelled, which are those that are not in
+    /// `unfinished`; see [`Self::close_jobs`].
+    pub fn close_ended_jobs(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
         let Some(scheduler) = self.scheduler() else { return };
         scheduler.borrow_mut().close_ended_jobs(|id| unfinished.contains_key(id));
         self.actions_pending.notify_one();
--- a/crates/corkfield/src/lib.rs
+++ b/crates/corkfield/src/lib.rs
@@ -5,8 +5,9 @@
 //! - `clock`, `responses`, `store_value`, `timers`, `settings`: utilities and settings, used by all
 //!   modules;
 //! - `environment`: settings, clients of external services, random numbers;
-//! - `replica`, `session_lease`, `peers`, `outbox`: the local view of the state service, of this
-//!   controller's lease and of the other controllers;
+//! - `replica`, `session_lease`, `peers`, `outbox`: the replica of the state service's records,
+//!   this controller's session lease, the latest heartbeats of the other controllers, and the
+//!   cancellations that they have not acknowledged yet;
 //! - `leadership`: leader election, and the leader's loops around the scheduler;
 //! - `peer_links`: the connections between controllers;
 //! - `notifications`, `workers`, `users`: handlers of requests;
--- a/crates/corkfield/src/main.rs
+++ b/crates/corkfield/src/main.rs
@@ -1,4 +1,4 @@
-//! The `corkfield` program: command line, and start of a controller.
+//! The `corkfield` program: parses the command line, loads the settings and runs a controller.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -15,12 +15,12 @@
 #[derive(Debug, Parser)]
 #[command(name = "corkfield", version, about)]
 struct Cli {
-    /// The platform's settings file (TOML)
-    #[arg(long, value_name = "FILE", global = true)]
-    config: Option<PathBuf>,
-    /// The operator settings file (JSON; see `corkfield schema`)
-    #[arg(long, value_name = "FILE", env = "CORKFIELD_OPERATOR", global = true)]
-    operator: Option<PathBuf>,
+    /// The platform settings file (TOML): name, addresses, limits and teams of this controller
+    #[arg(long = "config", value_name = "FILE", global = true)]
+    platform_path: Option<PathBuf>,
+    /// The operator settings file (JSON): optional tuning; see `corkfield schema`
+    #[arg(long = "operator", value_name = "FILE", env = "CORKFIELD_OPERATOR", global = true)]
+    operator_path: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -45,10 +45,10 @@
         println!("{}", settings::schema());
         return ExitCode::SUCCESS;
     }
-    let Some(config) = cli.config else {
+    let Some(platform_path) = cli.platform_path else {
         return exit_with_error(ExitCode::from(USAGE_ERROR), "--config FILE is required");
     };
-    let settings = match Settings::load(&config, cli.operator.as_deref()) {
+    let settings = match Settings::load(&platform_path, cli.operator_path.as_deref()) {
         Ok(settings) => settings,
         Err(error) => return exit_with_error(ExitCode::from(USAGE_ERROR), error),
     };
@@ -62,7 +62,8 @@
     run_controller(settings)
 }
 
-/// Runs a controller; returns only if the controller can't start.
+/// Runs a controller. Returns an exit status only if the controller can't start; a controller that
+/// has started runs until the process is killed.
 fn run_controller(settings: Settings) -> ExitCode {
     // A single-threaded runtime: the platform grants a process only a small share of one core.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -12,8 +12,8 @@
 use crate::routes::Routes;
 use crate::session_lease::{LeaseKeeper, SessionLease};
 use crate::settings::{ConnectionLimits, Settings};
-use crate::users::UserRequests;
-use crate::workers::{RedirectedWorkers, WorkerHeartbeats};
+use crate::users::UserRequestHandler;
+use crate::workers::{RedirectedWorkers, WorkerHeartbeatHandler};
 use corkfield_http::net::LocalFuture;
 use corkfield_http::{serve_with_connections, Connections, Limits, Listener, Network, Response};
 use corkfield_wire::records::{JobRecord, Versioned};
@@ -25,8 +25,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often binding a listener is retried after the first attempt failed.
-const LISTEN_RETRIES: u32 = 20;
+/// Maximum number of times that listening on an address is retried after the first attempt failed.
+const MAX_LISTEN_RETRIES: u32 = 20;
+/// Pause between two attempts to listen on an address.
 const LISTEN_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Pause before a loop that ended unexpectedly is restarted.
 const RESTART_PAUSE: Duration = Duration::from_millis(500);
@@ -35,16 +36,16 @@
 struct Components {
     /// Settings, identity, and clients of external services.
     env: Rc<Environment>,
-    /// The local copy of the state service.
+    /// The replica of the state service's records.
     replica: Rc<StoreReplica>,
-    /// This controller's lease.
+    /// This controller's session lease in the state service.
     session_lease: Rc<SessionLease>,
     /// The state of leader election and leadership.
     leadership: Rc<Leadership>,
-    /// The view of the other controllers.
+    /// The latest heartbeats of the other controllers.
     peers: Rc<Peers>,
     /// Cancellations that other controllers have not acknowledged yet.
-    outbox: Rc<CancellationOutbox>,
+    cancellation_outbox: Rc<CancellationOutbox>,
     /// Workers that were recently redirected to the leader.
     redirected_workers: Rc<RedirectedWorkers>,
     /// Counts the open connections of users and workers.
@@ -64,34 +65,45 @@
     },
 }
 
-/// Runs a controller; returns only if the controller can't start. `seed` determines all random
-/// numbers of the process.
+/// Runs a controller. Never returns once the controller listens on its addresses. `seed` determines
+/// all random numbers of the process.
+///
+/// # Errors
+///
+/// If the controller can't listen on one of its addresses.
 pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
     let users_listener = listen(&*network, settings.platform.listen).await?;
     let peers_listener = listen(&*network, settings.platform.peer_listen).await?;
     let components = Components::new(settings, network, seed);
-    let (name, listen) = (&components.env.name, components.env.settings.platform.listen);
-    tracing::info!(controller = %name, %listen, "controller started");
+    let name = &components.env.name;
+    let client_addr = components.env.settings.platform.listen;
+    tracing::info!(controller = %name, listen = %client_addr, "controller started");
     let links = Rc::new(PeerLinks::new(max_queued_frames(
         components.env.settings.connection_limits().accepted,
     )));
-    let workers = Rc::new(build_worker_heartbeats(&components, &links));
-    serve_requests(&components, users_listener, build_routes(&components, &links, &workers));
-    serve_peers(&components, peers_listener, &links, workers);
-    follow_store(&components);
-    maintain_lease(&components);
+    let heartbeat_handler = Rc::new(build_heartbeat_handler(&components, &links));
+    start_http_server(
+        &components,
+        users_listener,
+        build_routes(&components, &links, &heartbeat_handler),
+    );
+    start_peer_links(&components, peers_listener, &links, heartbeat_handler);
+    start_replica_follower(&components);
+    start_lease_keeper(&components);
     run_leadership(&components).await;
     Ok(())
 }
 
-/// Starts to listen on an address; retries while the address is in use.
+/// Starts to listen on an address. After an error of any kind, retries up to [`MAX_LISTEN_RETRIES`]
+/// times.
 async fn listen(network: &dyn Network, addr: SocketAddr) -> Result<Box<dyn Listener>, RunError> {
-    // After a restart the address may still be in use by the previous process for a moment.
+    // The usual error is that the address is still in use by the previous process shortly after a
+    // restart.
     let mut retries = 0;
     loop {
         match network.listen(addr).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if retries >= LISTEN_RETRIES => {
+            Err(error) if retries >= MAX_LISTEN_RETRIES => {
                 return Err(RunError::Listen { addr, error })
             }
             Err(_) => {
@@ -111,7 +123,7 @@
             session_lease: Rc::default(),
             leadership: Rc::default(),
             peers: Rc::default(),
-            outbox: Rc::default(),
+            cancellation_outbox: Rc::default(),
             redirected_workers: Rc::default(),
             connections,
         }
@@ -131,8 +143,11 @@
 }
 
 /// Builds the handler of workers' heartbeats.
-fn build_worker_heartbeats(components: &Components, links: &Rc<PeerLinks>) -> WorkerHeartbeats {
-    WorkerHeartbeats {
+fn build_heartbeat_handler(
+    components: &Components,
+    links: &Rc<PeerLinks>,
+) -> WorkerHeartbeatHandler {
+    WorkerHeartbeatHandler {
         env: components.env.clone(),
         replica: components.replica.clone(),
         leadership: components.leadership.clone(),
@@ -144,9 +159,12 @@
     }
 }
 
-/// Builds the handler of users' requests.
-fn build_user_requests(components: &Components, links: &Rc<PeerLinks>) -> UserRequests {
-    UserRequests {
+/// Builds the handler of users' requests, and of operators' requests to release a job.
+fn build_user_request_handler(
+    components: &Components,
+    links: &Rc<PeerLinks>,
+) -> UserRequestHandler {
+    UserRequestHandler {
         env: components.env.clone(),
         replica: components.replica.clone(),
         notifier: CancellationNotifier {
@@ -155,7 +173,7 @@
             leadership: components.leadership.clone(),
             peers: components.peers.clone(),
             links: links.clone(),
-            outbox: components.outbox.clone(),
+            cancellation_outbox: components.cancellation_outbox.clone(),
         },
     }
 }
@@ -164,11 +182,11 @@
 fn build_routes(
     components: &Components,
     links: &Rc<PeerLinks>,
-    workers: &Rc<WorkerHeartbeats>,
+    heartbeat_handler: &Rc<WorkerHeartbeatHandler>,
 ) -> Routes {
     Routes {
-        users: build_user_requests(components, links),
-        workers: workers.clone(),
+        user_request_handler: build_user_request_handler(components, links),
+        heartbeat_handler: heartbeat_handler.clone(),
         replica: components.replica.clone(),
         peers: components.peers.clone(),
         leadership: components.leadership.clone(),
@@ -176,8 +194,9 @@
     }
 }
 
-/// Starts to serve HTTP requests of users, workers, operators and the load balancer.
-fn serve_requests(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
+/// Starts the HTTP server for requests of users, workers and operators, and for the load balancer's
+/// readiness checks.
+fn start_http_server(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
     let handler = Rc::new(move |request| routes.clone().answer(request));
     tokio::task::spawn_local(serve_with_connections(
@@ -187,18 +206,22 @@
     ));
 }
 
-/// Starts to serve the links that other controllers open, and to maintain a link to each of them.
-fn serve_peers(
+/// Starts to serve the links that other controllers open, and to maintain a link from this
+/// controller to each of them.
+fn start_peer_links(
     components: &Components,
     listener: Box<dyn Listener>,
     links: &Rc<PeerLinks>,
-    workers: Rc<WorkerHeartbeats>,
+    heartbeat_handler: Rc<WorkerHeartbeatHandler>,
 ) {
     let incoming = Rc::new(IncomingLinks {
         env: components.env.clone(),
         peers: components.peers.clone(),
-        outbox: components.outbox.clone(),
-        handler: Rc::new(PeerRequests { workers, leadership: components.leadership.clone() }),
+        cancellation_outbox: components.cancellation_outbox.clone(),
+        handler: Rc::new(PeerRequests {
+            heartbeat_handler,
+            leadership: components.leadership.clone(),
+        }),
     });
     tokio::task::spawn_local(incoming.accept_links(listener));
     let outgoing = Rc::new(OutgoingLinks {
@@ -207,7 +230,7 @@
         session_lease: components.session_lease.clone(),
         leadership: components.leadership.clone(),
         peers: components.peers.clone(),
-        outbox: components.outbox.clone(),
+        cancellation_outbox: components.cancellation_outbox.clone(),
         links: links.clone(),
     });
     for peer in &components.env.settings.platform.peers {
@@ -215,22 +238,23 @@
     }
 }
 
-/// Starts the loops that keep the local copy of the state service up to date.
-fn follow_store(components: &Components) {
+/// Starts the two loops that keep the replica up to date: one follows all changes, the other reads
+/// the state service on request.
+fn start_replica_follower(components: &Components) {
     let follower = Rc::new(ReplicaFollower {
         env: components.env.clone(),
         replica: components.replica.clone(),
         observer: components.leadership.clone(),
     });
-    let refresher = follower.clone();
+    let refresh_follower = follower.clone();
     let watch = move || follower.clone().watch();
     tokio::task::spawn_local(supervise("watch", watch));
-    let serve_refreshes = move || refresher.clone().serve_refreshes();
+    let serve_refreshes = move || refresh_follower.clone().serve_refreshes();
     tokio::task::spawn_local(supervise("refresher", serve_refreshes));
 }
 
-/// Starts the loop that acquires and renews this controller's lease.
-fn maintain_lease(components: &Components) {
+/// Starts the loop that acquires and renews this controller's session lease.
+fn start_lease_keeper(components: &Components) {
     let (env, session_lease) = (components.env.clone(), components.session_lease.clone());
     let keeper = Rc::new(LeaseKeeper { env, session_lease });
     tokio::task::spawn_local(supervise("session lease", move || keeper.clone().maintain()));
@@ -249,8 +273,9 @@
 }
 
 /// Runs a loop forever and restarts it whenever it ends or panics. A fault in one loop must neither
-/// end the controller nor leave it running without that loop; the restarted loop begins from the
-/// stored state.
+/// end the controller nor leave it running without that loop; the restarted loop starts over from
+/// the components, which outlive it. A controller whose leader loop is restarted returns to standby
+/// and must claim the leader record again.
 async fn supervise<F>(name: &str, run: impl Fn() -> F)
 where
     F: Future<Output = ()> + 'static,
@@ -262,15 +287,16 @@
     }
 }
 
-/// A leader closes the jobs that a read shows as finished before the read counts as proof of fresh
-/// state (S6).
+/// The [`ReplicaFollower`] calls these methods after a read has changed the replica and before the
+/// read counts as proof of fresh state (S6). A leader that answers heartbeats on the strength of
+/// that proof has therefore closed the jobs that the read shows as finished or cancelled.
 impl ReplicaObserver for Leadership {
     fn on_jobs_ended(&self, jobs: &[JobId]) {
         self.close_jobs(jobs);
     }
 
     fn on_jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>) {
-        self.close_all_but(unfinished);
+        self.close_ended_jobs(unfinished);
     }
 
     fn needs_prompt_updates(&self) -> bool {
@@ -280,13 +306,13 @@
 
 /// Handles requests of the other controllers: relayed heartbeats and cancellations.
 struct PeerRequests {
-    workers: Rc<WorkerHeartbeats>,
+    heartbeat_handler: Rc<WorkerHeartbeatHandler>,
     leadership: Rc<Leadership>,
 }
 
 impl PeerRequestHandler for PeerRequests {
     fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
-        Box::pin(self.workers.answer_relayed(body))
+        Box::pin(self.heartbeat_handler.answer_relayed_heartbeat(body))
     }
 
     fn on_job_cancelled(&self, id: &JobId) {
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How long the answer to a user waits for the leader's acknowledgement.
-const ACKNOWLEDGEMENT_WAIT: Duration = Duration::from_millis(300);
+const MAX_ACKNOWLEDGEMENT_WAIT: Duration = Duration::from_millis(300);
 
 /// Notifies all controllers of cancellations.
 pub struct CancellationNotifier {
@@ -31,21 +31,21 @@
     /// The links to the other controllers.
     pub links: Rc<PeerLinks>,
     /// Holds the notifications until they are acknowledged.
-    pub outbox: Rc<CancellationOutbox>,
+    pub cancellation_outbox: Rc<CancellationOutbox>,
 }
 
 impl CancellationNotifier {
     /// Notifies all controllers that the state service holds the job as cancelled, and waits up to
-    /// [`ACKNOWLEDGEMENT_WAIT`] for the leader's acknowledgement. Must be called only for a
+    /// [`MAX_ACKNOWLEDGEMENT_WAIT`] for the leader's acknowledgement. Must be called only for a
     /// cancellation that this controller committed or read: a commit without an answer may never
     /// have been executed, so its cancellation must not be announced.
     pub async fn notify_all(&self, id: &JobId) {
         self.leadership.record_cancelled(id);
         let peers = self.env.settings.platform.peers.iter();
-        self.outbox.add_for_all(peers.map(|peer| peer.node.as_str()), id);
+        self.cancellation_outbox.add_for_all(peers.map(|peer| peer.node.as_str()), id);
         let leaders = self.linked_leaders();
-        let acknowledged = self.outbox.wait_until_acknowledged(&leaders, id);
-        let _ = tokio::time::timeout(ACKNOWLEDGEMENT_WAIT, acknowledged).await;
+        let acknowledged = self.cancellation_outbox.wait_until_acknowledged(&leaders, id);
+        let _ = tokio::time::timeout(MAX_ACKNOWLEDGEMENT_WAIT, acknowledged).await;
     }
 
     /// Returns the controllers that may lead and that this controller has a link to.
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -35,7 +35,7 @@
     /// Records the received heartbeats.
     pub peers: Rc<Peers>,
     /// Records which controllers have read the state service.
-    pub outbox: Rc<CancellationOutbox>,
+    pub cancellation_outbox: Rc<CancellationOutbox>,
     /// Handles the peers' requests.
     pub handler: Rc<dyn PeerRequestHandler>,
 }
@@ -77,7 +77,7 @@
             match frame {
                 Frame::PeerHeartbeat(heartbeat) => self.on_heartbeat(heartbeat),
                 Frame::WorkerHeartbeat { number, body } => {
-                    self.answer_relayed(number, body, answers.clone());
+                    self.answer_relayed_heartbeat(number, body, answers.clone());
                 }
                 Frame::Cancelled { jobs } => {
                     self.on_cancelled(&jobs);
@@ -96,14 +96,14 @@
             .filter(|_| heartbeat.store_answers)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
         if let Some(read) = read {
-            self.outbox.record_store_read(heartbeat.node.as_str(), read);
+            self.cancellation_outbox.record_store_read(heartbeat.node.as_str(), read);
         }
         self.peers.record_heartbeat(heartbeat, echoed_sent_at);
     }
 
     /// Answers a relayed heartbeat in a separate task, so that other frames don't wait for the
     /// answer.
-    fn answer_relayed(&self, number: u64, body: Vec<u8>, answers: mpsc::Sender<Frame>) {
+    fn answer_relayed_heartbeat(&self, number: u64, body: Vec<u8>, answers: mpsc::Sender<Frame>) {
         let handler = self.handler.clone();
         tokio::task::spawn_local(async move {
             let Response { status, body, .. } = handler.answer_relayed_heartbeat(&body).await;
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -29,7 +29,7 @@
     /// The heartbeats of the other controllers, which this controller's heartbeats echo.
     pub peers: Rc<Peers>,
     /// The notifications of cancellations to send.
-    pub outbox: Rc<CancellationOutbox>,
+    pub cancellation_outbox: Rc<CancellationOutbox>,
     /// The registry of open links.
     pub links: Rc<PeerLinks>,
 }
@@ -55,7 +55,7 @@
         let timers = &self.env.timers;
         tokio::select! {
             () = self.send_heartbeats(peer, &frames) => {}
-            () = self.outbox.send_notifications(timers, peer, retention, queue_frame) => {}
+            () = self.cancellation_outbox.send_notifications(timers, peer, retention, queue_frame) => {}
             () = self.read_frames(peer, reader) => {}
             () = write_frames(writer, queued) => {}
         }
@@ -77,7 +77,9 @@
                 Frame::Answer { number, status, body } => {
                     self.links.complete_relay(number, Response::new(status, body));
                 }
-                Frame::Acknowledged { jobs } => self.outbox.record_acknowledgement(peer, &jobs),
+                Frame::Acknowledged { jobs } => {
+                    self.cancellation_outbox.record_acknowledgement(peer, &jobs)
+                }
                 Frame::PeerHeartbeat(_)
                 | Frame::WorkerHeartbeat { .. }
                 | Frame::Cancelled { .. } => break,
@@ -117,6 +119,6 @@
             && self.replica.proof_age() > HEARTBEAT_TIMEOUT
             && !self.leadership.is_leading()
             && leader.is_some_and(|leader| leader.as_str() == peer)
-            && self.outbox.has_acknowledged_all(peer)
+            && self.cancellation_outbox.has_acknowledged_all(peer)
     }
 }
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -5,8 +5,8 @@
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
 use crate::responses::{error, json};
-use crate::users::UserRequests;
-use crate::workers::WorkerHeartbeats;
+use crate::users::UserRequestHandler;
+use crate::workers::WorkerHeartbeatHandler;
 use corkfield_http::{Request, Response};
 use corkfield_wire::user::{JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
 use corkfield_wire::worker::PATH_HEARTBEAT;
@@ -98,9 +98,9 @@
 /// Dispatches requests to the components that answer them.
 pub struct Routes {
     /// Answers users' requests.
-    pub users: UserRequests,
+    pub user_request_handler: UserRequestHandler,
     /// Answers workers' heartbeats.
-    pub workers: Rc<WorkerHeartbeats>,
+    pub heartbeat_handler: Rc<WorkerHeartbeatHandler>,
     /// The local copy of the state service, whose age the readiness check uses.
     pub replica: Rc<StoreReplica>,
     /// The other controllers' view of the state service, which the readiness check uses.
@@ -116,13 +116,15 @@
     pub async fn answer(self: Rc<Self>, request: Request) -> Response {
         let body = &request.body;
         match Route::parse(&request.method, request.path()) {
-            Ok(Route::Heartbeat) => self.workers.answer_heartbeat(body, request.connection).await,
+            Ok(Route::Heartbeat) => {
+                self.heartbeat_handler.answer_heartbeat(body, request.connection).await
+            }
             Ok(Route::Ready) => self.ready(),
             Ok(Route::Overview) => leadership::overview(&self.env, &self.replica, &self.leadership),
-            Ok(Route::Release(id)) => self.users.release(&id).await,
-            Ok(Route::Submit) => self.users.submit(body).await,
-            Ok(Route::Query(id)) => self.users.query(&id).await,
-            Ok(Route::Cancel(id)) => self.users.cancel(&id).await,
+            Ok(Route::Release(id)) => self.user_request_handler.release(&id).await,
+            Ok(Route::Submit) => self.user_request_handler.submit(body).await,
+            Ok(Route::Query(id)) => self.user_request_handler.query(&id).await,
+            Ok(Route::Cancel(id)) => self.user_request_handler.cancel(&id).await,
             Err(error) => error.response(),
         }
     }
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -26,7 +26,7 @@
 const CANCEL_RETRY_MS: std::ops::Range<u64> = 5..50;
 
 /// Answers requests of users, and requests of operators to release a job.
-pub struct UserRequests {
+pub struct UserRequestHandler {
     /// Settings, and the client of the state service.
     pub env: Rc<Environment>,
     /// The local copy of the state service.
@@ -35,7 +35,7 @@
     pub notifier: CancellationNotifier,
 }
 
-impl UserRequests {
+impl UserRequestHandler {
     /// Answers a query for a job.
     pub async fn query(&self, id: &JobId) -> Response {
         match tokio::time::timeout(QUERY_TIMEOUT, self.find_job(id)).await {
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -1,6 +1,6 @@
 //! Looks up the stored state of a job.
 
-use super::UserRequests;
+use super::UserRequestHandler;
 use crate::responses::json;
 use corkfield_http::Response;
 use corkfield_state::{RequestClass, StateError};
@@ -56,7 +56,7 @@
     JobView { id: id.clone(), status, done: Some(done), running: Some(running) }
 }
 
-impl UserRequests {
+impl UserRequestHandler {
     /// Looks up the stored state of a job. The result is current at some time after the call.
     pub(super) async fn find_job(&self, id: &JobId) -> Result<StoredJob, LookupError> {
         if let Some(record) = self.replica.contents.borrow().final_record(id) {
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -1,7 +1,7 @@
 //! Answers submissions of jobs.
 
 use super::lookup::job_view;
-use super::{UserRequests, CHANGE_TIMEOUT, STORE_UNAVAILABLE};
+use super::{UserRequestHandler, CHANGE_TIMEOUT, STORE_UNAVAILABLE};
 use crate::clock::unix_time_ms;
 use crate::responses::{error, json, retry_later};
 use corkfield_core::check_schedulable;
@@ -25,7 +25,7 @@
     Unschedulable(String),
 }
 
-impl UserRequests {
+impl UserRequestHandler {
     /// Answers a submission: with status 201 if the job is new, with 200 if it was accepted before
     /// (S2).
     pub async fn submit(&self, body: &[u8]) -> Response {
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -25,15 +25,15 @@
 use std::time::Duration;
 
 /// How long a heartbeat that arrives during a failover waits for the failover to end.
-const FAILOVER_WAIT: Duration = Duration::from_millis(1500);
+const MAX_FAILOVER_WAIT: Duration = Duration::from_millis(1500);
 /// How long the answer to a heartbeat with pending starts waits for a proof of fresh state.
-const START_PROOF_WAIT: Duration = Duration::from_millis(600);
+const MAX_START_PROOF_WAIT: Duration = Duration::from_millis(600);
 /// If the proof of fresh state is older than this, the state service counts as unreachable, and no
 /// heartbeat waits for a new proof.
 const STORE_UNREACHABLE_AGE: Duration = Duration::from_secs(4);
 
 /// Answers workers' heartbeats: as the leader, or by redirecting or relaying them to the leader.
-pub struct WorkerHeartbeats {
+pub struct WorkerHeartbeatHandler {
     /// Settings, and the name and process of this controller.
     pub env: Rc<Environment>,
     /// The local copy of the state service; its freshness limits the possible answers (S4, S6).
@@ -52,7 +52,7 @@
     pub connections: Rc<Connections>,
 }
 
-impl WorkerHeartbeats {
+impl WorkerHeartbeatHandler {
     /// Answers a heartbeat that a worker sent to this controller over the connection with this
     /// number.
     pub async fn answer_heartbeat(&self, body: &[u8], connection: u64) -> Response {
@@ -63,8 +63,8 @@
         let connection = Some(ConnectionId { process: self.env.process, number: connection });
         let received = RelayedHeartbeat { heartbeat, connection };
         if self.leadership.is_leading() && !self.leadership.is_ready() {
-            let _ =
-                tokio::time::timeout(FAILOVER_WAIT, self.leadership.wait_for_preparation()).await;
+            let _ = tokio::time::timeout(MAX_FAILOVER_WAIT, self.leadership.wait_for_preparation())
+                .await;
         }
         if self.leadership.is_ready() {
             self.answer_as_leader(&received).await
@@ -74,7 +74,7 @@
     }
 
     /// Answers a heartbeat that another controller relayed to this one, as the leader.
-    pub async fn answer_relayed(&self, body: &[u8]) -> Response {
+    pub async fn answer_relayed_heartbeat(&self, body: &[u8]) -> Response {
         match serde_json::from_slice(body) {
             Ok(received) if self.leadership.is_ready() => self.answer_as_leader(&received).await,
             _ => retry_later("not the planner"),
@@ -210,7 +210,7 @@
         let has_starts = scheduler.borrow().has_assigned_tasks(machine);
         if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_UNREACHABLE_AGE
         {
-            self.replica.refresh(START_PROOF_WAIT).await;
+            self.replica.refresh(MAX_START_PROOF_WAIT).await;
         }
     }
 
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -13,7 +13,7 @@
 const RELAY_PERIOD: Duration = Duration::from_secs(60);
 /// Maximum number of workers that are tracked. It is above the number of workers of a cluster: only
 /// workers seen within [`RETURN_WINDOW`] are tracked.
-const MAX_REDIRECTED: usize = 32_768;
+const MAX_TRACKED_WORKERS: usize = 32_768;
 
 /// How a worker's heartbeats reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,7 +86,7 @@
         let mut workers = self.workers.borrow_mut();
         let known = workers.get_mut(machine).filter(|worker| !worker.is_expired(at));
         let Some(worker) = known else {
-            if workers.len() < MAX_REDIRECTED || workers.contains_key(machine) {
+            if workers.len() < MAX_TRACKED_WORKERS || workers.contains_key(machine) {
                 workers.insert(MachineName::from(machine), RedirectedWorker::redirected(at));
             }
             return HeartbeatRoute::Redirect;
--- a/crates/corkfield/src/workers/redirects/tests.rs
+++ b/crates/corkfield/src/workers/redirects/tests.rs
@@ -37,10 +37,10 @@
 #[tokio::test(start_paused = true)]
 async fn tracked_workers_are_limited_in_number_and_expire() {
     let workers = RedirectedWorkers::default();
-    for number in 0..=MAX_REDIRECTED {
+    for number in 0..=MAX_TRACKED_WORKERS {
         workers.route_heartbeat(&format!("m-{number}"));
     }
-    assert_eq!(workers.workers.borrow().len(), MAX_REDIRECTED);
+    assert_eq!(workers.workers.borrow().len(), MAX_TRACKED_WORKERS);
     assert_eq!(workers.route_heartbeat("m-0"), HeartbeatRoute::Relay);
     advance(RETURN_WINDOW).await;
     workers.route_heartbeat("m-0");
