--- a/crates/corkfield/src/environment.rs
+++ b/crates/corkfield/src/environment.rs
@@ -17,7 +17,7 @@
 
 /// Shared resources of a controller process.
 pub struct Environment {
-    /// Settings of the platform and of the operators.
+    /// The platform settings and the operator settings.
     pub settings: Settings,
     /// Name of this controller.
     pub name: ControllerName,
--- a/crates/corkfield/src/notifications.rs
+++ b/crates/corkfield/src/notifications.rs
@@ -2,8 +2,8 @@
 //!
 //! The state service may be unreachable for the leader while other controllers commit
 //! cancellations. The notification tells the leader of a cancellation that it can't read, and the
-//! leader stops the job at once. The notifications add to the answer limit (S6), which holds even
-//! if the leader reaches no other controller.
+//! leader stops the job at once. The notifications only shorten the time until the tasks stop: the
+//! answer limit (S6) bounds that time even if the leader reaches no other controller.
 
 use crate::environment::Environment;
 use crate::leadership::Leadership;
@@ -15,14 +15,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the answer to a user waits for the leader's acknowledgement.
+/// Maximum time that the answer to a user waits for the leader's acknowledgement.
 const MAX_ACKNOWLEDGEMENT_WAIT: Duration = Duration::from_millis(300);
 
 /// Notifies all controllers of cancellations.
 pub struct CancellationNotifier {
     /// Settings, which name the other controllers.
     pub env: Rc<Environment>,
-    /// The local copy of the state service, which names the leader.
+    /// The replica, whose leader record names the leader.
     pub replica: Rc<StoreReplica>,
     /// Stops the job's tasks if this controller leads.
     pub leadership: Rc<Leadership>,
--- a/crates/corkfield/src/outbox.rs
+++ b/crates/corkfield/src/outbox.rs
@@ -11,9 +11,9 @@
 
 /// A notification is sent again after this time without an acknowledgement.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum number of unacknowledged notifications for one controller. A receiver keeps as many
-/// cancelled jobs. Notifications are dropped after the time limit of a cancellation, so only some
-/// thousand cancellations a second reach this maximum.
+/// Maximum number of unacknowledged notifications for one controller. A receiver keeps the same
+/// maximum number of cancelled jobs. As notifications are dropped after the time limit of a
+/// cancellation, the maximum is reached only with some thousand cancellations per second.
 const MAX_UNACKNOWLEDGED: usize = 65_536;
 /// Maximum number of notifications in one frame.
 const MAX_JOBS_IN_FRAME: usize = 256;
@@ -31,7 +31,9 @@
     unacknowledged: RefCell<BTreeMap<ControllerName, BTreeMap<JobId, Unacknowledged>>>,
     /// When an unacknowledged notification was last dropped, by controller.
     last_dropped_at: RefCell<BTreeMap<ControllerName, Instant>>,
+    /// Notified when a notification was added.
     added: Notify,
+    /// Notified when a peer has acknowledged notifications.
     acknowledged: Notify,
 }
 
@@ -56,8 +58,9 @@
         !self.has_unacknowledged(peer) && !self.last_dropped_at.borrow().contains_key(peer)
     }
 
-    /// Records that the peer read the state service after `since`. The read contained every
-    /// cancellation whose notification was dropped before `since`.
+    /// Records that the peer made a successful read of the state service that started after
+    /// `since`. The read contained every cancellation whose notification was dropped before
+    /// `since`.
     pub fn record_store_read(&self, peer: &str, since: Instant) {
         self.last_dropped_at
             .borrow_mut()
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -21,8 +21,8 @@
 
 /// Interval of heartbeats, and pause before a lost link is reopened.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a relayed heartbeat waits for the leader's answer. A worker abandons its heartbeat
-/// after 4 s.
+/// Maximum time that a relayed heartbeat waits for the leader's answer. A worker abandons its
+/// heartbeat after 4 s.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Minimum capacity of a link's frame queue. A relayed heartbeat occupies a worker's connection, so
 /// the number of accepted connections bounds the relayed heartbeats without an answer. All workers
@@ -38,7 +38,8 @@
 pub struct PeerLinks {
     /// The frame queues of the open links, by controller.
     queues: RefCell<BTreeMap<ControllerName, mpsc::Sender<Frame>>>,
-    /// The relayed heartbeats without an answer, by number; each sender passes the answer on.
+    /// The relayed heartbeats without an answer, by number. Each sender passes the answer to the
+    /// request that waits for it.
     pending_relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
     last_relay_number: Cell<u64>,
     max_queued: usize,
@@ -80,15 +81,16 @@
         answer
     }
 
-    /// Returns the controllers with an open link that report that they lead, or that are the
-    /// `recorded` leader in the state service.
+    /// Returns the controllers with an open link that report that they lead, or that are named by
+    /// the leader record in the replica (`recorded_leader`).
     pub fn linked_leaders(
         &self,
-        recorded: Option<&ControllerName>,
+        recorded_leader: Option<&ControllerName>,
         peers: &Peers,
     ) -> Vec<ControllerName> {
-        let may_lead =
-            |name: &ControllerName| recorded == Some(name) || peers.is_peer_leading(name.as_str());
+        let may_lead = |name: &ControllerName| {
+            recorded_leader == Some(name) || peers.is_peer_leading(name.as_str())
+        };
         self.queues.borrow().keys().filter(|name| may_lead(name)).cloned().collect()
     }
 
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -23,8 +23,8 @@
     /// Answers a worker's heartbeat that another controller relayed.
     fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response>;
 
-    /// Records another controller's notification that the state service holds the job as cancelled
-    /// (S11).
+    /// Records another controller's notification that the state service holds the job as cancelled,
+    /// so that a leader stops the job's tasks (S11).
     fn on_job_cancelled(&self, id: &JobId);
 }
 
@@ -75,12 +75,12 @@
     async fn read_frames(&self, mut reader: FrameReader, answers: &mpsc::Sender<Frame>) {
         while let Ok(Ok(Some(frame))) = timeout(HEARTBEAT_TIMEOUT * 2, reader.read_frame()).await {
             match frame {
-                Frame::PeerHeartbeat(heartbeat) => self.on_heartbeat(heartbeat),
+                Frame::PeerHeartbeat(heartbeat) => self.on_peer_heartbeat(heartbeat),
                 Frame::WorkerHeartbeat { number, body } => {
                     self.answer_relayed_heartbeat(number, body, answers.clone());
                 }
                 Frame::Cancelled { jobs } => {
-                    self.on_cancelled(&jobs);
+                    self.on_jobs_cancelled(&jobs);
                     let _ = answers.try_send(Frame::Acknowledged { jobs });
                 }
                 Frame::Answer { .. } | Frame::Acknowledged { .. } => return,
@@ -88,15 +88,16 @@
         }
     }
 
-    fn on_heartbeat(&self, heartbeat: PeerHeartbeat) {
+    fn on_peer_heartbeat(&self, heartbeat: PeerHeartbeat) {
         let echoed_sent_at = self.peers.echoed_sent_at(&heartbeat, self.env.process);
         // A peer sets `store_answers` only if its newest successful read started less than
-        // `HEARTBEAT_TIMEOUT` before it sent this heartbeat, so that read started after `read`.
-        let read = echoed_sent_at
+        // `HEARTBEAT_TIMEOUT` before it sent this heartbeat, and it sent this heartbeat after this
+        // controller had sent the echoed one.
+        let read_started_after = echoed_sent_at
             .filter(|_| heartbeat.store_answers)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
-        if let Some(read) = read {
-            self.cancellation_outbox.record_store_read(heartbeat.node.as_str(), read);
+        if let Some(started_after) = read_started_after {
+            self.cancellation_outbox.record_store_read(heartbeat.node.as_str(), started_after);
         }
         self.peers.record_heartbeat(heartbeat, echoed_sent_at);
     }
@@ -111,7 +112,7 @@
         });
     }
 
-    fn on_cancelled(&self, jobs: &[String]) {
+    fn on_jobs_cancelled(&self, jobs: &[String]) {
         let known: Vec<JobId> = jobs.iter().filter_map(|id| JobId::parse(id)).collect();
         known.iter().for_each(|id| self.handler.on_job_cancelled(id));
     }
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -20,11 +20,11 @@
 pub struct OutgoingLinks {
     /// The network, settings, timers, and the name and process of this controller.
     pub env: Rc<Environment>,
-    /// The local copy of the state service, whose freshness and leader heartbeats report.
+    /// The replica: heartbeats report its freshness and the leader that it shows.
     pub replica: Rc<StoreReplica>,
-    /// This controller's lease, whose incarnation heartbeats report.
+    /// This controller's session lease: heartbeats report its incarnation.
     pub session_lease: Rc<SessionLease>,
-    /// The state of leadership: heartbeats report whether this controller leads.
+    /// The state of election and leading: heartbeats report whether this controller leads.
     pub leadership: Rc<Leadership>,
     /// The heartbeats of the other controllers, which this controller's heartbeats echo.
     pub peers: Rc<Peers>,
--- a/crates/corkfield/src/replica.rs
+++ b/crates/corkfield/src/replica.rs
@@ -1,7 +1,8 @@
-//! The local copy of all keys below `c/` in the state service, and its freshness.
+//! The replica: this controller's local copy of all records below `c/` in the state service, and
+//! the proof of the copy's freshness.
 //!
-//! [`ReplicaFollower`] reads the state service and updates the copy; all other components only read
-//! [`StoreReplica`].
+//! [`ReplicaFollower`] reads the state service and updates the replica; all other components only
+//! read [`StoreReplica`].
 
 mod contents;
 mod follower;
@@ -16,24 +17,25 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The local copy of the state service that this controller bases its decisions on.
+/// The local copy of the state service's records, on which this controller bases its decisions.
 ///
-/// A successful read proves that the copy was current when the read started. The start of the
-/// newest successful read is the copy's proof of fresh state (S6).
+/// A successful read proves that the replica was current when the read started. The start of the
+/// newest successful read is the proof of fresh state. The proof's age limits whether a leader may
+/// start tasks (S4) and answer heartbeats (S6).
 #[derive(Default)]
 pub struct StoreReplica {
     /// The records as last read.
     pub contents: RefCell<ReplicaContents>,
-    /// Notified after each read that changed the contents.
+    /// Notified after each complete read, and after each other read that changed the contents.
     pub changed: Notify,
-    /// Whether a complete read was made and every later change has been followed since.
+    /// Whether a complete read was made and no later change was missed.
     synced: Cell<bool>,
     proof: FreshnessProof,
     refresh_queue: RefreshQueue,
 }
 
 impl StoreReplica {
-    /// Returns whether a complete read was made and every later change has been followed since.
+    /// Returns whether a complete read was made and no later change was missed.
     pub fn is_synced(&self) -> bool {
         self.synced.get()
     }
@@ -43,7 +45,7 @@
         self.proof.age()
     }
 
-    /// Returns when the newest successful read started.
+    /// Returns when the newest successful read started; `None` if there was none.
     pub fn proven_at(&self) -> Option<Instant> {
         self.proof.proven_at()
     }
@@ -54,9 +56,10 @@
         since.map_or(Duration::ZERO, |at| now().saturating_duration_since(at))
     }
 
-    /// Waits, for `limit` at most, until the copy contains everything that was stored before the
-    /// call (S1). Returns whether it does. A single read serves all concurrent calls.
-    pub async fn refresh(&self, limit: Duration) -> bool {
-        self.refresh_queue.wait_for_read(limit).await
+    /// Waits, for `timeout` at most, until the replica contains everything that was stored before
+    /// the call, as answers to users require (S1). Returns whether it does. A single read serves
+    /// all concurrent calls.
+    pub async fn refresh(&self, timeout: Duration) -> bool {
+        self.refresh_queue.wait_for_read(timeout).await
     }
 }
--- a/crates/corkfield/src/replica/contents.rs
+++ b/crates/corkfield/src/replica/contents.rs
@@ -1,4 +1,4 @@
-//! The records of the local copy, and the changes that reads apply to them.
+//! The records of the replica, and the changes that reads apply to them.
 
 use crate::clock::now;
 use corkfield_wire::cloud::MachineType;
@@ -17,7 +17,7 @@
 /// Maximum number of final records that are kept.
 const MAX_FINAL_RECORDS: usize = 20_000;
 
-/// Another controller's request to take over leadership, as seen in the local copy.
+/// Another controller's request to take over leadership, as seen in the replica.
 #[derive(Debug, Clone, Copy)]
 struct SeenTransferRequest {
     version: Revision,
@@ -27,7 +27,7 @@
 /// The records below `c/` with their versions, and a cache of final records of jobs.
 #[derive(Default)]
 pub struct ReplicaContents {
-    /// The copy contains all changes up to this revision.
+    /// The revision of the state service up to which the contents include all changes.
     revision: Revision,
     /// The unfinished jobs.
     pub jobs: BTreeMap<JobId, Versioned<JobRecord>>,
@@ -37,7 +37,7 @@
     transfer_requests: BTreeMap<ControllerName, SeenTransferRequest>,
     /// The leader record.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// When the current leader record was first seen.
+    /// When the current leader record was first seen; `None` if none has been seen.
     leader_first_seen: Option<Instant>,
     /// The machine types that the cloud offers; `None` until they are known.
     pub machine_types: Option<Vec<MachineType>>,
@@ -76,7 +76,7 @@
         self.final_records.get(id).cloned()
     }
 
-    /// Returns the revision of the state service up to which the copy contains all changes.
+    /// Returns the revision of the state service up to which the contents include all changes.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -112,7 +112,7 @@
         membership.is_some_and(|membership| membership.record.incarnation == record.incarnation)
     }
 
-    /// Inserts the record stored under a key; ignores keys that the copy doesn't use.
+    /// Inserts the record stored under a key; ignores keys that the replica doesn't use.
     fn insert_item(&mut self, key: &str, value: Value, version: Revision) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             if let Some(record) = decode(key, value) {
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Removes the record of a deleted key.
+    /// Removes the record of a deleted key, if it is the record of a job, a controller or the
+    /// leader. Deleted transfer requests and machine types are kept.
     fn remove_key(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(JobId::parse) {
             self.jobs.remove(&id);
@@ -200,7 +201,8 @@
 pub(super) struct ReadChanges {
     /// Whether any record was inserted or removed.
     pub(super) has_changes: bool,
-    /// Jobs whose record of an unfinished job was deleted.
+    /// Jobs that finished or were cancelled: the records of unfinished jobs that the read shows as
+    /// deleted.
     pub(super) ended_jobs: Vec<JobId>,
 }
 
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -27,12 +27,12 @@
 ///
 /// The methods are called synchronously, after the contents have changed and before the proof is
 /// renewed: a leader that answers heartbeats because of a read must already have closed the jobs
-/// that the read shows as finished, whatever else it is waiting for.
+/// that the read shows as finished or cancelled, whatever else it is waiting for.
 pub trait ReplicaObserver {
-    /// Called with the jobs that are no longer unfinished.
+    /// Called with the jobs that have finished or were cancelled.
     fn on_jobs_ended(&self, jobs: &[JobId]);
 
-    /// Called after the whole copy was replaced, with the records of all unfinished jobs.
+    /// Called after a complete read replaced the contents, with the records of all unfinished jobs.
     fn on_jobs_reloaded(&self, unfinished: &BTreeMap<JobId, Versioned<JobRecord>>);
 
     /// Returns whether this controller needs to see changes with little delay, as a leader does.
@@ -43,7 +43,7 @@
 pub struct ReplicaFollower {
     /// The client of the state service, settings and timers.
     pub env: Rc<Environment>,
-    /// The local copy to update.
+    /// The replica to update.
     pub replica: Rc<StoreReplica>,
     /// Is notified of the changes of each read.
     pub observer: Rc<dyn ReplicaObserver>,
@@ -51,7 +51,7 @@
 
 impl ReplicaFollower {
     /// Follows all changes with one watch after another. Makes a complete read at the start, and
-    /// when the state service no longer keeps the changes after the copy's revision.
+    /// when the state service no longer keeps the changes after the replica's revision.
     pub async fn watch(self: Rc<Self>) {
         loop {
             if self.replica.is_synced() {
@@ -89,9 +89,9 @@
                 let waited = now().saturating_duration_since(started);
                 let is_quiet = events.events.is_empty() && waited >= wait / 2;
                 self.apply_read(events, started);
-                // The proof of fresh state is as old as the watch was long. With an additional
-                // pause a standby would consider the state service unreachable, and would report to
-                // the load balancer that it isn't ready.
+                // After a quiet watch the proof of fresh state is as old as the watch was long.
+                // With an additional pause a standby would consider the state service unreachable,
+                // and would report to the load balancer that it isn't ready.
                 (!is_quiet).then(|| self.watch_pause())
             }
             Err(StateError::RevisionTooOld) => {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Reads the changes since the copy's revision without waiting for new ones. Returns whether
+    /// Reads the changes since the replica's revision without waiting for new ones. Returns whether
     /// the read succeeded.
     async fn read_changes(&self) -> bool {
         let after = self.replica.contents.borrow().revision();
@@ -140,7 +140,7 @@
     }
 
     /// Applies a read that started at `started`. The read becomes the proof of fresh state (S6)
-    /// only after the observer was notified of the ended jobs.
+    /// only after the observer was notified of the jobs that finished or were cancelled.
     fn apply_read(&self, events: Events, started: Instant) {
         let changes = self.replica.contents.borrow_mut().apply_events(events);
         self.observer.on_jobs_ended(&changes.ended_jobs);
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Makes a complete read and replaces the whole copy, unless the copy is newer than the read.
+    /// Makes a complete read and replaces the contents with it, unless the contents are newer than
+    /// the read.
     async fn reload(&self) -> Result<(), StateError> {
         let started = now();
         let (items, revision) = self.env.state.list(RequestClass::Claim, REPLICATED_PREFIX).await?;
--- a/crates/corkfield/src/replica/freshness.rs
+++ b/crates/corkfield/src/replica/freshness.rs
@@ -21,7 +21,7 @@
         self.newest_read.set(self.newest_read.get().max(Some(started)));
     }
 
-    /// Returns when the newest successful read started.
+    /// Returns when the newest successful read started; `None` if there was none.
     pub(super) fn proven_at(&self) -> Option<Instant> {
         self.newest_read.get()
     }
@@ -50,6 +50,7 @@
     newest_ticket: Cell<u64>,
     /// Notified when a ticket is issued.
     requested: Notify,
+    /// The newest served ticket, which the tasks that wait for a read watch.
     served: watch::Sender<ServedTicket>,
 }
 
@@ -64,14 +65,14 @@
 }
 
 impl RefreshQueue {
-    /// Waits for a read that starts after the call. Returns whether it succeeded within `limit`.
-    pub(super) async fn wait_for_read(&self, limit: Duration) -> bool {
+    /// Waits for a read that starts after the call. Returns whether it succeeded within `timeout`.
+    pub(super) async fn wait_for_read(&self, timeout: Duration) -> bool {
         let ticket = self.newest_ticket.get() + 1;
         self.newest_ticket.set(ticket);
         self.requested.notify_one();
         let mut served = self.served.subscribe();
         let wait = served.wait_for(|served| served.ticket >= ticket);
-        let waited = tokio::time::timeout(limit, wait).await;
+        let waited = tokio::time::timeout(timeout, wait).await;
         matches!(waited, Ok(Ok(served)) if served.succeeded)
     }
 
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -19,7 +19,7 @@
 /// service.
 const MAX_READY_PROOF_AGE: Duration = Duration::from_secs(4);
 
-/// The operation that a request asks for.
+/// The operation that a request's method and path ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Route {
     /// A worker's heartbeat.
@@ -101,11 +101,12 @@
     pub user_request_handler: UserRequestHandler,
     /// Answers workers' heartbeats.
     pub heartbeat_handler: Rc<WorkerHeartbeatHandler>,
-    /// The local copy of the state service, whose age the readiness check uses.
+    /// The replica: the readiness check uses the age of its proof of fresh state.
     pub replica: Rc<StoreReplica>,
-    /// The other controllers' view of the state service, which the readiness check uses.
+    /// The latest heartbeats of the other controllers: the readiness check uses whether the state
+    /// service answers any of them.
     pub peers: Rc<Peers>,
-    /// The state of leadership, which the operators' overview shows.
+    /// The state of election and leading, which the operators' overview shows.
     pub leadership: Rc<Leadership>,
     /// Identity and settings of this controller.
     pub env: Rc<Environment>,
@@ -119,7 +120,7 @@
             Ok(Route::Heartbeat) => {
                 self.heartbeat_handler.answer_heartbeat(body, request.connection).await
             }
-            Ok(Route::Ready) => self.ready(),
+            Ok(Route::Ready) => self.answer_readiness_check(),
             Ok(Route::Overview) => leadership::overview(&self.env, &self.replica, &self.leadership),
             Ok(Route::Release(id)) => self.user_request_handler.release(&id).await,
             Ok(Route::Submit) => self.user_request_handler.submit(body).await,
@@ -133,9 +134,9 @@
     /// while another controller can reach it. If no controller can, all of them report ready, also
     /// one that was just restarted: no other controller could serve the users better, and the load
     /// balancer would delay users further once the state service is back.
-    fn ready(&self) -> Response {
-        let stale = !self.replica.is_synced() || self.replica.proof_age() > MAX_READY_PROOF_AGE;
-        if stale && self.peers.has_peer_with_store_access() {
+    fn answer_readiness_check(&self) -> Response {
+        let is_stale = !self.replica.is_synced() || self.replica.proof_age() > MAX_READY_PROOF_AGE;
+        if is_stale && self.peers.has_peer_with_store_access() {
             return error(503, "not ready");
         }
         json(200, &serde_json::json!({"ready": true}))
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -1,4 +1,5 @@
-//! This controller's lease in the state service, and the membership key written under the lease.
+//! This controller's session lease in the state service, and the membership key written under the
+//! lease.
 
 use crate::clock::now;
 use crate::environment::Environment;
@@ -24,7 +25,7 @@
 /// Range of the random pause after a failed attempt to acquire a lease, in milliseconds.
 const ACQUIRE_RETRY_MS: std::ops::Range<u64> = 100..400;
 
-/// The state of this controller's lease, as visible to the other components.
+/// The state of this controller's session lease, as visible to the other components.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
--- a/crates/corkfield/src/settings.rs
+++ b/crates/corkfield/src/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of a controller: the platform's file (TOML), the operators' file (JSON) and logging.
+//! Settings of a controller: the platform settings (TOML file with the controller's name,
+//! addresses, limits and teams), the operator settings (JSON file with optional tuning), and
+//! logging.
 
 mod logging;
 mod operator;
@@ -60,7 +62,7 @@
         /// The operating system's error.
         error: std::io::Error,
     },
-    /// The platform's settings are not valid.
+    /// The platform settings are not valid.
     #[error("{path}: {error}")]
     Platform {
         /// The file.
@@ -68,7 +70,7 @@
         /// The invalid setting.
         error: SettingsError,
     },
-    /// The operators' settings are not valid.
+    /// The operator settings are not valid.
     #[error("{path}: {error}")]
     Operator {
         /// The file.
@@ -94,22 +96,23 @@
 /// The settings of one controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform's settings: names, addresses, limits, teams.
+    /// The platform settings: names, addresses, limits, teams.
     pub platform: Platform,
-    /// The operators' settings.
+    /// The operator settings: optional tuning.
     pub operator: Operator,
 }
 
 impl Settings {
-    /// Reads and checks the platform's file, and the operators' file if there is one.
+    /// Reads and checks the file of platform settings, and the file of operator settings if there
+    /// is one.
     ///
     /// # Errors
     ///
     /// If a file can't be read or its settings are not valid.
-    pub fn load(config: &Path, operator: Option<&Path>) -> Result<Self, LoadError> {
-        let platform = Platform::parse(&read_file(config)?)
-            .map_err(|error| LoadError::Platform { path: config.to_owned(), error })?;
-        let operator = match operator {
+    pub fn load(platform_path: &Path, operator_path: Option<&Path>) -> Result<Self, LoadError> {
+        let platform = Platform::parse(&read_file(platform_path)?)
+            .map_err(|error| LoadError::Platform { path: platform_path.to_owned(), error })?;
+        let operator = match operator_path {
             Some(path) => Operator::parse(&read_file(path)?)
                 .map_err(|error| LoadError::Operator { path: path.to_owned(), error })?,
             None => Operator::default(),
@@ -117,8 +120,8 @@
         Ok(Self { platform, operator })
     }
 
-    /// Returns the maximum number of unfinished jobs. A job takes some KiB of memory, in the local
-    /// copy of the state service and in the leader's scheduler.
+    /// Returns the maximum number of unfinished jobs. A job takes some KiB of memory, in the
+    /// replica and in the leader's scheduler.
     pub fn max_jobs(&self) -> usize {
         self.operator.max_jobs.map_or_else(|| self.max_jobs_for_memory(), |max| max as usize)
     }
--- a/crates/corkfield/src/timers.rs
+++ b/crates/corkfield/src/timers.rs
@@ -26,7 +26,7 @@
 impl AlignedTimers {
     /// Returns the multiple of `period` that is closest to one period from now. It is between half
     /// a period and one and a half periods away.
-    fn next(&self, period: Duration) -> Instant {
+    fn next_tick(&self, period: Duration) -> Instant {
         let period = period.max(MIN_PERIOD);
         let periods = self.started.elapsed().as_secs_f64() / period.as_secs_f64();
         self.started + period.mul_f64((periods + 1.0).round())
@@ -34,12 +34,12 @@
 
     /// Waits for the next multiple of `period`, which is about one period away.
     pub async fn tick(&self, period: Duration) {
-        sleep_until(self.next(period)).await;
+        sleep_until(self.next_tick(period)).await;
     }
 
     /// Waits for `event`, for about one period at most. Returns whether the event occurred.
     pub async fn wait_for_event(&self, period: Duration, event: impl Future<Output = ()>) -> bool {
-        timeout_at(self.next(period), event).await.is_ok()
+        timeout_at(self.next_tick(period), event).await.is_ok()
     }
 }
 
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of a submission or a cancellation. Users wait 5 s for the answer.
+/// Timeout of a submission or a request to cancel a job. Users wait 5 s for the answer.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Reason in the answers that ask users to retry.
 const STORE_UNAVAILABLE: &str = "the state service doesn't answer";
@@ -29,7 +29,7 @@
 pub struct UserRequestHandler {
     /// Settings, and the client of the state service.
     pub env: Rc<Environment>,
-    /// The local copy of the state service.
+    /// The replica of the state service's records.
     pub replica: Rc<StoreReplica>,
     /// Notifies all controllers of cancellations.
     pub notifier: CancellationNotifier,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Answers a request to cancel a job (S11).
+    /// Answers a request to cancel a job. The cancellation is confirmed only once it is stored, and
+    /// the leader stops the job's tasks (S11).
     pub async fn cancel(&self, id: &JobId) -> Response {
         let cancellation = self.cancel_job(id);
         tokio::time::timeout(CHANGE_TIMEOUT, cancellation)
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -9,7 +9,7 @@
 use corkfield_wire::{JobId, JobStatus, Revision};
 use std::time::Duration;
 
-/// Time limit of a query. Users wait 2 s for the answer.
+/// Timeout of a query. Users wait 2 s for the answer.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
 
 /// The stored state of a job, read after the request arrived (S1).
@@ -30,7 +30,7 @@
 /// Why the stored state of a job can't be determined.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LookupError {
-    #[error("the local copy of the state service could not be refreshed")]
+    #[error("the replica could not be refreshed")]
     RefreshFailed,
     #[error("can't read the final record: {0}")]
     Read(#[from] StateError),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Builds the view of a job for users, with the numbers of its done and running tasks.
+/// Builds the view of a job for users, with `done` finished and `running` running tasks.
 pub(super) fn job_view(id: &JobId, status: JobStatus, done: u32, running: u32) -> JobView {
     JobView { id: id.clone(), status, done: Some(done), running: Some(running) }
 }
@@ -68,7 +68,7 @@
         if let Some(found) = self.find_in_replica(id) {
             return Ok(found);
         }
-        // The local copy doesn't follow final records. A job that has neither a record of an
+        // The replica doesn't follow final records. A job that has neither a record of an
         // unfinished job nor a final record was never accepted: the transaction that deletes the
         // former writes the latter.
         let read = self.env.state.get(RequestClass::Query, &final_key(id)).await?;
@@ -80,7 +80,7 @@
         Ok(StoredJob::Final(record))
     }
 
-    /// Looks up a job in the local copy.
+    /// Looks up a job in the replica.
     fn find_in_replica(&self, id: &JobId) -> Option<StoredJob> {
         let contents = self.replica.contents.borrow();
         // Another request may have cached the final record, and answered a user with it, while this
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -24,9 +24,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a heartbeat that arrives during a failover waits for the failover to end.
+/// Maximum time that a heartbeat waits for this controller to finish its preparation as the new
+/// leader.
 const MAX_FAILOVER_WAIT: Duration = Duration::from_millis(1500);
-/// How long the answer to a heartbeat with pending starts waits for a proof of fresh state.
+/// Maximum time that the answer to a heartbeat waits for a new proof of fresh state if starts are
+/// pending for the machine.
 const MAX_START_PROOF_WAIT: Duration = Duration::from_millis(600);
 /// If the proof of fresh state is older than this, the state service counts as unreachable, and no
 /// heartbeat waits for a new proof.
@@ -36,11 +38,12 @@
 pub struct WorkerHeartbeatHandler {
     /// Settings, and the name and process of this controller.
     pub env: Rc<Environment>,
-    /// The local copy of the state service; its freshness limits the possible answers (S4, S6).
+    /// The replica of the state service's records. The age of its proof of fresh state limits
+    /// whether tasks may be started (S4) and heartbeats be answered (S6).
     pub replica: Rc<StoreReplica>,
-    /// The state of leadership, with the scheduler if this controller leads.
+    /// The state of election and leading, with the scheduler if this controller leads.
     pub leadership: Rc<Leadership>,
-    /// This controller's lease, under which a leader may start tasks (S4).
+    /// This controller's session lease, under which a leader may start tasks (S4).
     pub session_lease: Rc<SessionLease>,
     /// The latest heartbeats and attestations of the other controllers.
     pub peers: Rc<Peers>,
@@ -103,7 +106,7 @@
     }
 
     /// Returns the leader's answer for the worker, without the starts whose generation differs from
-    /// the job's record in the local copy.
+    /// that of the job's record in the replica.
     fn filter_relayed_answer(&self, response: Response) -> Response {
         if response.status != 200 {
             return retry_later("the planner has no answer");
@@ -139,7 +142,7 @@
         self.renew_start_proof(&scheduler, heartbeat.machine.as_str()).await;
         // The leader may have changed while the answer was delayed.
         let is_same_scheduler =
-            self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
+            self.leadership.scheduler().is_some_and(|current| Rc::ptr_eq(&current, &scheduler));
         if !is_same_scheduler || !self.may_answer() {
             return json(421, &Redirect { report_to: self.other_leader() });
         }
@@ -204,8 +207,9 @@
     }
 
     /// Waits for a new proof of fresh state if starts are pending for the machine and the proof is
-    /// too old for them (S4). After another controller has confirmed the cancellation of a job,
-    /// tasks of the job can then be started only for about the maximum age of the proof.
+    /// too old for them (S4). This bounds the time for which tasks of a job can still be started
+    /// after another controller has confirmed the job's cancellation: it is about the maximum age
+    /// of the proof.
     async fn renew_start_proof(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let has_starts = scheduler.borrow().has_assigned_tasks(machine);
         if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_UNREACHABLE_AGE
@@ -221,8 +225,8 @@
 
     /// Returns whether a heartbeat may be answered with status 200 (S6). This requires that the
     /// proof of fresh state is younger than the answer limit or, during an outage of the state
-    /// service for all controllers, that the attestations of all other controllers are. It also
-    /// requires that the local copy shows no newer leader.
+    /// service for all controllers, that the attestations of all other controllers are younger than
+    /// it. It also requires that the replica shows no newer leader.
     fn may_answer(&self) -> bool {
         let limit = self.env.settings.answer_limit();
         let is_fresh = self.replica.proof_age() < limit
@@ -230,15 +234,16 @@
         is_fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
     }
 
-    /// Returns how long ago all other controllers attested to the outage, with this controller as
-    /// the leader; `None` if any of them did not.
+    /// Returns the age of the oldest attestation by which another controller confirms that the
+    /// state service is unreachable and that no other controller leads; `None` if any other
+    /// controller has not attested. See [`Peers::attestation_age`].
     fn attestation_age(&self) -> Option<Duration> {
         let term = self.leadership.term()?;
         let proven_at = self.replica.proven_at()?;
         self.peers.attestation_age(&self.env.settings.platform, term, proven_at)
     }
 
-    /// Returns the leader, if it is another controller and its process is present.
+    /// Returns the leader, if it is another controller and still has its membership record.
     fn other_leader(&self) -> Option<ControllerName> {
         let contents = self.replica.contents.borrow();
         let record = &contents.leader.as_ref()?.record;
@@ -247,7 +252,7 @@
     }
 }
 
-/// Returns whether a relayed start has the generation of its job's record in the local copy.
+/// Returns whether a relayed start has the generation of its job's record in the replica.
 fn matches_generation(task: &TaskId, attempt: Attempt, record: Option<&JobRecord>) -> bool {
     let known = record.map(|record| record.generation);
     let is_match = known == Some(attempt.generation());
--- a/crates/corkfield/src/workers/redirects.rs
+++ b/crates/corkfield/src/workers/redirects.rs
@@ -11,8 +11,8 @@
 const RETURN_WINDOW: Duration = Duration::from_secs(12);
 /// After this time a worker whose heartbeats are relayed is redirected to the leader again.
 const RELAY_PERIOD: Duration = Duration::from_secs(60);
-/// Maximum number of workers that are tracked. It is above the number of workers of a cluster: only
-/// workers seen within [`RETURN_WINDOW`] are tracked.
+/// Maximum number of tracked workers, which is above the number of workers of a cluster. Workers
+/// that were not seen for [`RETURN_WINDOW`] are removed.
 const MAX_TRACKED_WORKERS: usize = 32_768;
 
 /// How a worker's heartbeats reach the leader.
@@ -75,14 +75,14 @@
 pub struct RedirectedWorkers {
     /// The tracked workers, by machine.
     workers: RefCell<BTreeMap<MachineName, RedirectedWorker>>,
-    last_swept: Cell<Option<Instant>>,
+    last_removal: Cell<Option<Instant>>,
 }
 
 impl RedirectedWorkers {
     /// Records a worker's heartbeat and returns how it reaches the leader.
     pub fn route_heartbeat(&self, machine: &str) -> HeartbeatRoute {
         let at = now();
-        self.sweep(at);
+        self.remove_expired(at);
         let mut workers = self.workers.borrow_mut();
         let known = workers.get_mut(machine).filter(|worker| !worker.is_expired(at));
         let Some(worker) = known else {
@@ -99,10 +99,11 @@
     }
 
     /// Removes expired workers, at most once per [`RETURN_WINDOW`].
-    fn sweep(&self, at: Instant) {
-        let due = |last_swept: Instant| at.saturating_duration_since(last_swept) >= RETURN_WINDOW;
-        if self.last_swept.get().is_none_or(due) {
-            self.last_swept.set(Some(at));
+    fn remove_expired(&self, at: Instant) {
+        let due =
+            |last_removal: Instant| at.saturating_duration_since(last_removal) >= RETURN_WINDOW;
+        if self.last_removal.get().is_none_or(due) {
+            self.last_removal.set(Some(at));
             self.workers.borrow_mut().retain(|_, worker| !worker.is_expired(at));
         }
     }
