--- a/crates/corkfield/src/leadership/context.rs
+++ b/crates/corkfield/src/leadership/context.rs
@@ -1,4 +1,4 @@
-//! The components of a controller that election and leading use.
+//! The components of a controller that election and leadership use.
 
 use super::state::LeadershipClaim;
 use super::Leadership;
@@ -8,7 +8,7 @@
 use crate::session_lease::SessionLease;
 use std::rc::Rc;
 
-/// Handles to the controller's components, shared by all loops of election and leading.
+/// Handles to the controller's components, shared by all loops of election and leadership.
 pub struct LeadershipContext {
     /// Settings, clients of external services, timers and the random number generator.
     pub env: Rc<Environment>,
--- a/crates/corkfield/src/leadership/election/tests.rs
+++ b/crates/corkfield/src/leadership/election/tests.rs
@@ -12,8 +12,8 @@
     }
 }
 
-/// Returns the condition on the holder's membership key that a claim needs, if any; `None` if the
-/// holder is present, so that the record can't be claimed.
+/// Returns `None` if another holder is present, so that the record can't be claimed, or else the
+/// condition on the holder's membership key that the claim needs, if any.
 fn claim_condition(
     contents: &ReplicaContents,
     record: &LeaderRecord,
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -78,9 +78,9 @@
     /// this controller.
     fn is_without_heartbeats(&self) -> bool {
         let workers = &self.context.env.settings.platform.params.workers;
-        let limit =
+        let max_silence =
             workers.heartbeat_interval().mul_f64(HANDOVER_HEARTBEAT_INTERVALS) + HANDOVER_GRACE;
-        self.context.leadership.time_since_heartbeat().is_some_and(|elapsed| elapsed >= limit)
+        self.context.leadership.time_since_heartbeat().is_some_and(|elapsed| elapsed >= max_silence)
     }
 
     /// Returns another controller that has a valid transfer request.
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Runs election and leading in an endless loop: stays on standby until the leader record can be
+/// Runs election and leadership in an endless loop: stays on standby until the leader record can be
 /// claimed, then leads.
 pub async fn run(context: Rc<LeadershipContext>) {
     enter_standby(&context);
--- a/crates/corkfield/src/leadership/shared_state.rs
+++ b/crates/corkfield/src/leadership/shared_state.rs
@@ -1,4 +1,4 @@
-//! The state of election and leading that request handlers share with the leader's loops.
+//! The state of election and leadership that request handlers share with the leader's loops.
 
 use super::cancelled_jobs::CancelledJobs;
 use super::direct_orders::DirectOrdersInFlight;
@@ -20,7 +20,7 @@
 /// Maximum time that a heartbeat waits for a placement pass.
 const MAX_PASS_WAIT: Duration = Duration::from_secs(1);
 
-/// State of election and leading, shared with the handlers of requests from users, workers and
+/// State of election and leadership, shared with the handlers of requests from users, workers and
 /// peers.
 #[derive(Default)]
 pub struct Leadership {
@@ -53,10 +53,10 @@
     /// Changes the state. When this controller stops leading, all held answers are released and all
     /// tasks that wait for preparation or for a placement pass are woken.
     pub(super) fn enter(&self, next: LeadershipState) {
-        let starts_serving = next.scheduler().is_some();
+        let has_scheduler = next.scheduler().is_some();
         let is_without_claim = next.claim().is_none();
         let previous = self.state.replace(next);
-        if starts_serving {
+        if has_scheduler {
             self.preparation_ended.notify_waiters();
         }
         if is_without_claim && previous.claim().is_some() {
@@ -137,9 +137,9 @@
     }
 
     /// Records that the state service holds the job as cancelled, and closes the job. This
-    /// controller committed the cancellation, or was notified by another one that committed or read
-    /// it. The replica may not show it yet, as it may lag or the state service may refuse this
-    /// controller.
+    /// controller committed or read the cancellation itself, or was notified by another controller
+    /// that did. The replica may not show it yet, as it may lag or the state service may refuse
+    /// this controller.
     pub fn record_cancelled(&self, id: &JobId) {
         self.cancelled.borrow_mut().insert(id, now());
         self.close_jobs(std::slice::from_ref(id));
--- a/crates/corkfield/src/leadership/state.rs
+++ b/crates/corkfield/src/leadership/state.rs
@@ -1,4 +1,4 @@
-//! States of a controller in election and leading.
+//! States of a controller in election and leadership.
 
 use crate::clock::now;
 use crate::session_lease::CurrentLease;
@@ -20,7 +20,7 @@
     pub(super) record_version: Cell<Revision>,
 }
 
-/// State of a controller in election and leading.
+/// State of a controller in election and leadership.
 ///
 /// | from | to | when |
 /// | --- | --- | --- |
@@ -31,7 +31,7 @@
 /// | `Preparing`, `Leading` | `Standby` | [`LeadershipEnd`], or a loop of the leader panics |
 #[derive(Default)]
 pub(super) enum LeadershipState {
-    /// Another controller leads, or no controller can.
+    /// This controller neither leads nor claims the leader record.
     #[default]
     Standby,
     /// This controller is claiming the leader record.
--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -72,8 +72,8 @@
 ///
 /// If the controller can't listen on one of its addresses.
 pub async fn run(settings: Settings, network: Rc<dyn Network>, seed: u64) -> Result<(), RunError> {
-    let users_listener = listen(&*network, settings.platform.listen).await?;
-    let peers_listener = listen(&*network, settings.platform.peer_listen).await?;
+    let client_listener = listen(&*network, settings.platform.listen).await?;
+    let peer_listener = listen(&*network, settings.platform.peer_listen).await?;
     let components = Components::new(settings, network, seed);
     let name = &components.env.name;
     let client_addr = components.env.settings.platform.listen;
@@ -84,10 +84,10 @@
     let heartbeat_handler = Rc::new(build_heartbeat_handler(&components, &links));
     start_http_server(
         &components,
-        users_listener,
+        client_listener,
         build_routes(&components, &links, &heartbeat_handler),
     );
-    start_peer_links(&components, peers_listener, &links, heartbeat_handler);
+    start_peer_links(&components, peer_listener, &links, heartbeat_handler);
     start_replica_follower(&components);
     start_lease_keeper(&components);
     run_leadership(&components).await;
@@ -198,7 +198,7 @@
 /// readiness checks.
 fn start_http_server(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
-    let handler = Rc::new(move |request| routes.clone().answer(request));
+    let handler = Rc::new(move |request| routes.clone().answer_request(request));
     tokio::task::spawn_local(serve_with_connections(
         listener,
         components.connections.clone(),
@@ -218,7 +218,7 @@
         env: components.env.clone(),
         peers: components.peers.clone(),
         cancellation_outbox: components.cancellation_outbox.clone(),
-        handler: Rc::new(PeerRequests {
+        handler: Rc::new(PeerRequestDispatcher {
             heartbeat_handler,
             leadership: components.leadership.clone(),
         }),
@@ -288,8 +288,8 @@
 }
 
 /// The [`ReplicaFollower`] calls these methods after a read has changed the replica and before the
-/// read counts as proof of fresh state (S6). A leader that answers heartbeats on the strength of
-/// that proof has therefore closed the jobs that the read shows as finished or cancelled.
+/// read counts as proof of fresh state (S6). A leader that answers heartbeats under that proof has
+/// therefore already closed the jobs that the read shows as finished or cancelled.
 impl ReplicaObserver for Leadership {
     fn on_jobs_ended(&self, jobs: &[JobId]) {
         self.close_jobs(jobs);
@@ -304,13 +304,14 @@
     }
 }
 
-/// Handles requests of the other controllers: relayed heartbeats and cancellations.
-struct PeerRequests {
+/// Passes requests of the other controllers on: relayed heartbeats to the heartbeat handler, and
+/// notifications of cancellations to the leadership.
+struct PeerRequestDispatcher {
     heartbeat_handler: Rc<WorkerHeartbeatHandler>,
     leadership: Rc<Leadership>,
 }
 
-impl PeerRequestHandler for PeerRequests {
+impl PeerRequestHandler for PeerRequestDispatcher {
     fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response> {
         Box::pin(self.heartbeat_handler.answer_relayed_heartbeat(body))
     }
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -41,7 +41,10 @@
     /// The relayed heartbeats without an answer, by number. Each sender passes the answer to the
     /// request that waits for it.
     pending_relays: RefCell<BTreeMap<u64, oneshot::Sender<Response>>>,
+    /// Number of the last relayed heartbeat.
     last_relay_number: Cell<u64>,
+    /// Maximum number of frames in the queue of each link, and of relayed heartbeats without an
+    /// answer.
     max_queued: usize,
 }
 
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -24,7 +24,7 @@
     pub replica: Rc<StoreReplica>,
     /// This controller's session lease: heartbeats report its incarnation.
     pub session_lease: Rc<SessionLease>,
-    /// The state of election and leading: heartbeats report whether this controller leads.
+    /// The state of election and leadership: heartbeats report whether this controller leads.
     pub leadership: Rc<Leadership>,
     /// The heartbeats of the other controllers, which this controller's heartbeats echo.
     pub peers: Rc<Peers>,
--- a/crates/corkfield/src/peers.rs
+++ b/crates/corkfield/src/peers.rs
@@ -53,9 +53,10 @@
 /// Tracks the heartbeats received from and sent to the other controllers.
 #[derive(Default)]
 pub struct Peers {
-    last: RefCell<BTreeMap<ControllerName, LastHeartbeat>>,
+    /// The latest heartbeat of each controller.
+    last_heartbeats: RefCell<BTreeMap<ControllerName, LastHeartbeat>>,
     /// The heartbeats sent to each controller, oldest first.
-    sent: RefCell<BTreeMap<ControllerName, VecDeque<SentHeartbeat>>>,
+    sent_heartbeats: RefCell<BTreeMap<ControllerName, VecDeque<SentHeartbeat>>>,
 }
 
 impl Peers {
@@ -64,7 +65,7 @@
     /// [`MAX_PEERS`] controllers are known already.
     pub fn record_heartbeat(&self, heartbeat: PeerHeartbeat, echoed_sent_at: Option<Instant>) {
         let (peer, received_at) = (heartbeat.node.clone(), now());
-        let mut last = self.last.borrow_mut();
+        let mut last = self.last_heartbeats.borrow_mut();
         if last.len() >= MAX_PEERS && !last.contains_key(&peer) {
             return;
         }
@@ -86,7 +87,7 @@
     /// process. Returns `None` if the echoed heartbeat was sent by an earlier process of this
     /// controller: its number may equal that of a different heartbeat of this process.
     pub fn echoed_sent_at(&self, heartbeat: &PeerHeartbeat, process: u64) -> Option<Instant> {
-        let sent = self.sent.borrow();
+        let sent = self.sent_heartbeats.borrow();
         let mut to_peer = sent.get(&heartbeat.node)?.iter();
         let echoed = to_peer.find(|sent| sent.number == heartbeat.last_received_number)?;
         (heartbeat.last_received_process == process).then_some(echoed.sent_at)
@@ -94,7 +95,7 @@
 
     /// Records that a heartbeat to the peer is sent now; returns the number of the heartbeat.
     pub fn record_sent_heartbeat(&self, peer: &str) -> u64 {
-        let mut sent = self.sent.borrow_mut();
+        let mut sent = self.sent_heartbeats.borrow_mut();
         let to_peer = sent.entry(ControllerName::from(peer)).or_default();
         let number = to_peer.back().map_or(0, |newest| newest.number) + 1;
         to_peer.push_back(SentHeartbeat { number, sent_at: now() });
@@ -106,7 +107,7 @@
 
     /// Returns the received heartbeat that the next heartbeat to the peer echoes.
     pub fn echo_for(&self, peer: &str) -> Echo {
-        let last = self.last.borrow();
+        let last = self.last_heartbeats.borrow();
         last.get(peer).map_or_else(Echo::default, |last| Echo {
             number: last.heartbeat.number,
             process: last.heartbeat.process,
@@ -128,7 +129,7 @@
         if platform.peers.len() + 1 < platform.params.size as usize {
             return None;
         }
-        let last = self.last.borrow();
+        let last = self.last_heartbeats.borrow();
         let attested = platform.peers.iter().map(|peer| {
             let last = last.get(&peer.node)?;
             let is_valid = last.heartbeat.term == term && last.process_first_seen < proven_at;
@@ -140,20 +141,23 @@
 
     /// Returns whether another controller recently reported that the state service answers it.
     pub fn has_peer_with_store_access(&self) -> bool {
-        self.last.borrow().values().any(|last| last.heartbeat.store_answers && last.is_recent())
+        self.last_heartbeats
+            .borrow()
+            .values()
+            .any(|last| last.heartbeat.store_answers && last.is_recent())
     }
 
     /// Returns whether other controllers sent heartbeats recently and the state service answers
     /// none of them. The outage then doesn't affect this controller alone.
     pub fn is_store_unreachable_for_all_peers(&self) -> bool {
-        let last = self.last.borrow();
+        let last = self.last_heartbeats.borrow();
         let mut others = last.values().filter(|last| last.is_recent()).peekable();
         others.peek().is_some() && others.all(|last| !last.heartbeat.store_answers)
     }
 
     /// Returns whether the peer recently reported that it leads.
     pub fn is_peer_leading(&self, peer: &str) -> bool {
-        let last = self.last.borrow();
+        let last = self.last_heartbeats.borrow();
         last.get(peer).is_some_and(|last| last.heartbeat.leading && last.is_recent())
     }
 }
--- a/crates/corkfield/src/peers/tests.rs
+++ b/crates/corkfield/src/peers/tests.rs
@@ -28,7 +28,7 @@
     let sent = now();
     assert_eq!(peers.record_sent_heartbeat("q"), 1);
     tokio::time::advance(Duration::from_secs(9)).await;
-    let attested = |peers: &Peers| peers.last.borrow()["q"].attested_at;
+    let attested = |peers: &Peers| peers.last_heartbeats.borrow()["q"].attested_at;
     let record = |heartbeat: PeerHeartbeat| {
         peers.record_heartbeat(heartbeat.clone(), peers.echoed_sent_at(&heartbeat, 7))
     };
--- a/crates/corkfield/src/replica/contents/tests.rs
+++ b/crates/corkfield/src/replica/contents/tests.rs
@@ -3,13 +3,13 @@
 
 #[test]
 fn an_older_overlapping_read_never_reverts_a_newer_one() {
-    let session_lease = |lease| {
+    let membership = |lease| {
         serde_json::to_value(Membership { incarnation: Incarnation::from("a"), lease })
             .expect("serializable")
     };
     let key = format!("{CONTROLLERS_PREFIX}n");
     let put = |number| {
-        let (value, version) = (session_lease(number), Revision::new(number));
+        let (value, version) = (membership(number), Revision::new(number));
         Event::Put { key: key.clone(), value, version }
     };
     let delete = |number| Event::Delete { key: key.clone(), version: Revision::new(number) };
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -106,7 +106,7 @@
     /// The latest heartbeats of the other controllers: the readiness check uses whether the state
     /// service answers any of them.
     pub peers: Rc<Peers>,
-    /// The state of election and leading, which the operators' overview shows.
+    /// The state of election and leadership, which the operators' overview shows.
     pub leadership: Rc<Leadership>,
     /// Identity and settings of this controller.
     pub env: Rc<Environment>,
@@ -114,7 +114,7 @@
 
 impl Routes {
     /// Answers a request of a user, a worker, an operator or the load balancer.
-    pub async fn answer(self: Rc<Self>, request: Request) -> Response {
+    pub async fn answer_request(self: Rc<Self>, request: Request) -> Response {
         let body = &request.body;
         match Route::parse(&request.method, request.path()) {
             Ok(Route::Heartbeat) => {
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -41,7 +41,7 @@
     /// The replica of the state service's records. The age of its proof of fresh state limits
     /// whether tasks may be started (S4) and heartbeats be answered (S6).
     pub replica: Rc<StoreReplica>,
-    /// The state of election and leading, with the scheduler if this controller leads.
+    /// The state of election and leadership, with the scheduler if this controller leads.
     pub leadership: Rc<Leadership>,
     /// This controller's session lease, under which a leader may start tasks (S4).
     pub session_lease: Rc<SessionLease>,
@@ -228,9 +228,9 @@
     /// service for all controllers, that the attestations of all other controllers are younger than
     /// it. It also requires that the replica shows no newer leader.
     fn may_answer(&self) -> bool {
-        let limit = self.env.settings.answer_limit();
-        let is_fresh = self.replica.proof_age() < limit
-            || self.attestation_age().is_some_and(|age| age < limit);
+        let answer_limit = self.env.settings.answer_limit();
+        let is_fresh = self.replica.proof_age() < answer_limit
+            || self.attestation_age().is_some_and(|age| age < answer_limit);
         is_fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
     }
 
