--- a/crates/corkfield/src/leadership/cancelled_jobs.rs
+++ b/crates/corkfield/src/leadership/cancelled_jobs.rs
@@ -11,7 +11,7 @@
 
 /// Jobs that are stored as cancelled in the state service, with the time at which this controller
 /// learned of the cancellation. A job is kept until the replica is newer than that time, so that a
-/// lagging replica does not make the leader claim them again.
+/// lagging replica does not make the leader claim the job again.
 #[derive(Default)]
 pub(super) struct CancelledJobs {
     known_since: HashMap<JobId, Instant>,
--- a/crates/corkfield/src/peer_links.rs
+++ b/crates/corkfield/src/peer_links.rs
@@ -61,7 +61,8 @@
     }
 
     /// Relays a worker's heartbeat to the leader and returns the leader's answer. Returns `None` if
-    /// there is no link to the leader, a limit is reached or no answer arrives in time.
+    /// there is no link to the leader, the link's queue is full, too many relayed heartbeats wait
+    /// for an answer, or no answer arrives in time.
     ///
     /// The answer is the leader's own, under the leader's term. A worker's lease starts when the
     /// worker sends the heartbeat, and the worker drops an answer that arrives too late, so
--- a/crates/corkfield/src/replica/follower/tests.rs
+++ b/crates/corkfield/src/replica/follower/tests.rs
@@ -14,7 +14,7 @@
 /// State of the replica when the observer was notified of ended jobs.
 struct EndedNotification {
     jobs: Vec<JobId>,
-    still_in_replica: bool,
+    is_still_in_replica: bool,
     proven_at: Option<Instant>,
 }
 
@@ -29,7 +29,7 @@
         let contents = self.replica.contents.borrow();
         self.notifications.borrow_mut().push(EndedNotification {
             jobs: jobs.to_vec(),
-            still_in_replica: jobs.iter().any(|id| contents.jobs.contains_key(id)),
+            is_still_in_replica: jobs.iter().any(|id| contents.jobs.contains_key(id)),
             proven_at: self.replica.proven_at(),
         });
     }
@@ -73,6 +73,6 @@
     let notifications = observer.notifications.borrow();
     let seen = notifications.last().expect("the observer was notified");
     assert_eq!(seen.jobs, [id]);
-    assert!(!seen.still_in_replica, "the replica already contains the change");
+    assert!(!seen.is_still_in_replica, "the replica already contains the change");
     assert_eq!(seen.proven_at, Some(first), "the second read was not the proof yet");
 }
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Returns whether the lease can't have expired yet by the local clock (S4).
+    /// Returns whether the lease can't have expired yet by the local clock. Tasks may be started
+    /// only under such a lease (S4).
     pub fn is_valid(&self) -> bool {
         match &*self.state.borrow() {
             LeaseState::Absent => false,
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -12,7 +12,8 @@
 /// Timeout of a query. Users wait 2 s for the answer.
 pub(super) const QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
 
-/// The stored state of a job, read after the request arrived (S1).
+/// The stored state of a job, read after the user's request arrived, so that the answer contains
+/// every earlier change (S1).
 pub(super) enum StoredJob {
     /// An unfinished job.
     Unfinished {
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -26,8 +26,8 @@
 }
 
 impl UserRequestHandler {
-    /// Answers a submission: with status 201 if the job is new, with 200 if it was accepted before
-    /// (S2).
+    /// Answers a submission: with status 201 if the job is new, with 200 if it was accepted before.
+    /// A repeated submission never stores a second job (S2).
     pub async fn submit(&self, body: &[u8]) -> Response {
         let parsed = JobSpec::parse(body);
         let submission = async {
