--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -45,7 +45,7 @@
             membership: won.membership,
             record_version: Cell::new(won.record_version),
         });
-        context.leadership.enter(LeadershipState::Preparing(claim.clone()));
+        context.leadership.enter_state(LeadershipState::Preparing(claim.clone()));
         if let Some(types) = context.replica.contents.borrow().machine_types.clone() {
             scheduler.set_machine_types(types);
         }
@@ -82,8 +82,8 @@
         );
     }
 
-    /// Loads the state that earlier leaders stored, then enters the `Leading` state, in which
-    /// heartbeats are answered.
+    /// Loads the state that earlier leaders stored, claims a first batch of jobs, then enters the
+    /// `Leading` state, in which heartbeats are answered.
     async fn prepare(&self) {
         self.load_machine_records().await;
         self.wait_until_replica_has_claim().await;
@@ -91,7 +91,8 @@
         // little use without the jobs of the tasks that they report.
         self.claim_next_batch().await;
         let leadership = &self.context.leadership;
-        leadership.enter(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
+        leadership
+            .enter_state(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
         leadership.close_ended_jobs(&self.context.replica.contents.borrow().jobs);
     }
 
--- a/crates/corkfield/src/leadership/fencing.rs
+++ b/crates/corkfield/src/leadership/fencing.rs
@@ -39,7 +39,7 @@
                 if self.scheduler.borrow().is_reconciled() {
                     last_attempts.clear();
                 }
-                self.context.env.timers.tick(IDLE_INTERVAL).await;
+                self.context.env.timers.wait_for_tick(IDLE_INTERVAL).await;
                 continue;
             }
             for target in targets {
@@ -90,7 +90,7 @@
             let highest_seen = self.context.leadership.highest_seen_term();
             let term = self.scheduler.borrow().term();
             if highest_seen <= term {
-                self.context.env.timers.tick(IDLE_INTERVAL).await;
+                self.context.env.timers.wait_for_tick(IDLE_INTERVAL).await;
             } else {
                 self.raise_term_to(highest_seen.next()).await;
             }
--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -40,7 +40,7 @@
             tokio::select! {
                 () = replica_changed => {}
                 () = lease_changed => {}
-                () = context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL) => {}
+                () = context.env.timers.wait_for_tick(LEADERSHIP_CHECK_INTERVAL) => {}
             }
         }
     }
@@ -50,7 +50,7 @@
     /// the transaction of a handover takes.
     pub(super) async fn wait_until_handed_over(&self) {
         while !self.try_hand_over().await {
-            self.context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL).await;
+            self.context.env.timers.wait_for_tick(LEADERSHIP_CHECK_INTERVAL).await;
         }
     }
 
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -47,7 +47,7 @@
 use std::time::Duration;
 
 pub use context::LeadershipContext;
-pub use overview::overview;
+pub use overview::answer_overview_request;
 pub use shared_state::Leadership;
 
 /// The leader's share of the state service's request rate limit. The other controllers divide the
@@ -99,7 +99,7 @@
 
 /// Enters the standby state and applies the standby's rate limits.
 fn enter_standby(context: &LeadershipContext) {
-    context.leadership.enter(LeadershipState::Standby);
+    context.leadership.enter_state(LeadershipState::Standby);
     context.env.state.set_budget(standby_budget(&context.env));
 }
 
--- a/crates/corkfield/src/leadership/overview.rs
+++ b/crates/corkfield/src/leadership/overview.rs
@@ -73,7 +73,11 @@
 }
 
 /// Answers an operator's request for the overview.
-pub fn overview(env: &Environment, replica: &StoreReplica, leadership: &Leadership) -> Response {
+pub fn answer_overview_request(
+    env: &Environment,
+    replica: &StoreReplica,
+    leadership: &Leadership,
+) -> Response {
     let contents = replica.contents.borrow();
     let leader = contents
         .leader
--- a/crates/corkfield/src/peer_links/frames.rs
+++ b/crates/corkfield/src/peer_links/frames.rs
@@ -17,7 +17,7 @@
 }
 
 /// Splits a link into its reading and writing halves.
-pub(super) fn split(stream: Stream) -> (FrameReader, WriteHalf<Stream>) {
+pub(super) fn split_link(stream: Stream) -> (FrameReader, WriteHalf<Stream>) {
     let (reader, writer) = tokio::io::split(stream);
     (FrameReader { stream: BufReader::with_capacity(READ_BUFFER, reader) }, writer)
 }
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -1,7 +1,7 @@
 //! Links that other controllers opened. They carry the heartbeats of those controllers, relayed
 //! heartbeats of workers, and notifications of cancellations.
 
-use super::frames::{split, write_frames, FrameReader};
+use super::frames::{split_link, write_frames, FrameReader};
 use super::max_queued_frames;
 use crate::environment::Environment;
 use crate::outbox::CancellationOutbox;
@@ -61,7 +61,7 @@
 
     /// Reads and answers the frames of a link until it is lost.
     async fn serve_link(&self, stream: Stream) {
-        let (reader, writer) = split(stream);
+        let (reader, writer) = split_link(stream);
         let accepted = self.env.settings.connection_limits().accepted;
         let (answers, queued) = mpsc::channel(max_queued_frames(accepted));
         tokio::select! {
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -1,6 +1,6 @@
 //! Links to the other controllers, which are reopened whenever they are lost.
 
-use super::frames::{split, write_frames, FrameReader};
+use super::frames::{split_link, write_frames, FrameReader};
 use super::{PeerLinks, HEARTBEAT_INTERVAL};
 use crate::environment::Environment;
 use crate::leadership::Leadership;
@@ -48,7 +48,7 @@
 
     /// Sends frames over a link and handles the peer's answers, until the link is lost.
     async fn serve_link(&self, peer: &str, stream: Stream) {
-        let (reader, writer) = split(stream);
+        let (reader, writer) = split_link(stream);
         let (frames, queued) = self.links.register_link(peer);
         let retention = self.env.settings.platform.params.workers.cancel();
         let queue_frame = |frame| frames.try_send(frame).is_ok();
@@ -65,7 +65,7 @@
     /// Sends heartbeats periodically; returns when the queue of the link is full or closed.
     async fn send_heartbeats(&self, peer: &str, frames: &mpsc::Sender<Frame>) {
         while frames.try_send(Frame::PeerHeartbeat(self.build_heartbeat(peer))).is_ok() {
-            self.env.timers.tick(HEARTBEAT_INTERVAL).await;
+            self.env.timers.wait_for_tick(HEARTBEAT_INTERVAL).await;
         }
     }
 
--- a/crates/corkfield/src/replica/follower.rs
+++ b/crates/corkfield/src/replica/follower.rs
@@ -56,7 +56,7 @@
         loop {
             if self.replica.is_synced() {
                 if let Some(pause) = self.watch_once().await {
-                    self.env.timers.tick(pause).await;
+                    self.env.timers.wait_for_tick(pause).await;
                 }
             } else if let Err(error) = self.reload().await {
                 tracing::debug!(%error, "complete read of the state service failed");
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -121,11 +121,13 @@
                 self.heartbeat_handler.answer_heartbeat(body, request.connection).await
             }
             Ok(Route::Ready) => self.answer_readiness_check(),
-            Ok(Route::Overview) => leadership::overview(&self.env, &self.replica, &self.leadership),
-            Ok(Route::Release(id)) => self.user_request_handler.release(&id).await,
-            Ok(Route::Submit) => self.user_request_handler.submit(body).await,
-            Ok(Route::Query(id)) => self.user_request_handler.query(&id).await,
-            Ok(Route::Cancel(id)) => self.user_request_handler.cancel(&id).await,
+            Ok(Route::Overview) => {
+                leadership::answer_overview_request(&self.env, &self.replica, &self.leadership)
+            }
+            Ok(Route::Release(id)) => self.user_request_handler.answer_release_request(&id).await,
+            Ok(Route::Submit) => self.user_request_handler.answer_submission(body).await,
+            Ok(Route::Query(id)) => self.user_request_handler.answer_query(&id).await,
+            Ok(Route::Cancel(id)) => self.user_request_handler.answer_cancel_request(&id).await,
             Err(error) => error.response(),
         }
     }
--- a/crates/corkfield/src/timers.rs
+++ b/crates/corkfield/src/timers.rs
@@ -33,7 +33,7 @@
     }
 
     /// Waits for the next multiple of `period`, which is about one period away.
-    pub async fn tick(&self, period: Duration) {
+    pub async fn wait_for_tick(&self, period: Duration) {
         sleep_until(self.next_tick(period)).await;
     }
 
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -37,7 +37,7 @@
 
 impl UserRequestHandler {
     /// Answers a query for a job.
-    pub async fn query(&self, id: &JobId) -> Response {
+    pub async fn answer_query(&self, id: &JobId) -> Response {
         match tokio::time::timeout(QUERY_TIMEOUT, self.find_job(id)).await {
             Ok(Ok(found)) => found.response(id).unwrap_or_else(|| error(404, "no such job")),
             Ok(Err(reason)) => self.lookup_failed_response(id, &reason),
@@ -47,7 +47,7 @@
 
     /// Answers a request to cancel a job. The cancellation is confirmed only once it is stored, and
     /// the leader stops the job's tasks (S11).
-    pub async fn cancel(&self, id: &JobId) -> Response {
+    pub async fn answer_cancel_request(&self, id: &JobId) -> Response {
         let cancellation = self.cancel_job(id);
         tokio::time::timeout(CHANGE_TIMEOUT, cancellation)
             .await
@@ -103,7 +103,7 @@
 
     /// Releases a dead-lettered job at the request of an operator, so that the job can be claimed
     /// again (S12).
-    pub async fn release(&self, id: &JobId) -> Response {
+    pub async fn answer_release_request(&self, id: &JobId) -> Response {
         let Ok(StoredJob::Unfinished { record, version }) = self.find_job(id).await else {
             return error(404, "no such unfinished job");
         };
--- a/crates/corkfield/src/users/submission.rs
+++ b/crates/corkfield/src/users/submission.rs
@@ -28,7 +28,7 @@
 impl UserRequestHandler {
     /// Answers a submission: with status 201 if the job is new, with 200 if it was accepted before.
     /// A repeated submission never stores a second job (S2).
-    pub async fn submit(&self, body: &[u8]) -> Response {
+    pub async fn answer_submission(&self, body: &[u8]) -> Response {
         let parsed = JobSpec::parse(body);
         let submission = async {
             match parsed {
