--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -1,4 +1,5 @@
-//! This controller's lease in the state service, and the membership key written under the lease.
+//! This controller's session lease in the state service, and the membership key written under the
+//! lease.
 
 use crate::clock::now;
 use crate::environment::Environment;
@@ -24,7 +25,7 @@
 /// Range of the random pause after a failed attempt to acquire a lease, in milliseconds.
 const ACQUIRE_RETRY_MS: std::ops::Range<u64> = 100..400;
 
-/// The state of this controller's lease, as visible to the other components.
+/// The state of this controller's session lease, as visible to the other components.
 ///
 /// | state | event | next state |
 /// | --- | --- | --- |
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Returns whether the lease can't have expired yet by the local clock (S4).
+    /// Returns whether the lease can't have expired yet by the local clock. Tasks may be started
+    /// only under such a lease (S4).
     pub fn is_valid(&self) -> bool {
         match &*self.state.borrow() {
             LeaseState::Absent => false,
@@ -84,7 +86,7 @@
     }
 
     /// Changes the state and notifies the waiters of [`SessionLease::changed`].
-    fn enter(&self, state: LeaseState) {
+    fn enter_state(&self, state: LeaseState) {
         *self.state.borrow_mut() = state;
         self.changed.notify_waiters();
     }
@@ -125,9 +127,9 @@
     async fn publish_and_renew(&self, held: HeldLease, ttl: Duration) {
         let lease = held.lease.lease_id;
         tracing::info!(incarnation = %held.lease.incarnation, lease, "lease taken");
-        self.session_lease.enter(LeaseState::Held(held));
+        self.session_lease.enter_state(LeaseState::Held(held));
         self.renew_until_lost(lease, ttl).await;
-        self.session_lease.enter(LeaseState::Absent);
+        self.session_lease.enter_state(LeaseState::Absent);
         tracing::warn!(lease, "lease lost");
     }
 
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of a submission or a cancellation. Users wait 5 s for the answer.
+/// Timeout of a submission or a request to cancel a job. Users wait 5 s for the answer.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Reason in the answers that ask users to retry.
 const STORE_UNAVAILABLE: &str = "the state service doesn't answer";
@@ -26,18 +26,18 @@
 const CANCEL_RETRY_MS: std::ops::Range<u64> = 5..50;
 
 /// Answers requests of users, and requests of operators to release a job.
-pub struct UserRequests {
+pub struct UserRequestHandler {
     /// Settings, and the client of the state service.
     pub env: Rc<Environment>,
-    /// The local copy of the state service.
+    /// The replica of the state service's records.
     pub replica: Rc<StoreReplica>,
     /// Notifies all controllers of cancellations.
     pub notifier: CancellationNotifier,
 }
 
-impl UserRequests {
+impl UserRequestHandler {
     /// Answers a query for a job.
-    pub async fn query(&self, id: &JobId) -> Response {
+    pub async fn answer_query(&self, id: &JobId) -> Response {
         match tokio::time::timeout(QUERY_TIMEOUT, self.find_job(id)).await {
             Ok(Ok(found)) => found.response(id).unwrap_or_else(|| error(404, "no such job")),
             Ok(Err(reason)) => self.lookup_failed_response(id, &reason),
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Answers a request to cancel a job (S11).
-    pub async fn cancel(&self, id: &JobId) -> Response {
+    /// Answers a request to cancel a job. The cancellation is confirmed only once it is stored, and
+    /// the leader stops the job's tasks (S11).
+    pub async fn answer_cancel_request(&self, id: &JobId) -> Response {
         let cancellation = self.cancel_job(id);
         tokio::time::timeout(CHANGE_TIMEOUT, cancellation)
             .await
@@ -103,7 +104,7 @@
 
     /// Releases a dead-lettered job at the request of an operator, so that the job can be claimed
     /// again (S12).
-    pub async fn release(&self, id: &JobId) -> Response {
+    pub async fn answer_release_request(&self, id: &JobId) -> Response {
         let Ok(StoredJob::Unfinished { record, version }) = self.find_job(id).await else {
             return error(404, "no such unfinished job");
         };
