--- a/crates/corkfield/src/leadership/handover.rs
+++ b/crates/corkfield/src/leadership/handover.rs
@@ -16,7 +16,8 @@
 /// A leader hands over only after this many heartbeat intervals plus [`HANDOVER_GRACE`] without a
 /// heartbeat.
 const HANDOVER_HEARTBEAT_INTERVALS: f64 = 1.5;
-/// See [`HANDOVER_HEARTBEAT_INTERVALS`].
+/// Fixed part of the time without a heartbeat after which a leader hands over; see
+/// [`HANDOVER_HEARTBEAT_INTERVALS`].
 const HANDOVER_GRACE: Duration = Duration::from_secs(1);
 /// Time for which a transfer request is valid.
 const MAX_TRANSFER_REQUEST_AGE: Duration = Duration::from_secs(3);
@@ -39,7 +40,7 @@
             tokio::select! {
                 () = replica_changed => {}
                 () = lease_changed => {}
-                () = context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL) => {}
+                () = context.env.timers.wait_for_tick(LEADERSHIP_CHECK_INTERVAL) => {}
             }
         }
     }
@@ -49,12 +50,12 @@
     /// the transaction of a handover takes.
     pub(super) async fn wait_until_handed_over(&self) {
         while !self.try_hand_over().await {
-            self.context.env.timers.tick(LEADERSHIP_CHECK_INTERVAL).await;
+            self.context.env.timers.wait_for_tick(LEADERSHIP_CHECK_INTERVAL).await;
         }
     }
 
-    /// Hands leadership over if this controller receives no heartbeats and another controller,
-    /// which does, has requested a transfer. Returns whether leadership was handed over.
+    /// Hands leadership over if this controller receives no heartbeats and another controller that
+    /// receives some has requested a transfer. Returns whether leadership was handed over.
     async fn try_hand_over(&self) -> bool {
         if !self.is_without_heartbeats() {
             return false;
@@ -77,9 +78,9 @@
     /// this controller.
     fn is_without_heartbeats(&self) -> bool {
         let workers = &self.context.env.settings.platform.service.workers;
-        let limit =
+        let max_silence =
             workers.heartbeat_interval().mul_f64(HANDOVER_HEARTBEAT_INTERVALS) + HANDOVER_GRACE;
-        self.context.leadership.time_since_heartbeat().is_some_and(|elapsed| elapsed >= limit)
+        self.context.leadership.time_since_heartbeat().is_some_and(|elapsed| elapsed >= max_silence)
     }
 
     /// Returns another controller that has a valid transfer request.
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -12,7 +12,7 @@
 //! | [`completion_commits`] | stores finished tasks and start watermarks |
 //! | [`placement_passes`] | runs placement passes at a limited rate |
 //! | [`actions`] | carries out the scheduler's decisions |
-//! | [`machine_records`] | writes and erases the records of machines that may hold tasks |
+//! | [`machine_records`] | writes and deletes the records of machines that may hold tasks |
 //! | [`scaling`] | rents and returns machines, and ticks the scheduler's timers |
 //! | [`cloud_inventory`] | reads the cloud's list of machines and the machine types |
 //! | [`fencing`] | fences recorded machines, and raises the term above terms that workers report |
@@ -47,7 +47,7 @@
 use std::time::Duration;
 
 pub use context::LeadershipContext;
-pub use overview::overview;
+pub use overview::answer_overview_request;
 pub use shared_state::Leadership;
 
 /// The leader's share of the state service's request rate limit. The other controllers divide the
@@ -82,7 +82,7 @@
     }
 }
 
-/// Runs election and leading in an endless loop: stays on standby until the leader record can be
+/// Runs election and leadership in an endless loop: stays on standby until the leader record can be
 /// claimed, then leads.
 pub async fn run(context: Rc<LeadershipContext>) {
     enter_standby(&context);
@@ -99,7 +99,7 @@
 
 /// Enters the standby state and applies the standby's rate limits.
 fn enter_standby(context: &LeadershipContext) {
-    context.leadership.enter(LeadershipState::Standby);
+    context.leadership.enter_state(LeadershipState::Standby);
     context.env.state.set_budget(standby_budget(&context.env));
 }
 
--- a/crates/corkfield/src/peer_links/incoming.rs
+++ b/crates/corkfield/src/peer_links/incoming.rs
@@ -1,7 +1,7 @@
 //! Links that other controllers opened. They carry the heartbeats of those controllers, relayed
 //! heartbeats of workers, and notifications of cancellations.
 
-use super::frames::{split, write_frames, FrameReader};
+use super::frames::{split_link, write_frames, FrameReader};
 use super::max_queued_frames;
 use crate::environment::Environment;
 use crate::outbox::CancellationOutbox;
@@ -23,8 +23,8 @@
     /// Answers a worker's heartbeat that another controller relayed.
     fn answer_relayed_heartbeat<'a>(&'a self, body: &'a [u8]) -> LocalFuture<'a, Response>;
 
-    /// Records another controller's notification that the state service holds the job as cancelled
-    /// (S11).
+    /// Records another controller's notification that the state service holds the job as cancelled,
+    /// so that a leader stops the job's tasks (S11).
     fn on_job_cancelled(&self, id: &JobId);
 }
 
@@ -35,7 +35,7 @@
     /// Records the received heartbeats.
     pub peers: Rc<Peers>,
     /// Records which controllers have read the state service.
-    pub outbox: Rc<CancellationOutbox>,
+    pub cancellation_outbox: Rc<CancellationOutbox>,
     /// Handles the peers' requests.
     pub handler: Rc<dyn PeerRequestHandler>,
 }
@@ -61,7 +61,7 @@
 
     /// Reads and answers the frames of a link until it is lost.
     async fn serve_link(&self, stream: Stream) {
-        let (reader, writer) = split(stream);
+        let (reader, writer) = split_link(stream);
         let accepted = self.env.settings.connection_limits().accepted;
         let (answers, queued) = mpsc::channel(max_queued_frames(accepted));
         tokio::select! {
@@ -75,12 +75,12 @@
     async fn read_frames(&self, mut reader: FrameReader, answers: &mpsc::Sender<Frame>) {
         while let Ok(Ok(Some(frame))) = timeout(HEARTBEAT_TIMEOUT * 2, reader.read_frame()).await {
             match frame {
-                Frame::PeerHeartbeat(heartbeat) => self.on_heartbeat(heartbeat),
+                Frame::PeerHeartbeat(heartbeat) => self.on_peer_heartbeat(heartbeat),
                 Frame::WorkerHeartbeat { number, body } => {
-                    self.answer_relayed(number, body, answers.clone());
+                    self.answer_relayed_heartbeat(number, body, answers.clone());
                 }
                 Frame::Cancelled { jobs } => {
-                    self.on_cancelled(&jobs);
+                    self.on_jobs_cancelled(&jobs);
                     let _ = answers.try_send(Frame::Acknowledged { jobs });
                 }
                 Frame::Answer { .. } | Frame::Acknowledged { .. } => return,
@@ -88,22 +88,23 @@
         }
     }
 
-    fn on_heartbeat(&self, heartbeat: PeerHeartbeat) {
+    fn on_peer_heartbeat(&self, heartbeat: PeerHeartbeat) {
         let echoed_sent_at = self.peers.echoed_sent_at(&heartbeat, self.env.process);
-        // A peer sets `is_store_reachable` only if its newest successful read started less than
-        // `HEARTBEAT_TIMEOUT` before it sent this heartbeat, so that read started after `read`.
-        let read = echoed_sent_at
+        // A peer sets `store_answers` only if its newest successful read started less than
+        // `HEARTBEAT_TIMEOUT` before it sent this heartbeat, and it sent this heartbeat after this
+        // controller had sent the echoed one.
+        let read_started_after = echoed_sent_at
             .filter(|_| heartbeat.is_store_reachable)
             .and_then(|sent| sent.checked_sub(HEARTBEAT_TIMEOUT));
-        if let Some(read) = read {
-            self.outbox.record_store_read(heartbeat.node.as_str(), read);
+        if let Some(started_after) = read_started_after {
+            self.cancellation_outbox.record_store_read(heartbeat.node.as_str(), started_after);
         }
         self.peers.record_heartbeat(heartbeat, echoed_sent_at);
     }
 
     /// Answers a relayed heartbeat in a separate task, so that other frames don't wait for the
     /// answer.
-    fn answer_relayed(&self, number: u64, body: Vec<u8>, answers: mpsc::Sender<Frame>) {
+    fn answer_relayed_heartbeat(&self, number: u64, body: Vec<u8>, answers: mpsc::Sender<Frame>) {
         let handler = self.handler.clone();
         tokio::task::spawn_local(async move {
             let Response { status, body, .. } = handler.answer_relayed_heartbeat(&body).await;
@@ -111,7 +112,7 @@
         });
     }
 
-    fn on_cancelled(&self, jobs: &[String]) {
+    fn on_jobs_cancelled(&self, jobs: &[String]) {
         let known: Vec<JobId> = jobs.iter().filter_map(|id| JobId::parse(id)).collect();
         known.iter().for_each(|id| self.handler.on_job_cancelled(id));
     }
--- a/crates/corkfield/src/peer_links/outgoing.rs
+++ b/crates/corkfield/src/peer_links/outgoing.rs
@@ -1,6 +1,6 @@
 //! Links to the other controllers, which are reopened whenever they are lost.
 
-use super::frames::{split, write_frames, FrameReader};
+use super::frames::{split_link, write_frames, FrameReader};
 use super::{PeerLinks, HEARTBEAT_INTERVAL};
 use crate::environment::Environment;
 use crate::leadership::Leadership;
@@ -20,16 +20,16 @@
 pub struct OutgoingLinks {
     /// The network, settings, timers, and the name and process of this controller.
     pub env: Rc<Environment>,
-    /// The local copy of the state service, whose freshness and leader heartbeats report.
+    /// The replica: heartbeats report its freshness and the leader that it shows.
     pub replica: Rc<StoreReplica>,
-    /// This controller's lease, whose incarnation heartbeats report.
+    /// This controller's session lease: heartbeats report its incarnation.
     pub session_lease: Rc<SessionLease>,
-    /// The state of leadership: heartbeats report whether this controller leads.
+    /// The state of election and leadership: heartbeats report whether this controller leads.
     pub leadership: Rc<Leadership>,
     /// The heartbeats of the other controllers, which this controller's heartbeats echo.
     pub peers: Rc<Peers>,
     /// The notifications of cancellations to send.
-    pub outbox: Rc<CancellationOutbox>,
+    pub cancellation_outbox: Rc<CancellationOutbox>,
     /// The registry of open links.
     pub links: Rc<PeerLinks>,
 }
@@ -48,14 +48,14 @@
 
     /// Sends frames over a link and handles the peer's answers, until the link is lost.
     async fn serve_link(&self, peer: &str, stream: Stream) {
-        let (reader, writer) = split(stream);
+        let (reader, writer) = split_link(stream);
         let (frames, queued) = self.links.register_link(peer);
         let retention = self.env.settings.platform.service.workers.cancel_timeout();
         let queue_frame = |frame| frames.try_send(frame).is_ok();
         let timers = &self.env.timers;
         tokio::select! {
             () = self.send_heartbeats(peer, &frames) => {}
-            () = self.outbox.send_notifications(timers, peer, retention, queue_frame) => {}
+            () = self.cancellation_outbox.send_notifications(timers, peer, retention, queue_frame) => {}
             () = self.read_frames(peer, reader) => {}
             () = write_frames(writer, queued) => {}
         }
@@ -65,7 +65,7 @@
     /// Sends heartbeats periodically; returns when the queue of the link is full or closed.
     async fn send_heartbeats(&self, peer: &str, frames: &mpsc::Sender<Frame>) {
         while frames.try_send(Frame::PeerHeartbeat(self.build_heartbeat(peer))).is_ok() {
-            self.env.timers.tick(HEARTBEAT_INTERVAL).await;
+            self.env.timers.wait_for_tick(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -77,7 +77,9 @@
                 Frame::Answer { number, status, body } => {
                     self.links.complete_relay(number, Response::new(status, body));
                 }
-                Frame::Acknowledged { jobs } => self.outbox.record_acknowledgement(peer, &jobs),
+                Frame::Acknowledged { jobs } => {
+                    self.cancellation_outbox.record_acknowledgement(peer, &jobs)
+                }
                 Frame::PeerHeartbeat(_)
                 | Frame::WorkerHeartbeat { .. }
                 | Frame::Cancelled { .. } => break,
@@ -117,6 +119,6 @@
             && self.replica.proof_age() > HEARTBEAT_TIMEOUT
             && !self.leadership.is_leading()
             && leader.is_some_and(|leader| leader.as_str() == peer)
-            && self.outbox.has_acknowledged_all(peer)
+            && self.cancellation_outbox.has_acknowledged_all(peer)
     }
 }
--- a/crates/corkfield/src/routes.rs
+++ b/crates/corkfield/src/routes.rs
@@ -5,8 +5,8 @@
 use crate::peers::Peers;
 use crate::replica::StoreReplica;
 use crate::responses::{error, json};
-use crate::users::UserRequests;
-use crate::workers::WorkerHeartbeats;
+use crate::users::UserRequestHandler;
+use crate::workers::WorkerHeartbeatHandler;
 use corkfield_http::{Request, Response};
 use corkfield_wire::user::{JobId, PATH_CANCEL, PATH_JOBS, PATH_READY};
 use corkfield_wire::worker::PATH_HEARTBEAT;
@@ -19,7 +19,7 @@
 /// service.
 const MAX_READY_PROOF_AGE: Duration = Duration::from_secs(4);
 
-/// The operation that a request asks for.
+/// The operation that a request's method and path ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Route {
     /// A worker's heartbeat.
@@ -98,14 +98,15 @@
 /// Dispatches requests to the components that answer them.
 pub struct Routes {
     /// Answers users' requests.
-    pub users: UserRequests,
+    pub user_request_handler: UserRequestHandler,
     /// Answers workers' heartbeats.
-    pub workers: Rc<WorkerHeartbeats>,
-    /// The local copy of the state service, whose age the readiness check uses.
+    pub heartbeat_handler: Rc<WorkerHeartbeatHandler>,
+    /// The replica: the readiness check uses the age of its proof of fresh state.
     pub replica: Rc<StoreReplica>,
-    /// The other controllers' view of the state service, which the readiness check uses.
+    /// The latest heartbeats of the other controllers: the readiness check uses whether the state
+    /// service answers any of them.
     pub peers: Rc<Peers>,
-    /// The state of leadership, which the operators' overview shows.
+    /// The state of election and leadership, which the operators' overview shows.
     pub leadership: Rc<Leadership>,
     /// Identity and settings of this controller.
     pub env: Rc<Environment>,
@@ -113,16 +114,20 @@
 
 impl Routes {
     /// Answers a request of a user, a worker, an operator or the load balancer.
-    pub async fn answer(self: Rc<Self>, request: Request) -> Response {
+    pub async fn answer_request(self: Rc<Self>, request: Request) -> Response {
         let body = &request.body;
         match Route::parse(&request.method, request.path()) {
-            Ok(Route::Heartbeat) => self.workers.answer_heartbeat(body, request.connection).await,
-            Ok(Route::Ready) => self.ready(),
-            Ok(Route::Overview) => leadership::overview(&self.env, &self.replica, &self.leadership),
-            Ok(Route::Release(id)) => self.users.release(&id).await,
-            Ok(Route::Submit) => self.users.submit(body).await,
-            Ok(Route::Query(id)) => self.users.query(&id).await,
-            Ok(Route::Cancel(id)) => self.users.cancel(&id).await,
+            Ok(Route::Heartbeat) => {
+                self.heartbeat_handler.answer_heartbeat(body, request.connection).await
+            }
+            Ok(Route::Ready) => self.answer_readiness_check(),
+            Ok(Route::Overview) => {
+                leadership::answer_overview_request(&self.env, &self.replica, &self.leadership)
+            }
+            Ok(Route::Release(id)) => self.user_request_handler.answer_release_request(&id).await,
+            Ok(Route::Submit) => self.user_request_handler.answer_submission(body).await,
+            Ok(Route::Query(id)) => self.user_request_handler.answer_query(&id).await,
+            Ok(Route::Cancel(id)) => self.user_request_handler.answer_cancel_request(&id).await,
             Err(error) => error.response(),
         }
     }
@@ -131,9 +136,9 @@
     /// while another controller can reach it. If no controller can, all of them report ready, also
     /// one that was just restarted: no other controller could serve the users better, and the load
     /// balancer would delay users further once the state service is back.
-    fn ready(&self) -> Response {
-        let stale = !self.replica.is_synced() || self.replica.proof_age() > MAX_READY_PROOF_AGE;
-        if stale && self.peers.has_peer_with_store_access() {
+    fn answer_readiness_check(&self) -> Response {
+        let is_stale = !self.replica.is_synced() || self.replica.proof_age() > MAX_READY_PROOF_AGE;
+        if is_stale && self.peers.has_peer_with_store_access() {
             return error(503, "not ready");
         }
         json(200, &serde_json::json!({"ready": true}))
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -24,23 +24,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a heartbeat that arrives during a failover waits for the failover to end.
-const FAILOVER_WAIT: Duration = Duration::from_millis(1500);
-/// How long the answer to a heartbeat with pending starts waits for a proof of fresh state.
-const START_PROOF_WAIT: Duration = Duration::from_millis(600);
+/// Maximum time that a heartbeat waits for this controller to finish its preparation as the new
+/// leader.
+const MAX_FAILOVER_WAIT: Duration = Duration::from_millis(1500);
+/// Maximum time that the answer to a heartbeat waits for a new proof of fresh state if starts are
+/// pending for the machine.
+const MAX_START_PROOF_WAIT: Duration = Duration::from_millis(600);
 /// If the proof of fresh state is older than this, the state service counts as unreachable, and no
 /// heartbeat waits for a new proof.
 const STORE_UNREACHABLE_AGE: Duration = Duration::from_secs(4);
 
 /// Answers workers' heartbeats: as the leader, or by redirecting or relaying them to the leader.
-pub struct WorkerHeartbeats {
+pub struct WorkerHeartbeatHandler {
     /// Settings, and the name and process of this controller.
     pub env: Rc<Environment>,
-    /// The local copy of the state service; its freshness limits the possible answers (S4, S6).
+    /// The replica of the state service's records. The age of its proof of fresh state limits
+    /// whether tasks may be started (S4) and heartbeats be answered (S6).
     pub replica: Rc<StoreReplica>,
-    /// The state of leadership, with the scheduler if this controller leads.
+    /// The state of election and leadership, with the scheduler if this controller leads.
     pub leadership: Rc<Leadership>,
-    /// This controller's lease, under which a leader may start tasks (S4).
+    /// This controller's session lease, under which a leader may start tasks (S4).
     pub session_lease: Rc<SessionLease>,
     /// The latest heartbeats and attestations of the other controllers.
     pub peers: Rc<Peers>,
@@ -52,7 +55,7 @@
     pub connections: Rc<Connections>,
 }
 
-impl WorkerHeartbeats {
+impl WorkerHeartbeatHandler {
     /// Answers a heartbeat that a worker sent to this controller over the connection with this
     /// number.
     pub async fn answer_heartbeat(&self, body: &[u8], connection: u64) -> Response {
@@ -63,8 +66,8 @@
         let connection = Some(ConnectionId { process: self.env.process, number: connection });
         let received = RelayedHeartbeat { heartbeat, connection };
         if self.leadership.is_leading() && !self.leadership.is_ready() {
-            let _ =
-                tokio::time::timeout(FAILOVER_WAIT, self.leadership.wait_for_preparation()).await;
+            let _ = tokio::time::timeout(MAX_FAILOVER_WAIT, self.leadership.wait_for_preparation())
+                .await;
         }
         if self.leadership.is_ready() {
             self.answer_as_leader(&received).await
@@ -74,7 +77,7 @@
     }
 
     /// Answers a heartbeat that another controller relayed to this one, as the leader.
-    pub async fn answer_relayed(&self, body: &[u8]) -> Response {
+    pub async fn answer_relayed_heartbeat(&self, body: &[u8]) -> Response {
         match serde_json::from_slice(body) {
             Ok(received) if self.leadership.is_ready() => self.answer_as_leader(&received).await,
             _ => retry_later("not the planner"),
@@ -103,7 +106,7 @@
     }
 
     /// Returns the leader's answer for the worker, without the starts whose generation differs from
-    /// the job's record in the local copy.
+    /// that of the job's record in the replica.
     fn filter_relayed_answer(&self, response: Response) -> Response {
         if response.status != 200 {
             return retry_later("the planner has no answer");
@@ -132,14 +135,14 @@
             return refusal;
         }
         self.leadership.record_heartbeat();
-        if scheduler.borrow().may_start_on(heartbeat.machine.as_str(), now()) {
+        if scheduler.borrow().may_start_tasks_on(heartbeat.machine.as_str(), now()) {
             self.leadership.wait_for_pass().await;
         }
         self.hold_answer(&scheduler, heartbeat.machine.as_str()).await;
         self.renew_start_proof(&scheduler, heartbeat.machine.as_str()).await;
         // The leader may have changed while the answer was delayed.
         let is_same_scheduler =
-            self.leadership.scheduler().is_some_and(|now| Rc::ptr_eq(&now, &scheduler));
+            self.leadership.scheduler().is_some_and(|current| Rc::ptr_eq(&current, &scheduler));
         if !is_same_scheduler || !self.may_answer() {
             return json(421, &Redirect { report_to: self.other_leader() });
         }
@@ -204,13 +207,14 @@
     }
 
     /// Waits for a new proof of fresh state if starts are pending for the machine and the proof is
-    /// too old for them (S4). After another controller has confirmed the cancellation of a job,
-    /// tasks of the job can then be started only for about the maximum age of the proof.
+    /// too old for them (S4). This bounds the time for which tasks of a job can still be started
+    /// after another controller has confirmed the job's cancellation: it is about the maximum age
+    /// of the proof.
     async fn renew_start_proof(&self, scheduler: &RefCell<Scheduler>, machine: &str) {
         let has_starts = scheduler.borrow().has_assigned_tasks(machine);
         if has_starts && !self.has_start_proof() && self.replica.proof_age() < STORE_UNREACHABLE_AGE
         {
-            self.replica.refresh(START_PROOF_WAIT).await;
+            self.replica.refresh(MAX_START_PROOF_WAIT).await;
         }
     }
 
@@ -221,24 +225,25 @@
 
     /// Returns whether a heartbeat may be answered with status 200 (S6). This requires that the
     /// proof of fresh state is younger than the answer limit or, during an outage of the state
-    /// service for all controllers, that the attestations of all other controllers are. It also
-    /// requires that the local copy shows no newer leader.
+    /// service for all controllers, that the attestations of all other controllers are younger than
+    /// it. It also requires that the replica shows no newer leader.
     fn may_answer(&self) -> bool {
-        let limit = self.env.settings.answer_limit();
-        let is_fresh = self.replica.proof_age() < limit
-            || self.attestation_age().is_some_and(|age| age < limit);
+        let answer_limit = self.env.settings.answer_limit();
+        let is_fresh = self.replica.proof_age() < answer_limit
+            || self.attestation_age().is_some_and(|age| age < answer_limit);
         is_fresh && !self.leadership.is_replaced(&self.replica.contents.borrow())
     }
 
-    /// Returns how long ago all other controllers attested to the outage, with this controller as
-    /// the leader; `None` if any of them did not.
+    /// Returns the age of the oldest attestation by which another controller confirms that the
+    /// state service is unreachable and that no other controller leads; `None` if any other
+    /// controller has not attested. See [`Peers::attestation_age`].
     fn attestation_age(&self) -> Option<Duration> {
         let term = self.leadership.term()?;
         let proven_at = self.replica.proven_at()?;
         self.peers.attestation_age(&self.env.settings.platform, term, proven_at)
     }
 
-    /// Returns the leader, if it is another controller and its process is present.
+    /// Returns the leader, if it is another controller and still has its membership record.
     fn other_leader(&self) -> Option<ControllerName> {
         let contents = self.replica.contents.borrow();
         let record = &contents.leader.as_ref()?.record;
@@ -247,7 +252,7 @@
     }
 }
 
-/// Returns whether a relayed start has the generation of its job's record in the local copy.
+/// Returns whether a relayed start has the generation of its job's record in the replica.
 fn matches_generation(task: &TaskId, attempt: Attempt, record: Option<&JobRecord>) -> bool {
     let known = record.map(|record| record.generation);
     let is_match = known == Some(attempt.generation());
