--- a/crates/corkfield/examples/loopback.rs
+++ b/crates/corkfield/examples/loopback.rs
@@ -163,9 +163,9 @@
         zone: String::new(),
         spot: false,
         cpus: 0.0,
-        heartbeat: HEARTBEAT_INTERVAL,
-        lease: WORKER_LEASE,
-        heartbeats_after_answers: false,
+        heartbeat_interval: HEARTBEAT_INTERVAL,
+        lease_duration: WORKER_LEASE,
+        heartbeat_after_each_reply: false,
         controllers: controllers.collect(),
     }
 }
@@ -292,7 +292,7 @@
     loop {
         let class = if number % 3 == 0 { LARGE_JOB } else { URGENT_JOB };
         let spec = class.spec(number);
-        history.add_plan(JobPlan { spec: spec.clone(), run_s: class.run_s, fails: false });
+        history.add_plan(JobPlan { spec: spec.clone(), run_s: class.run_s, is_failing: false });
         let controller = u8::try_from(number % u32::from(cli.controllers)).unwrap_or(0);
         tokio::task::spawn_local(use_job(spec, controller));
         number += 1;
--- a/crates/corkfield/tests/scenarios/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that meet claims, orders in flight and controllers that are cut off.
 
-use crate::cluster::{claims_jobs, job_spec, scenario, sleep_s, CANCEL_S, CONTROLLERS};
+use crate::cluster::{is_job_claim, job_spec, scenario, sleep_s, CANCEL_S, CONTROLLERS};
 use corkfield_fakes::Fault;
 use corkfield_wire::user::{JobView, PATH_JOBS};
 use corkfield_wire::JobStatus;
@@ -8,7 +8,7 @@
 #[test]
 fn a_late_claim_does_not_bring_back_a_cancelled_job() {
     scenario(1, |cluster| async move {
-        cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(6.0), claims_jobs);
+        cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(6.0), is_job_claim);
         let job = job_spec(1, 4);
         cluster.submit(&job, 5.0).await;
         sleep_s(1.0).await;
@@ -52,10 +52,10 @@
         let old = cluster.leader();
         // It answers workers, but hears of nothing; and nobody else reaches the workers.
         for other in ["state", "cloud", "user"].into_iter().chain(CONTROLLERS) {
-            cluster.net.cut(CONTROLLERS[old], other);
+            cluster.net.partition(CONTROLLERS[old], other);
         }
         for controller in cluster.other_controllers(old) {
-            cluster.cut_from_workers(controller);
+            cluster.partition_from_workers(controller);
         }
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
         sleep_s(CANCEL_S + 5.0).await;
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -4,20 +4,23 @@
 mod store_load;
 mod users;
 
-pub use settings::Grants;
-pub use store_load::{cancels_job, claims_jobs, is_transaction, is_transaction_with, StoreLoad};
+pub use settings::PlatformLimits;
+pub use store_load::{
+    is_job_cancellation, is_job_claim, is_transaction, is_transaction_with, StoreLoad,
+};
 
 use corkfield::node;
 use corkfield::settings::Operator;
 use corkfield_fakes::{
-    ExecutionHistory, FakeCloud, FakeStore, FakeWorker, Freezer, MemoryNet, Process, Violation,
+    ExecutionHistory, FakeCloud, FakeStore, FakeWorker, MemoryNet, PausableProcess, PauseHandle,
+    Violation,
 };
 use corkfield_http::Client;
 use corkfield_wire::records::{job_key, JobRecord, LeaderRecord, LEADER_KEY};
 use corkfield_wire::{JobId, JobSpec, TaskId, Term};
 use settings::{
     client_addr, cloud_addr, controller_settings, machine_type, store_addr, worker_template,
-    SMALL_GRANTS,
+    SMALL_LIMITS,
 };
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -40,7 +43,7 @@
 /// A controller's process.
 struct ControllerProcess {
     handle: JoinHandle<()>,
-    freezer: Freezer,
+    pause_handle: PauseHandle,
 }
 
 /// Who leads, and under which term.
@@ -54,14 +57,14 @@
 
 /// The whole deployment.
 pub struct Cluster {
-    grants: Grants,
+    limits: PlatformLimits,
     operator: Operator,
     pub net: MemoryNet,
     pub store: Rc<FakeStore>,
     pub cloud: Rc<FakeCloud>,
     pub history: Rc<ExecutionHistory>,
     /// While set, the state service refuses that controller.
-    pub store_refuses: Vec<Rc<Cell<bool>>>,
+    pub is_refused_by_store: Vec<Rc<Cell<bool>>>,
     processes: RefCell<Vec<Option<ControllerProcess>>>,
     clients: Vec<Client>,
     last_seed: Cell<u64>,
@@ -69,16 +72,16 @@
 
 /// Plays a scenario in simulated time; it ends with a look at the rules.
 pub fn scenario<F: Future<Output = ()>>(machines: u32, play: impl FnOnce(Rc<Cluster>) -> F) {
-    scenario_with_grants(SMALL_GRANTS, machines, play);
+    scenario_with_limits(SMALL_LIMITS, machines, play);
 }
 
 /// A scenario under other grants of the platform.
-pub fn scenario_with_grants<F: Future<Output = ()>>(
-    grants: Grants,
+pub fn scenario_with_limits<F: Future<Output = ()>>(
+    limits: PlatformLimits,
     machines: u32,
     play: impl FnOnce(Rc<Cluster>) -> F,
 ) {
-    play_scenario(grants, Operator::default(), machines, play);
+    play_scenario(limits, Operator::default(), machines, play);
 }
 
 /// A scenario under settings that the operators changed.
@@ -87,11 +90,11 @@
     machines: u32,
     play: impl FnOnce(Rc<Cluster>) -> F,
 ) {
-    play_scenario(SMALL_GRANTS, operator, machines, play);
+    play_scenario(SMALL_LIMITS, operator, machines, play);
 }
 
 fn play_scenario<F: Future<Output = ()>>(
-    grants: Grants,
+    limits: PlatformLimits,
     operator: Operator,
     machines: u32,
     play: impl FnOnce(Rc<Cluster>) -> F,
@@ -102,9 +105,9 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let cluster = Rc::new(Cluster::new(grants, operator, machines));
+        let cluster = Rc::new(Cluster::new(limits, operator, machines));
         for controller in 0..CONTROLLERS.len() {
-            cluster.start(controller);
+            cluster.start_controller(controller);
         }
         sleep_s(WARM_UP_S).await;
         play(cluster.clone()).await;
@@ -133,20 +136,20 @@
 }
 
 impl Cluster {
-    fn new(grants: Grants, operator: Operator, machines: u32) -> Self {
+    fn new(limits: PlatformLimits, operator: Operator, machines: u32) -> Self {
         let net = MemoryNet::default();
         let history = Rc::new(ExecutionHistory::default());
         history.cancel_limit.set(Duration::from_secs_f64(CANCEL_S));
-        let settings = controller_settings(0, grants, operator.clone());
+        let settings = controller_settings(0, limits, operator.clone());
         history.set_teams(settings.platform.params.teams);
         let store = Rc::new(FakeStore::default());
         store.start_lease_expiry();
-        let store_refuses = (0..CONTROLLERS.len()).map(|_| Rc::default()).collect::<Vec<_>>();
-        for (controller, refuses) in store_refuses.iter().enumerate() {
-            store.start(net.host("state"), store_addr(controller), Rc::clone(refuses));
+        let is_refused_by_store = (0..CONTROLLERS.len()).map(|_| Rc::default()).collect::<Vec<_>>();
+        for (controller, is_refusing) in is_refused_by_store.iter().enumerate() {
+            store.start(net.host_network("state"), store_addr(controller), Rc::clone(is_refusing));
         }
         let cloud = start_cloud(&net, &history, machines);
-        let user = net.host("user");
+        let user = net.host_network("user");
         let clients = (0..CONTROLLERS.len())
             .map(|controller| {
                 let addr = client_addr(controller);
@@ -156,13 +159,13 @@
         let processes = RefCell::new(CONTROLLERS.iter().map(|_| None).collect());
         let last_seed = Cell::new(7);
         Self {
-            grants,
+            limits,
             operator,
             net,
             store,
             cloud,
             history,
-            store_refuses,
+            is_refused_by_store,
             processes,
             clients,
             last_seed,
@@ -170,46 +173,47 @@
     }
 
     /// Starts a controller.
-    pub fn start(&self, controller: usize) {
+    pub fn start_controller(&self, controller: usize) {
         self.last_seed.set(self.last_seed.get() + 1);
-        let settings = controller_settings(controller, self.grants, self.operator.clone());
-        let (network, seed) = (self.net.host(CONTROLLERS[controller]), self.last_seed.get());
-        let freezer = Freezer::default();
+        let settings = controller_settings(controller, self.limits, self.operator.clone());
+        let (network, seed) =
+            (self.net.host_network(CONTROLLERS[controller]), self.last_seed.get());
+        let pause_handle = PauseHandle::default();
         // Its own task set: when it is dropped, all that the controller had under way ends.
         let controller_run = async move {
             let set = LocalSet::new();
             let _ = set.run_until(node::run(settings, network, seed)).await;
         };
-        let process = Process::new(controller_run, freezer.clone());
+        let process = PausableProcess::new(controller_run, pause_handle.clone());
         let handle = tokio::task::spawn_local(process);
-        self.processes.borrow_mut()[controller] = Some(ControllerProcess { handle, freezer });
+        self.processes.borrow_mut()[controller] = Some(ControllerProcess { handle, pause_handle });
     }
 
     /// Ends a controller at once, with all that it has under way.
-    pub fn kill(&self, controller: usize) {
+    pub fn kill_controller(&self, controller: usize) {
         if let Some(process) = self.processes.borrow_mut()[controller].take() {
             process.handle.abort();
         }
     }
 
     /// Ends a controller, and starts it again after some seconds.
-    pub async fn restart(&self, controller: usize, after_s: f64) {
-        self.kill(controller);
+    pub async fn restart_controller(&self, controller: usize, after_s: f64) {
+        self.kill_controller(controller);
         sleep_s(after_s).await;
-        self.start(controller);
+        self.start_controller(controller);
     }
 
     /// Pauses a controller, while its clocks run on.
-    pub async fn freeze(&self, controller: usize, seconds: f64) {
-        let freezer = self.freezer(controller);
-        freezer.freeze();
+    pub async fn pause_controller(&self, controller: usize, seconds: f64) {
+        let pause_handle = self.pause_handle(controller);
+        pause_handle.pause();
         sleep_s(seconds).await;
-        freezer.thaw();
+        pause_handle.resume();
     }
 
-    fn freezer(&self, controller: usize) -> Freezer {
+    fn pause_handle(&self, controller: usize) -> PauseHandle {
         let processes = self.processes.borrow();
-        processes[controller].as_ref().expect("the controller runs").freezer.clone()
+        processes[controller].as_ref().expect("the controller runs").pause_handle.clone()
     }
 
     /// All controllers but one.
@@ -218,9 +222,9 @@
     }
 
     /// Cuts the links between a controller and the others.
-    pub fn cut_from_peers(&self, controller: usize) {
+    pub fn partition_from_peers(&self, controller: usize) {
         for other in self.other_controllers(controller) {
-            self.net.cut(CONTROLLERS[controller], CONTROLLERS[other]);
+            self.net.partition(CONTROLLERS[controller], CONTROLLERS[other]);
         }
     }
 
@@ -232,9 +236,9 @@
     }
 
     /// Cuts the links between a controller and the machines that are up.
-    pub fn cut_from_workers(&self, controller: usize) {
+    pub fn partition_from_workers(&self, controller: usize) {
         for worker in self.cloud.workers() {
-            self.net.cut(CONTROLLERS[controller], worker.settings.name.as_str());
+            self.net.partition(CONTROLLERS[controller], worker.settings.name.as_str());
         }
     }
 
@@ -291,7 +295,7 @@
         vec![machine_type()],
         machines as usize,
     );
-    cloud.start(net.host("cloud"), cloud_addr());
+    cloud.start(net.host_network("cloud"), cloud_addr());
     for number in 0..machines {
         cloud.add_machine(if number % 2 == 0 { "z1" } else { "z2" }, false, 0.5);
     }
--- a/crates/corkfield/tests/scenarios/cluster/settings.rs
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -12,7 +12,7 @@
 
 /// What the platform grants.
 #[derive(Debug, Clone, Copy)]
-pub struct Grants {
+pub struct PlatformLimits {
     /// Requests to the state service a second.
     pub state_rps: f64,
     /// Changes of the state service a second.
@@ -24,8 +24,8 @@
 }
 
 /// Enough for the few machines of most scenarios.
-pub const SMALL_GRANTS: Grants =
-    Grants { state_rps: 200.0, write_rps: 90.0, cloud_rps: 5.0, sockets: 500 };
+pub const SMALL_LIMITS: PlatformLimits =
+    PlatformLimits { state_rps: 200.0, write_rps: 90.0, cloud_rps: 5.0, sockets: 500 };
 
 /// Where users and workers reach a controller.
 pub fn client_addr(controller: usize) -> SocketAddr {
@@ -42,14 +42,18 @@
 }
 
 /// The settings of a controller, as they are deployed.
-pub fn controller_settings(controller: usize, grants: Grants, operator: Operator) -> Settings {
-    let text = settings_text(controller, grants);
+pub fn controller_settings(
+    controller: usize,
+    limits: PlatformLimits,
+    operator: Operator,
+) -> Settings {
+    let text = settings_text(controller, limits);
     let platform = Platform::parse(&text).expect("the settings are valid");
     Settings { platform, operator }
 }
 
-fn settings_text(controller: usize, grants: Grants) -> String {
-    let Grants { state_rps, write_rps, cloud_rps, sockets } = grants;
+fn settings_text(controller: usize, limits: PlatformLimits) -> String {
+    let PlatformLimits { state_rps, write_rps, cloud_rps, sockets } = limits;
     let mut text = String::new();
     let number = controller + 1;
     let name = CONTROLLERS[controller];
@@ -109,9 +113,9 @@
         zone: String::new(),
         spot: false,
         cpus: 0.0,
-        heartbeat: Duration::from_secs(2),
-        lease: Duration::from_secs_f64(LEASE_S),
-        heartbeats_after_answers: true,
+        heartbeat_interval: Duration::from_secs(2),
+        lease_duration: Duration::from_secs_f64(LEASE_S),
+        heartbeat_after_each_reply: true,
         controllers: controllers
             .map(|(number, name)| (ControllerName::from(*name), client_addr(number)))
             .collect(),
--- a/crates/corkfield/tests/scenarios/cluster/store_load.rs
+++ b/crates/corkfield/tests/scenarios/cluster/store_load.rs
@@ -16,12 +16,12 @@
 }
 
 /// Whether a request claims jobs for a controller.
-pub fn claims_jobs(request: &Request) -> bool {
+pub fn is_job_claim(request: &Request) -> bool {
     is_transaction_with(request, "\"owner\":\"n")
 }
 
 /// Whether a request cancels a job.
-pub fn cancels_job(request: &Request) -> bool {
+pub fn is_job_cancellation(request: &Request) -> bool {
     is_transaction_with(request, "aborted")
 }
 
@@ -42,7 +42,7 @@
 
 impl StoreLoad {
     /// Counts from now on; takes the place of faults that were chosen before.
-    pub fn count(store: &FakeStore) -> Self {
+    pub fn start_counting(store: &FakeStore) -> Self {
         let load = Self { requests: Rc::default(), changes: Rc::default() };
         let (requests, changes) = (load.requests.clone(), load.changes.clone());
         store.set_faults(move |request| {
--- a/crates/corkfield/tests/scenarios/cluster/users.rs
+++ b/crates/corkfield/tests/scenarios/cluster/users.rs
@@ -57,7 +57,7 @@
     }
 
     /// Repeats a submission to one controller, and records its answer.
-    pub async fn submit_again(&self, controller: usize, spec: &JobSpec) -> Option<u16> {
+    pub async fn submit_to(&self, controller: usize, spec: &JobSpec) -> Option<u16> {
         let asked = now();
         let body = serde_json::to_vec(spec).expect("serializable");
         let (status, body) = self.request(controller, "POST", PATH_JOBS, &body).await?;
@@ -69,7 +69,7 @@
 
     /// Submits a job whose tasks run that long and end well; returns the status.
     pub async fn submit(&self, spec: &JobSpec, run_s: f64) -> u16 {
-        self.submit_plan(JobPlan { spec: spec.clone(), run_s, fails: false }).await
+        self.submit_plan(JobPlan { spec: spec.clone(), run_s, is_failing: false }).await
     }
 
     /// Submits a job until it has a lasting answer; returns the status.
@@ -115,14 +115,14 @@
         };
         let (status, body) = answer?;
         if status == 404 {
-            self.history.on_unknown_answer(id, asked);
+            self.history.record_not_found_answer(id, asked);
         }
         let view = serde_json::from_slice(&body).ok().filter(|_| status == 200);
         self.record_answer(id, asked, view)
     }
 
     /// Cancels a job at one controller, as often as it takes.
-    pub async fn cancel_through(&self, controller: usize, id: &JobId) {
+    pub async fn cancel_at(&self, controller: usize, id: &JobId) {
         for _ in 0..MAX_ATTEMPTS {
             let status = self.request_about_job(controller, id, Some(PATH_CANCEL)).await;
             if status == Some(JobStatus::Cancelled) {
@@ -140,7 +140,7 @@
         view: Option<JobView>,
     ) -> Option<JobStatus> {
         let status = view?.status;
-        self.history.on_user_answer(id, status, asked);
+        self.history.record_user_answer(id, status, asked);
         Some(status)
     }
 
--- a/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
@@ -2,7 +2,7 @@
 //! are still under way.
 
 use crate::cluster::{
-    claims_jobs, job_spec, scenario, scenario_with_operator, sleep_s, Cluster, CONTROLLERS,
+    is_job_claim, job_spec, scenario, scenario_with_operator, sleep_s, Cluster, CONTROLLERS,
 };
 use corkfield::settings::Operator;
 use corkfield_fakes::{FakeWorker, Fault, JobPlan};
@@ -54,17 +54,21 @@
                 let second = cluster.cloud.workers().pop().expect("two machines");
                 if path == Path::Relayed {
                     let leader = CONTROLLERS[cluster.leader()];
-                    cluster.net.cut(leader, second.settings.name.as_str());
+                    cluster.net.partition(leader, second.settings.name.as_str());
                     sleep_s(UNTIL_RELAYED_S).await;
                 }
                 let other_generations = count_starts_of_other_generations(&cluster);
                 let job = job_spec(1, 16);
                 let agent_epoch = second.agent_epoch();
                 second.set_hung(true);
-                assert_eq!(cluster.submit_again(cluster.leader(), &job).await, Some(201));
+                assert_eq!(cluster.submit_to(cluster.leader(), &job).await, Some(201));
                 sleep_s(hung_s).await;
                 second.set_hung(false);
-                cluster.history.add_plan(JobPlan { spec: job.clone(), run_s: 2.0, fails: false });
+                cluster.history.add_plan(JobPlan {
+                    spec: job.clone(),
+                    run_s: 2.0,
+                    is_failing: false,
+                });
                 cluster.wait_until_done(&job.id, 30.0).await;
                 assert_eq!(other_generations.get(), 0, "{path:?}, hung for {hung_s} s");
                 assert_eq!(second.agent_epoch(), agent_epoch, "no lease expired");
@@ -101,7 +105,7 @@
             cluster.cloud.capacity.set(4);
             let faulty: Vec<_> = cluster.cloud.workers().into_iter().skip(1).collect();
             for worker in &faulty {
-                worker.fails_all_tasks.set(true);
+                worker.is_faulty.set(true);
             }
             cluster.store.set_fault_where(Fault::DelayAnswer(1.2), is_completion_commit);
             let mut job = job_spec(1, 6);
@@ -109,7 +113,7 @@
             cluster.submit(&job, run_s).await;
             sleep_s(1.6).await;
             for worker in &faulty {
-                worker.fails_all_tasks.set(false);
+                worker.is_faulty.set(false);
             }
             sleep_s(5.0).await;
             cluster.store.clear_faults();
@@ -124,7 +128,7 @@
     cluster.cloud.capacity.set(4);
     let faulty: Vec<_> = cluster.cloud.workers().into_iter().skip(1).collect();
     for worker in &faulty {
-        worker.fails_all_tasks.set(true);
+        worker.is_faulty.set(true);
     }
     let job = JobSpec { cpus: 8.0, ..job_spec(1, 4) };
     cluster.submit(&job, 20.0).await;
@@ -140,7 +144,7 @@
     let answer = cluster.request(cluster.leader(), "POST", &release, b"").await;
     assert_eq!(answer.map(|(status, _)| status), Some(200));
     for worker in faulty {
-        worker.fails_all_tasks.set(false);
+        worker.is_faulty.set(false);
     }
 }
 
@@ -159,7 +163,7 @@
             cluster.store.set_faults(|request| {
                 if is_completion_commit(request) {
                     Fault::Delay(1.0)
-                } else if claims_jobs(request) {
+                } else if is_job_claim(request) {
                     Fault::Drop
                 } else {
                     Fault::None
@@ -187,7 +191,7 @@
         sleep_s(3.0).await;
         let claims = Cell::new(0);
         cluster.store.set_faults(move |request| {
-            if !claims_jobs(request) || is_completion_commit(request) {
+            if !is_job_claim(request) || is_completion_commit(request) {
                 return Fault::None;
             }
             claims.set(claims.get() + 1);
--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -22,9 +22,11 @@
     let name = &worker.settings.name;
     match silence {
         Silence::Hung => worker.set_hung(on),
-        Silence::ReceivesNothing => worker.receives_nothing.set(on),
+        Silence::ReceivesNothing => worker.is_inbound_blocked.set(on),
         Silence::CutOff if on => {
-            CONTROLLERS.iter().for_each(|controller| cluster.net.cut(name.as_str(), controller));
+            CONTROLLERS
+                .iter()
+                .for_each(|controller| cluster.net.partition(name.as_str(), controller));
         }
         Silence::CutOff => {
             CONTROLLERS.iter().for_each(|controller| cluster.net.heal(name.as_str(), controller));
@@ -59,22 +61,22 @@
                 sleep_s(1.0).await;
                 let silent = [0, 3].map(|index| cluster.worker_of(&task_id(&cancelled, index)));
                 silent.iter().for_each(|worker| set_silent(&cluster, worker, silence, true));
-                cluster.cloud.down.set(true);
+                cluster.cloud.is_down.set(true);
                 if leader_ends_s < 0.0 {
-                    cluster.restart(cluster.leader(), 0.3).await;
+                    cluster.restart_controller(cluster.leader(), 0.3).await;
                     sleep_s(-leader_ends_s).await;
                 }
                 cluster.cancel(&cancelled.id).await;
                 if leader_ends_s >= 0.0 {
                     sleep_s(leader_ends_s).await;
-                    cluster.restart(cluster.leader(), 0.3).await;
+                    cluster.restart_controller(cluster.leader(), 0.3).await;
                 }
                 // Nobody can have begun this one, so only the limit holds it back.
                 cluster.submit(&newest, 3.0).await;
                 // What goes on within its lease still runs its cancelled tasks at first.
                 sleep_s(LEASE_S - 3.0 - f64::max(leader_ends_s, 0.0)).await;
                 silent.iter().for_each(|worker| set_silent(&cluster, worker, silence, false));
-                cluster.cloud.down.set(false);
+                cluster.cloud.is_down.set(false);
                 for job in [&next, &newest, &filler] {
                     cluster.wait_until_done(&job.id, 150.0).await;
                 }
@@ -96,22 +98,22 @@
 async fn begin_change(cluster: &Rc<Cluster>, change: Change) {
     let leader = cluster.leader();
     match change {
-        Change::Crash => cluster.kill(leader),
-        Change::Refusal => cluster.store_refuses[leader].set(true),
+        Change::Crash => cluster.kill_controller(leader),
+        Change::Refusal => cluster.is_refused_by_store[leader].set(true),
         Change::HandOver => {
-            cluster.cut_from_workers(leader);
+            cluster.partition_from_workers(leader);
         }
         Change::Freeze => {
             let cluster = cluster.clone();
-            tokio::task::spawn_local(async move { cluster.freeze(leader, 14.0).await });
+            tokio::task::spawn_local(async move { cluster.pause_controller(leader, 14.0).await });
         }
     }
 }
 
 fn end_change(cluster: &Cluster, change: Change, leader: usize) {
     match change {
-        Change::Crash => cluster.start(leader),
-        Change::Refusal => cluster.store_refuses[leader].set(false),
+        Change::Crash => cluster.start_controller(leader),
+        Change::Refusal => cluster.is_refused_by_store[leader].set(false),
         Change::HandOver => cluster.heal_to_workers(leader),
 
         Change::Freeze => {}
@@ -138,9 +140,7 @@
                     sleep_s(rng.random_range(0.1..1.1)).await;
                     let asked = others[rng.random_range(0..others.len())];
                     let (cluster, id) = (cluster.clone(), job.id.clone());
-                    tokio::task::spawn_local(
-                        async move { cluster.cancel_through(asked, &id).await },
-                    );
+                    tokio::task::spawn_local(async move { cluster.cancel_at(asked, &id).await });
                 }
                 sleep_s(1.0).await;
                 end_change(&cluster, change, leader);
@@ -171,7 +171,7 @@
             for (number, job) in jobs.iter().enumerate() {
                 let (cluster, id) = (cluster.clone(), job.id.clone());
                 tokio::task::spawn_local(async move {
-                    cluster.cancel_through(number % CONTROLLERS.len(), &id).await;
+                    cluster.cancel_at(number % CONTROLLERS.len(), &id).await;
                 });
                 sleep_s(0.02).await;
             }
--- a/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/late_commands.rs
@@ -22,7 +22,7 @@
                 workers.iter().for_each(|worker| worker.command_delay_s.set(Some(delay_s)));
                 for job in &cancelled {
                     cluster.cancel(&job.id).await;
-                    cluster.restart(cluster.leader(), restart_s).await;
+                    cluster.restart_controller(cluster.leader(), restart_s).await;
                     sleep_s(1.5).await;
                 }
                 sleep_s(delay_s).await;
@@ -75,7 +75,7 @@
                         .collect();
                     let term =
                         cluster.elected_leader().map_or(Term::default(), |leader| leader.term);
-                    cluster.restart(cluster.leader(), 0.1).await;
+                    cluster.restart_controller(cluster.leader(), 0.1).await;
                     while cluster.elected_leader().is_none_or(|leader| leader.term == term) {
                         sleep_s(0.05).await;
                     }
--- a/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leaders.rs
@@ -20,7 +20,7 @@
                     cluster.store.set_down(true);
                 }
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.1 + f64::from(round % 3)).await;
+                cluster.restart_controller(leader, 0.1 + f64::from(round % 3)).await;
                 sleep_s(if outage { 4.0 } else { 9.0 }).await;
                 if round == 2 {
                     cluster.cancel(&to_cancel.id).await;
@@ -50,22 +50,22 @@
                 let worker = cluster.worker_of(&task_id(&job, 0));
                 let name = worker.settings.name.to_string();
                 // It can't be returned either.
-                cluster.cloud.down.set(true);
+                cluster.cloud.is_down.set(true);
                 match kind {
-                    0 => cluster.net.cut(&name, "*"),
-                    1 => worker.receives_nothing.set(true),
-                    _ => worker.sends_nothing.set(true),
+                    0 => cluster.net.partition(&name, "*"),
+                    1 => worker.is_inbound_blocked.set(true),
+                    _ => worker.is_outbound_blocked.set(true),
                 }
                 sleep_s(0.7).await;
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.5).await;
+                cluster.restart_controller(leader, 0.5).await;
                 sleep_s(after).await;
                 match kind {
                     0 => cluster.net.heal(&name, "*"),
-                    1 => worker.receives_nothing.set(false),
-                    _ => worker.sends_nothing.set(false),
+                    1 => worker.is_inbound_blocked.set(false),
+                    _ => worker.is_outbound_blocked.set(false),
                 }
-                cluster.cloud.down.set(false);
+                cluster.cloud.is_down.set(false);
                 cluster.wait_until_done(&job.id, 150.0).await;
             });
         }
@@ -81,8 +81,8 @@
             cluster.submit(&to_cancel, 300.0).await;
             sleep_s(5.0).await;
             let old = cluster.leader();
-            cluster.net.cut(CONTROLLERS[old], "state");
-            cluster.cut_from_peers(old);
+            cluster.net.partition(CONTROLLERS[old], "state");
+            cluster.partition_from_peers(old);
             sleep_s(LEASE_S).await;
             let new = cluster.leader();
             assert_ne!(new, old);
@@ -94,7 +94,7 @@
                     worker.set_hung(false);
                 });
             }
-            cluster.cancel_through(new, &to_cancel.id).await;
+            cluster.cancel_at(new, &to_cancel.id).await;
             for _ in 0..20 {
                 let answer = cluster.request_about_job(old, &to_cancel.id, None).await;
                 assert_eq!(answer, None, "no answer without the store");
@@ -125,9 +125,9 @@
             // One machine stands still when they are back, the first time within its lease.
             let hung = cluster.worker_of(&task_id(&job, 0));
             hung.set_hung(true);
-            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill_controller(controller));
             sleep_s(away).await;
-            (0..CONTROLLERS.len()).for_each(|controller| cluster.start(controller));
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.start_controller(controller));
             sleep_s(5.0).await;
             hung.set_hung(false);
             sleep_s(7.0).await;
@@ -152,10 +152,10 @@
                 let (cluster, id) = (cluster.clone(), to_cancel.id.clone());
                 tokio::task::spawn_local(async move {
                     sleep_s(1.0).await;
-                    cluster.cancel_through(cluster.other_controllers(leader)[0], &id).await;
+                    cluster.cancel_at(cluster.other_controllers(leader)[0], &id).await;
                 })
             };
-            cluster.freeze(leader, still).await;
+            cluster.pause_controller(leader, still).await;
             cancelling.await.expect("it is cancelled");
             // It wakes to orders, transactions and heartbeats that are long over.
             sleep_s(LEASE_S + 6.0).await;
@@ -178,10 +178,10 @@
         sleep_s(3.0).await;
         // To it the rented machines are about to come up; to the next leader they do.
         let leader = cluster.leader();
-        cluster.freeze(leader, 40.0).await;
+        cluster.pause_controller(leader, 40.0).await;
         assert_ne!(cluster.leader(), leader);
         // And the store is out of its reach for a while yet.
-        cluster.net.cut(CONTROLLERS[leader], "state");
+        cluster.net.partition(CONTROLLERS[leader], "state");
         sleep_s(4.0).await;
         cluster.net.heal(CONTROLLERS[leader], "state");
         sleep_s(5.0).await;
@@ -201,8 +201,8 @@
             sleep_s(5.0).await;
             let leader = cluster.leader();
             // The machines silent, it asks for others meanwhile.
-            cluster.cloud.lose_answers.set(true);
-            cluster.net.cut(CONTROLLERS[leader], "*");
+            cluster.cloud.is_losing_answers.set(true);
+            cluster.net.partition(CONTROLLERS[leader], "*");
             sleep_s(cut_s).await;
             assert_ne!(cluster.leader(), leader);
             // It learns at once that its jobs are another's, so that nothing seems to need the
@@ -213,7 +213,7 @@
             cluster.net.heal(CONTROLLERS[leader], "*");
             sleep_s(3.0).await;
             cluster.store.clear_faults();
-            cluster.cloud.lose_answers.set(false);
+            cluster.cloud.is_losing_answers.set(false);
             sleep_s(5.0).await;
             assert_eq!(cluster.cloud.workers().len(), 4, "none was returned");
             cluster.wait_until_done(&job.id, 120.0).await;
@@ -253,9 +253,9 @@
                         .into_iter()
                         .flat_map(move |a| outside.clone().into_iter().map(move |b| (a.clone(), b)))
                 };
-                cuts().for_each(|(a, b)| cluster.net.cut(&a, &b));
+                cuts().for_each(|(a, b)| cluster.net.partition(&a, &b));
                 sleep_s(2.0).await;
-                cluster.cancel_through(cluster.other_controllers(inside)[0], &to_cancel.id).await;
+                cluster.cancel_at(cluster.other_controllers(inside)[0], &to_cancel.id).await;
                 sleep_s(long).await;
                 cuts().for_each(|(a, b)| cluster.net.heal(&a, &b));
                 sleep_s(LEASE_S).await;
@@ -282,21 +282,23 @@
             // Twice the workers lose their leader.
             for _ in 0..2 {
                 let leader = cluster.leader();
-                machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
+                machines
+                    .iter()
+                    .for_each(|machine| cluster.net.partition(CONTROLLERS[leader], machine));
                 sleep_s(LEASE_S).await;
                 assert_ne!(cluster.leader(), leader);
                 machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
                 sleep_s(2.0).await;
             }
             let last = cluster.leader();
-            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill_controller(controller));
             sleep_s(back).await;
-            cluster.start(last);
+            cluster.start_controller(last);
             sleep_s(6.0).await;
             cluster
                 .other_controllers(last)
                 .into_iter()
-                .for_each(|controller| cluster.start(controller));
+                .for_each(|controller| cluster.start_controller(controller));
             cluster.wait_until_done(&job.id, 150.0).await;
             cluster.assert_started_once(&job, "no lease expired");
         });
@@ -321,7 +323,7 @@
             for round in 0..6u32 {
                 sleep_s(4.0 + f64::from((seed * 7 + round * 5) % 6)).await;
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.1 * f64::from(round)).await;
+                cluster.restart_controller(leader, 0.1 * f64::from(round)).await;
             }
             for job in &jobs {
                 cluster.wait_until_done(&job.id, 120.0).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
@@ -73,7 +73,7 @@
             scenario(3, |cluster| async move {
                 let lost = lose_answers(&cluster, commit, most);
                 if commit == Commit::Membership || commit == Commit::MachineRecord {
-                    cluster.restart(cluster.leader(), 0.2).await;
+                    cluster.restart_controller(cluster.leader(), 0.2).await;
                     let machine = cluster.cloud.add_machine("z1", false, 0.1);
                     sleep_s(1.0).await;
                     assert!(cluster.cloud.worker(machine.as_str()).is_some());
@@ -90,7 +90,7 @@
                 sleep_s(4.0).await;
                 let (cancelling, id) = (cluster.clone(), cancelled.id.clone());
                 let cancellation = tokio::task::spawn_local(async move {
-                    cancelling.cancel_through(0, &id).await;
+                    cancelling.cancel_at(0, &id).await;
                 });
                 watch_all(&cluster, &cancelled.id, 2.5).await;
                 cancellation.await.expect("cancelled");
@@ -112,7 +112,7 @@
         sleep_s(4.0).await;
         let lost = lose_answers(&cluster, Commit::HandOver, 2);
         let leader = cluster.leader();
-        cluster.cut_from_workers(leader);
+        cluster.partition_from_workers(leader);
         sleep_s(LEASE_S).await;
         assert!(lost.get() >= 1, "no answer to a hand-over was lost");
         assert_ne!(cluster.leader(), leader);
--- a/crates/corkfield/tests/scenarios/combined_faults/machines.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/machines.rs
@@ -16,12 +16,12 @@
             } else {
                 vec![cluster.worker_of(&task_id(&to_cancel, 0))]
             };
-            silent.iter().for_each(|worker| worker.sends_nothing.set(true));
+            silent.iter().for_each(|worker| worker.is_outbound_blocked.set(true));
             sleep_s(1.0).await;
             cluster.cancel(&to_cancel.id).await;
             if failover {
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.3).await;
+                cluster.restart_controller(leader, 0.3).await;
             } else {
                 sleep_s(2.5).await;
                 assert_eq!(
@@ -31,7 +31,7 @@
                 );
             }
             sleep_s(LEASE_S + 8.0).await;
-            silent.iter().for_each(|worker| worker.sends_nothing.set(false));
+            silent.iter().for_each(|worker| worker.is_outbound_blocked.set(false));
             cluster.wait_until_done(&job.id, 120.0).await;
         });
     }
@@ -54,15 +54,15 @@
             sleep_s(1.0).await;
             let worker = cluster.worker_of(&task_id(&second, 0));
             worker.set_hung(true);
-            cluster.cloud.down.set(true);
+            cluster.cloud.is_down.set(true);
             let leader = cluster.leader();
-            cluster.restart(leader, 0.3).await;
+            cluster.restart_controller(leader, 0.3).await;
             sleep_s(when).await;
             // What is cancelled counts until it is surely gone.
             cluster.cancel(&second.id).await;
             sleep_s(hung_s).await;
             worker.set_hung(false);
-            cluster.cloud.down.set(false);
+            cluster.cloud.is_down.set(false);
             for job in [&first, &third] {
                 cluster.wait_until_done(&job.id, 150.0).await;
             }
@@ -102,16 +102,16 @@
         // There is no room for it yet.
         cluster.submit(&next, 3.0).await;
         sleep_s(2.0).await;
-        cluster.cloud.down.set(true);
+        cluster.cloud.is_down.set(true);
         let worker = cluster.worker_of(&task_id(&long, 0));
-        worker.receives_nothing.set(true);
+        worker.is_inbound_blocked.set(true);
         let leader = cluster.leader();
-        cluster.restart(leader, 0.2).await;
+        cluster.restart_controller(leader, 0.2).await;
         cluster.cancel(&long.id).await;
         let waited = cluster.wait_until_done(&next.id, 60.0).await;
         assert!(waited < 14.0, "{waited} s: no longer than if all machines had answered");
-        worker.receives_nothing.set(false);
-        cluster.cloud.down.set(false);
+        worker.is_inbound_blocked.set(false);
+        cluster.cloud.is_down.set(false);
         sleep_s(LEASE_S + 3.0).await;
     });
 }
@@ -131,7 +131,7 @@
                 [cluster.worker_of(&task_id(&together, 0)), cluster.worker_of(&task_id(&apart, 0))];
             silent.iter().for_each(|worker| worker.set_hung(true));
             let leader = cluster.leader();
-            cluster.restart(leader, 0.3).await;
+            cluster.restart_controller(leader, 0.3).await;
             sleep_s(7.0).await;
             silent.iter().for_each(|worker| worker.set_hung(false));
             sleep_s(4.0).await;
@@ -163,7 +163,7 @@
             cluster.submit(&job, 5.0).await;
         }
         let leader = cluster.leader();
-        cluster.restart(leader, 0.5).await;
+        cluster.restart_controller(leader, 0.5).await;
         let started = tokio::time::Instant::now();
         for job in &urgent {
             cluster.wait_until_done(&job.id, 120.0).await;
@@ -190,7 +190,7 @@
                 sleep_s(2.5).await;
                 let leader = cluster.leader();
                 let name = &workers[number as usize % 2].settings.name;
-                cluster.net.cut(CONTROLLERS[leader], name.as_str());
+                cluster.net.partition(CONTROLLERS[leader], name.as_str());
                 sleep_s(0.2).await;
                 assert_eq!(cluster.cancel(&to_cancel.id).await, Some(JobStatus::Cancelled));
                 sleep_s(held_s).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
@@ -15,7 +15,7 @@
 const JOBS_IN_ALL: u32 = 480;
 
 async fn submit_and_follow(cluster: Rc<Cluster>, job: JobSpec, number: u32) {
-    cluster.submit_plan(JobPlan { spec: job.clone(), run_s: 3.0, fails: false }).await;
+    cluster.submit_plan(JobPlan { spec: job.clone(), run_s: 3.0, is_failing: false }).await;
     if number % 4 == 0 {
         sleep_s(f64::from(number % 7) * 0.7).await;
         cluster.cancel(&job.id).await;
@@ -27,7 +27,7 @@
 #[test]
 fn one_task_jobs_at_four_a_second_cost_few_changes_and_starve_no_array() {
     scenario(4, |cluster| async move {
-        let store_load = StoreLoad::count(&cluster.store);
+        let store_load = StoreLoad::start_counting(&cluster.store);
         let array = JobSpec { cpus: 4.0, ..job_spec(1, 30) };
         cluster.submit(&array, 8.0).await;
         let mut followed = Vec::new();
@@ -39,7 +39,7 @@
                 number,
             )));
             if number == JOBS_IN_ALL / 2 {
-                cluster.restart(cluster.leader(), 0.3).await;
+                cluster.restart_controller(cluster.leader(), 0.3).await;
             }
             sleep_s(1.0 / RATE).await;
         }
@@ -97,11 +97,11 @@
             for round in 0..400 {
                 sleep_s(0.05).await;
                 assert_recorded(&cluster);
-                let rented = cluster.cloud.rentals.get() > 0;
+                let rented = cluster.cloud.executed_rentals.get() > 0;
                 if rented && !restarted && f64::from(round) * 0.05 > 8.0 + restart_s {
                     restarted = true;
                     if let Some(leader) = cluster.elected_leader() {
-                        cluster.restart(leader.controller, 0.2).await;
+                        cluster.restart_controller(leader.controller, 0.2).await;
                     }
                 }
             }
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -17,19 +17,19 @@
             sleep_s(5.0).await;
             let worker = cluster.worker_of(&task_id(&job, 0));
             let name = worker.settings.name.to_string();
-            cluster.cloud.down.set(true);
+            cluster.cloud.is_down.set(true);
             // Its heartbeats to each controller are under way when the leader ends.
             for controller in CONTROLLERS {
-                cluster.net.cut(&name, controller);
+                cluster.net.partition(&name, controller);
             }
             sleep_s(1.0).await;
             let leader = cluster.leader();
-            cluster.restart(leader, 0.4).await;
+            cluster.restart_controller(leader, 0.4).await;
             sleep_s(held_s).await;
             for controller in CONTROLLERS {
                 cluster.net.heal(&name, controller);
             }
-            cluster.cloud.down.set(false);
+            cluster.cloud.is_down.set(false);
             cluster.wait_until_done(&job.id, 150.0).await;
         });
     }
@@ -69,7 +69,7 @@
                     }
                     90 => {
                         let leader = cluster.leader();
-                        cluster.restart(leader, 0.2).await;
+                        cluster.restart_controller(leader, 0.2).await;
                     }
                     _ => {}
                 }
@@ -108,12 +108,12 @@
                 .iter()
                 .map(|worker| worker.settings.name.to_string())
                 .collect();
-            machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
+            machines.iter().for_each(|machine| cluster.net.partition(CONTROLLERS[leader], machine));
             sleep_s(LEASE_S - 1.0).await;
             machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
             cluster.cancel(&to_cancel.id).await;
             let leader = cluster.leader();
-            cluster.restart(leader, 0.3).await;
+            cluster.restart_controller(leader, 0.3).await;
             for job in &jobs {
                 cluster.wait_until_done(&job.id, 250.0).await;
             }
--- a/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
@@ -18,7 +18,7 @@
             let (asker, job) = (cluster.clone(), job.clone());
             asked.push(tokio::task::spawn_local(async move {
                 asker.request_about_job(controller, &job.id, None).await;
-                asker.submit_again(controller, &job).await;
+                asker.submit_to(controller, &job).await;
             }));
         }
     }
@@ -47,15 +47,15 @@
                 cluster.history.add_plan(corkfield_fakes::JobPlan {
                     spec: job.clone(),
                     run_s: if number % 3 == 0 { 120.0 } else { 1.0 },
-                    fails: false,
+                    is_failing: false,
                 });
-                while !matches!(cluster.submit_again(controller, &job).await, Some(200 | 201)) {
+                while !matches!(cluster.submit_to(controller, &job).await, Some(200 | 201)) {
                     sleep_s(0.2).await;
                 }
                 ask_all(&cluster, &job).await;
                 match number % 3 {
                     0 => {
-                        cluster.cancel_through((controller + 1) % CONTROLLERS.len(), &job.id).await;
+                        cluster.cancel_at((controller + 1) % CONTROLLERS.len(), &job.id).await;
                         ask_all(&cluster, &job).await;
                     }
                     1 => {
--- a/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
@@ -22,9 +22,9 @@
             cluster.store.set_down(true);
             sleep_s(6.0).await;
             match trouble {
-                Some("restart") => cluster.restart(other, 0.1).await,
-                Some("gone") => cluster.kill(other),
-                Some(_) => cluster.net.cut(CONTROLLERS[leader], CONTROLLERS[other]),
+                Some("restart") => cluster.restart_controller(other, 0.1).await,
+                Some("gone") => cluster.kill_controller(other),
+                Some(_) => cluster.net.partition(CONTROLLERS[leader], CONTROLLERS[other]),
                 None => {}
             }
             sleep_s(50.0).await;
@@ -32,7 +32,7 @@
             assert_eq!(running, if trouble.is_none() { 12 } else { 0 }, "{trouble:?}");
             cluster.net.heal(CONTROLLERS[leader], CONTROLLERS[other]);
             if trouble == Some("gone") {
-                cluster.start(other);
+                cluster.start_controller(other);
             }
             cluster.store.set_down(false);
             cluster.wait_until_done(&job.id, 150.0).await;
@@ -71,12 +71,12 @@
                 sleep_s(f64::max(ends_s, 0.0)).await;
                 if cut {
                     for other in cluster.other_controllers(leader) {
-                        cluster.net.cut(CONTROLLERS[other], apart.settings.name.as_str());
+                        cluster.net.partition(CONTROLLERS[other], apart.settings.name.as_str());
                     }
-                    cluster.cut_from_peers(leader);
-                    cluster.store_refuses[leader].set(true);
+                    cluster.partition_from_peers(leader);
+                    cluster.is_refused_by_store[leader].set(true);
                 } else {
-                    cluster.restart(leader, 0.2).await;
+                    cluster.restart_controller(leader, 0.2).await;
                 }
             };
             tokio::join!(outage_ends, leader_ends);
@@ -87,7 +87,7 @@
                 cluster.net.heal(CONTROLLERS[other], apart.settings.name.as_str());
             }
             cluster.heal_to_peers(leader);
-            cluster.store_refuses[leader].set(false);
+            cluster.is_refused_by_store[leader].set(false);
             for job in jobs.iter().chain([&long]) {
                 cluster.wait_until_done(&job.id, 150.0).await;
             }
@@ -106,18 +106,18 @@
                 sleep_s(5.0).await;
                 let leader = cluster.leader();
                 let other = cluster.other_controllers(leader)[0];
-                cluster.cut_from_peers(leader);
-                cluster.store_refuses[leader].set(true);
+                cluster.partition_from_peers(leader);
+                cluster.is_refused_by_store[leader].set(true);
                 sleep_s(0.3).await;
-                cluster.cancel_through(other, &job.id).await;
+                cluster.cancel_at(other, &job.id).await;
                 let confirmed = tokio::time::Instant::now();
                 if restarts {
                     // The next process reads the store, but not what the one before confirmed.
-                    cluster.restart(other, 0.05).await;
+                    cluster.restart_controller(other, 0.05).await;
                     sleep_s(2.5).await;
                 }
                 cluster.store.set_down(true);
-                cluster.store_refuses[leader].set(false);
+                cluster.is_refused_by_store[leader].set(false);
                 sleep_s(healed_s).await;
                 cluster.heal_to_peers(leader);
                 sleep_s(CANCEL_S - confirmed.elapsed().as_secs_f64() - 0.1).await;
@@ -143,14 +143,14 @@
         }
         sleep_s(5.0).await;
         let leader = cluster.leader();
-        cluster.cut_from_peers(leader);
-        cluster.store_refuses[leader].set(true);
+        cluster.partition_from_peers(leader);
+        cluster.is_refused_by_store[leader].set(true);
         sleep_s(1.6).await;
         let starts = cluster.history.total_starts();
         sleep_s(4.0).await;
         // What was ordered by then may have been fetching.
         assert!(cluster.history.total_starts() <= starts + 16, "its lease goes on, but no start");
-        cluster.store_refuses[leader].set(false);
+        cluster.is_refused_by_store[leader].set(false);
         cluster.heal_to_peers(leader);
         for job in &stream {
             cluster.wait_until_done(&job.id, 150.0).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
@@ -2,8 +2,8 @@
 //! then the store is down for all for longer than a cancellation may take.
 
 use crate::cluster::{
-    cancels_job, claims_jobs, job_spec, scenario, sleep_s, task_id, Cluster, CANCEL_S, CONTROLLERS,
-    LEASE_S,
+    is_job_cancellation, is_job_claim, job_spec, scenario, sleep_s, task_id, Cluster, CANCEL_S,
+    CONTROLLERS, LEASE_S,
 };
 use corkfield_fakes::{FakeWorker, Fault};
 use corkfield_wire::peer::Frame;
@@ -57,12 +57,12 @@
     sleep_s(5.0).await;
     let leader = cluster.leader();
     if case.cut_from_peers {
-        cluster.cut_from_peers(leader);
+        cluster.partition_from_peers(leader);
     }
     if case.cut_from_store {
-        cluster.net.cut(CONTROLLERS[leader], "state");
+        cluster.net.partition(CONTROLLERS[leader], "state");
     } else {
-        cluster.store_refuses[leader].set(true);
+        cluster.is_refused_by_store[leader].set(true);
     }
     sleep_s(case.before_s).await;
     if case.hung_s > 0.0 {
@@ -70,7 +70,7 @@
     }
     let (other, confirmed) = (cluster.other_controllers(leader)[0], tokio::time::Instant::now());
     for id in [&job.id, &stream.id] {
-        cluster.cancel_through(other, id).await;
+        cluster.cancel_at(other, id).await;
     }
     sleep_s(case.after_s).await;
     cluster.store.set_down(true);
@@ -89,7 +89,7 @@
     }
     sleep_s(20.0).await;
     cluster.store.set_down(false);
-    cluster.store_refuses[leader].set(false);
+    cluster.is_refused_by_store[leader].set(false);
     cluster.net.heal(CONTROLLERS[leader], "state");
     cluster.heal_to_peers(leader);
     for id in [&job.id, &stream.id] {
@@ -141,14 +141,14 @@
         sleep_s(9.0).await;
         cluster.store.set_fault_where(Fault::Drop, |request| request.target.contains("prefix=d/"));
         let leader = cluster.leader();
-        cluster.restart(leader, 0.2).await;
+        cluster.restart_controller(leader, 0.2).await;
         sleep_s(12.0).await;
         // Only its reads of the store tell it.
         let leader = cluster.leader();
-        cluster.cut_from_peers(leader);
+        cluster.partition_from_peers(leader);
         for to_cancel in &jobs[..3] {
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 2);
-            cluster.cancel_through(cluster.other_controllers(leader)[0], &to_cancel.id).await;
+            cluster.cancel_at(cluster.other_controllers(leader)[0], &to_cancel.id).await;
             sleep_s(3.0).await;
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
         }
@@ -171,7 +171,7 @@
         let job = job_spec(1, 4);
         cluster.submit(&job, 25.0).await;
         sleep_s(5.0).await;
-        cluster.store.set_fault_where(Fault::Drop, cancels_job);
+        cluster.store.set_fault_where(Fault::Drop, is_job_cancellation);
         let other = cluster.other_controllers(cluster.leader())[0];
         let path = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", job.id);
         let (status, _) = cluster.request(other, "POST", &path, b"").await.expect("an answer");
@@ -187,7 +187,7 @@
 /// Speaks to the peer port of a controller as another one would.
 async fn send_to_peer_port(cluster: &Cluster, controller: usize, bytes: &[u8]) -> Option<Frame> {
     let addr = SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8081));
-    let host: Rc<dyn corkfield_http::Network> = cluster.net.host("unknown");
+    let host: Rc<dyn corkfield_http::Network> = cluster.net.host_network("unknown");
     let mut stream = host.connect(addr).await.ok()?;
     stream.write_all(bytes).await.ok()?;
     let answer = async {
@@ -234,7 +234,7 @@
     // Learnt from a notification while the store refuses the leader, or read while it has no peers.
     for refused in [true, false] {
         scenario(2, |cluster| async move {
-            cluster.store.set_fault_where(Fault::DelayAnswer(0.6), claims_jobs);
+            cluster.store.set_fault_where(Fault::DelayAnswer(0.6), is_job_claim);
             let leader = cluster.leader();
             let other = cluster.other_controllers(leader)[0];
             for number in 1..6 {
@@ -242,14 +242,14 @@
                 cluster.submit(&job, 30.0).await;
                 sleep_s(0.2).await;
                 if refused {
-                    cluster.store_refuses[leader].set(true);
+                    cluster.is_refused_by_store[leader].set(true);
                 } else {
-                    cluster.cut_from_peers(leader);
+                    cluster.partition_from_peers(leader);
                 }
-                cluster.cancel_through(other, &job.id).await;
+                cluster.cancel_at(other, &job.id).await;
                 sleep_s(2.5).await;
                 assert_eq!(cluster.history.running_tasks(&job.id), 0);
-                cluster.store_refuses[leader].set(false);
+                cluster.is_refused_by_store[leader].set(false);
                 cluster.heal_to_peers(leader);
                 sleep_s(1.0).await;
             }
@@ -268,9 +268,9 @@
         let worker = cluster.worker_of(&task_id(&job, 0));
         // Direct orders to it are lost with the connection; its heartbeats go by another controller.
         let name = worker.settings.name.to_string();
-        cluster.net.cut(CONTROLLERS[leader], &name);
+        cluster.net.partition(CONTROLLERS[leader], &name);
         sleep_s(1.0).await;
-        cluster.cancel_through(cluster.other_controllers(leader)[0], &job.id).await;
+        cluster.cancel_at(cluster.other_controllers(leader)[0], &job.id).await;
         sleep_s(LEASE_S + 2.0).await;
         assert_eq!(
             cluster.history.running_tasks(&job.id),
--- a/crates/corkfield/tests/scenarios/combined_faults/users.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/users.rs
@@ -1,7 +1,7 @@
 //! What users ask meets the end of a job.
 
 use crate::cluster::{
-    cancels_job, is_transaction, job_spec, scenario, sleep_s, StoreLoad, CONTROLLERS,
+    is_job_cancellation, is_transaction, job_spec, scenario, sleep_s, StoreLoad, CONTROLLERS,
 };
 use corkfield_fakes::Fault;
 use corkfield_wire::user::PATH_CANCEL;
@@ -37,7 +37,7 @@
                         });
                         tokio::join!(
                             asker.request_about_job((controller + 1) % CONTROLLERS.len(), id, None),
-                            asker.submit_again((controller + 2) % CONTROLLERS.len(), &job),
+                            asker.submit_to((controller + 2) % CONTROLLERS.len(), &job),
                         );
                         for wait in [0.03, 0.04, 0.04, 0.04] {
                             sleep_s(wait).await;
@@ -56,7 +56,7 @@
                 sleep_s(0.3).await;
                 if leader_ends && number == 12 {
                     let leader = cluster.leader();
-                    cluster.restart(leader, 0.2).await;
+                    cluster.restart_controller(leader, 0.2).await;
                 }
             }
             for asked in asking {
@@ -69,7 +69,7 @@
 #[test]
 fn a_cancellation_that_is_carried_out_after_the_end_is_answered_with_the_end() {
     scenario(2, |cluster| async move {
-        cluster.store.set_fault_where(Fault::Delay(1.2), cancels_job);
+        cluster.store.set_fault_where(Fault::Delay(1.2), is_job_cancellation);
         for number in 1..=8u32 {
             let job = job_spec(number, 2);
             cluster.submit(&job, 2.0).await;
@@ -98,7 +98,7 @@
 #[test]
 fn many_small_jobs_a_huge_array_and_low_priority_work_starve_nobody_under_frequent_polls() {
     scenario(4, |cluster| async move {
-        let store_load = StoreLoad::count(&cluster.store);
+        let store_load = StoreLoad::start_counting(&cluster.store);
         let mut huge = job_spec(1, 2000);
         (huge.cpus, huge.memory_gb) = (0.25, 0.2);
         cluster.submit(&huge, 1.0).await;
--- a/crates/corkfield/tests/scenarios/fleet/large.rs
+++ b/crates/corkfield/tests/scenarios/fleet/large.rs
@@ -2,7 +2,7 @@
 
 use super::wait_until_started;
 use crate::cluster::{
-    is_transaction_with, job_spec, scenario_with_grants, sleep_s, Grants, CANCEL_S,
+    is_transaction_with, job_spec, scenario_with_limits, sleep_s, PlatformLimits, CANCEL_S,
 };
 use corkfield_fakes::Fault;
 use corkfield_wire::{AgentEpoch, JobSpec};
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 
 /// What a platform grants for so many machines.
-fn grants_for(machines: usize) -> Grants {
+fn limits_for(machines: usize) -> PlatformLimits {
     let size = machines as f64 / 1700.0;
-    Grants {
+    PlatformLimits {
         state_rps: 500.0 * size,
         write_rps: 200.0 * size,
         cloud_rps: 12.0 * size,
@@ -23,7 +23,7 @@
 /// Machines come up, jobs are cancelled, the leader ends while a part of the machines is silent,
 /// and all other jobs are done: no worker loses its lease, and nothing is started twice.
 fn comes_up_and_fails_over(machines: usize) {
-    scenario_with_grants(grants_for(machines), 16, |cluster| async move {
+    scenario_with_limits(limits_for(machines), 16, |cluster| async move {
         cluster.cloud.capacity.set(machines);
         let count = u32::try_from(machines * 8 / 2500).expect("not that many");
         let jobs: Vec<_> = (0..count)
@@ -36,7 +36,7 @@
         wait_until_started(&cluster, count * 2500 * 9 / 10, 40.0).await;
         let hung: Vec<_> = cluster.cloud.workers().into_iter().step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
-        cluster.restart(cluster.leader(), 0.3).await;
+        cluster.restart_controller(cluster.leader(), 0.3).await;
         for job in cancelled {
             cluster.cancel(&job.id).await;
         }
@@ -64,15 +64,15 @@
 
 #[test]
 fn hundreds_of_jobs_are_claimed_in_few_transactions_after_a_failover() {
-    let grants = Grants { state_rps: 300.0, write_rps: 120.0, ..grants_for(1700) };
-    scenario_with_grants(grants, 20, |cluster| async move {
+    let limits = PlatformLimits { state_rps: 300.0, write_rps: 120.0, ..limits_for(1700) };
+    scenario_with_limits(limits, 20, |cluster| async move {
         // More than the machines can do: nearly all of them wait.
         let jobs: Vec<_> = (0..800).map(|number| job_spec(number, 2)).collect();
         for job in &jobs {
             cluster.submit(job, 60.0).await;
         }
         let term_before = cluster.elected_leader().expect("there is a leader").term;
-        cluster.restart(cluster.leader(), 0.3).await;
+        cluster.restart_controller(cluster.leader(), 0.3).await;
         while cluster.elected_leader().is_none_or(|leader| leader.term == term_before) {
             sleep_s(0.1).await;
         }
--- a/crates/corkfield/tests/scenarios/fleet/mod.rs
+++ b/crates/corkfield/tests/scenarios/fleet/mod.rs
@@ -3,7 +3,7 @@
 mod large;
 
 use crate::cluster::{
-    job_spec, scenario_with_grants, sleep_s, Cluster, Grants, StoreLoad, CONTROLLERS,
+    job_spec, scenario_with_limits, sleep_s, Cluster, PlatformLimits, StoreLoad, CONTROLLERS,
 };
 use corkfield_http::Network;
 use corkfield_wire::user::PATH_JOBS;
@@ -13,8 +13,8 @@
 use tokio::io::AsyncWriteExt;
 
 const MACHINES: usize = 1700;
-const GRANTS: Grants =
-    Grants { state_rps: 500.0, write_rps: 200.0, cloud_rps: 12.0, sockets: 3900 };
+const LIMITS: PlatformLimits =
+    PlatformLimits { state_rps: 500.0, write_rps: 200.0, cloud_rps: 12.0, sockets: 3900 };
 
 /// Requests to the state service and changes in them, calls of the cloud, machines and tasks
 /// looked at in placement passes.
@@ -33,7 +33,7 @@
 
 impl LoadCounter {
     fn new(cluster: &Rc<Cluster>) -> Self {
-        Self { cluster: cluster.clone(), store_load: StoreLoad::count(&cluster.store) }
+        Self { cluster: cluster.clone(), store_load: StoreLoad::start_counting(&cluster.store) }
     }
 
     /// Counts since the last call; steps since the leader took over.
@@ -42,7 +42,7 @@
         LoadCounts {
             requests: self.store_load.take_requests(),
             changes: self.store_load.take_changes(),
-            calls: self.cluster.cloud.calls.take(),
+            calls: self.cluster.cloud.requests.take(),
             steps: view["planning"]["steps"].as_u64().expect("it is the leader"),
         }
     }
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_fleet_comes_up_fails_over_and_loses_a_third_of_its_machines_within_its_limits() {
-    scenario_with_grants(GRANTS, 16, |cluster| async move {
+    scenario_with_limits(LIMITS, 16, |cluster| async move {
         cluster.cloud.capacity.set(MACHINES);
         let counter = LoadCounter::new(&cluster);
         let jobs: Vec<_> =
@@ -78,7 +78,7 @@
         let hung: Vec<_> = spot.step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
         let before = cluster.history.total_starts();
-        cluster.restart(cluster.leader(), 0.3).await;
+        cluster.restart_controller(cluster.leader(), 0.3).await;
         sleep_s(6.0).await;
         let taken = counter.take().await;
         assert!(taken.requests < 200 && taken.changes < 600, "{taken:?}");
@@ -86,7 +86,7 @@
         assert!(cluster.history.total_starts() > before + 500, "the others are not waited for");
         hung.iter().for_each(|worker| worker.set_hung(false));
         sleep_s(3.0).await;
-        assert!(hung.iter().all(|worker| !worker.dead.get()), "too many to be given up");
+        assert!(hung.iter().all(|worker| !worker.is_dead.get()), "too many to be given up");
         // A wave without notice.
         for worker in cluster.cloud.workers().into_iter().step_by(3) {
             cluster.cloud.reclaim(worker.settings.name.as_str());
@@ -100,21 +100,21 @@
         // Every worker's, a share for direct orders, and few besides.
         for controller in CONTROLLERS {
             let most = cluster.net.peak_connections(controller);
-            assert!(most < MACHINES + GRANTS.sockets as usize * 24 / 100, "{controller}: {most}");
+            assert!(most < MACHINES + LIMITS.sockets as usize * 24 / 100, "{controller}: {most}");
         }
     });
 }
 
 #[test]
 fn questions_to_silent_machines_keep_to_their_share_of_the_sockets() {
-    let grants = Grants { sockets: 300, ..GRANTS };
-    scenario_with_grants(grants, 190, |cluster| async move {
+    let limits = PlatformLimits { sockets: 300, ..LIMITS };
+    scenario_with_limits(limits, 190, |cluster| async move {
         let job = job_spec(1, 1500);
         cluster.submit(&job, 30.0).await;
         sleep_s(8.0).await;
         cluster.cloud.workers().iter().for_each(|worker| worker.set_hung(true));
         let old = cluster.leader();
-        cluster.kill(old);
+        cluster.kill_controller(old);
         // What the controllers had open before, to workers too, depends on which led first.
         cluster.net.reset_peak_connections();
         let open_before = CONTROLLERS.map(|name| cluster.net.open_connections(name));
@@ -130,8 +130,8 @@
 #[test]
 fn workers_that_outnumber_the_sockets_keep_their_leases() {
     // 195 of the sockets of each of the three controllers are for users and workers.
-    let grants = Grants { sockets: 300, ..GRANTS };
-    scenario_with_grants(grants, 750, |cluster| async move {
+    let limits = PlatformLimits { sockets: 300, ..LIMITS };
+    scenario_with_limits(limits, 750, |cluster| async move {
         let job = job_spec(1, 5000);
         cluster.submit(&job, 40.0).await;
         sleep_s(30.0).await;
@@ -144,14 +144,14 @@
 
 #[test]
 fn bad_and_excessive_requests_in_a_failover_harm_neither_workers_nor_users() {
-    let grants = Grants { sockets: 300, ..GRANTS };
-    scenario_with_grants(grants, 60, |cluster| async move {
+    let limits = PlatformLimits { sockets: 300, ..LIMITS };
+    scenario_with_limits(limits, 60, |cluster| async move {
         let job = job_spec(1, 300);
         cluster.submit(&job, 20.0).await;
         sleep_s(6.0).await;
-        cluster.restart(cluster.leader(), 0.3).await;
+        cluster.restart_controller(cluster.leader(), 0.3).await;
         // Far more connections of users than their share, malformed and oversized bodies, halves.
-        let misbehaving = cluster.net.host("misbehaving");
+        let misbehaving = cluster.net.host_network("misbehaving");
         let mut open_streams = Vec::new();
         for round in 0..260u32 {
             for controller in 0..CONTROLLERS.len() {
--- a/crates/corkfield/tests/scenarios/held_back_heartbeats.rs
+++ b/crates/corkfield/tests/scenarios/held_back_heartbeats.rs
@@ -57,7 +57,7 @@
     until("the machine is up", || cluster.cloud.worker(name.as_str()).is_some()).await;
     let worker = cluster.cloud.worker(name.as_str()).expect("it is up");
     until("it knows our term", || worker.term() != Term::default()).await;
-    worker.heartbeats_held_back.set(true);
+    worker.is_holding_heartbeats.set(true);
     sleep_s(HELD_BACK_S).await;
     worker
 }
@@ -68,8 +68,8 @@
     let job = job_spec(1, 2 * MACHINE_CPUS);
     cluster.submit(&job, 20.0).await;
     worker.restart();
-    worker.heartbeats_held_back.set(false);
-    until("the start was taken", || worker.holds_tasks()).await;
+    worker.is_holding_heartbeats.set(false);
+    until("the start was taken", || worker.has_tasks()).await;
     job
 }
 
@@ -96,15 +96,15 @@
 
 async fn end_leader(cluster: &Cluster) {
     let ended = cluster.leader();
-    cluster.kill(ended);
+    cluster.kill_controller(ended);
     until("another one leads", || cluster.leader() != ended).await;
-    cluster.start(ended);
+    cluster.start_controller(ended);
 }
 
 async fn play(cluster: &Cluster, way: Way, agent_epoch: u64, failover: Failover, fetch_s: f64) {
     let worker = new_machine_with_held_heartbeats(cluster).await;
     let held = worker.sent_heartbeats();
-    worker.image_fetch.set(Duration::from_secs_f64(fetch_s));
+    worker.image_fetch_duration.set(Duration::from_secs_f64(fetch_s));
     let job = restart_into_unshown_start(cluster, &worker).await;
     let held_back = newest_of_former_process(&held, AgentEpoch::new(agent_epoch));
     if failover == Failover::Before {
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -103,12 +103,12 @@
         sleep_s(40.0).await;
         let before = cluster.job_record(&job.id).expect("unfinished").done;
         let leader = cluster.leader();
-        cluster.restart(leader, 0.3).await;
+        cluster.restart_controller(leader, 0.3).await;
         sleep_s(20.0).await;
         let after = cluster.job_record(&job.id).expect("unfinished").done;
         assert!(before > 500 && after > before, "{before} then {after}");
-        assert!(cluster.store.largest_value() < 16 * 1024);
-        assert!(cluster.store.most_changes() <= 12);
+        assert!(cluster.store.max_value_bytes() < 16 * 1024);
+        assert!(cluster.store.max_transaction_changes() <= 12);
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
         sleep_s(CANCEL_S).await;
     });
@@ -118,7 +118,7 @@
 fn a_job_at_the_claim_limit_is_dead_lettered_and_can_be_released_or_cancelled() {
     scenario(2, |cluster| async move {
         let broken = job_spec(1, 2);
-        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, fails: true }).await;
+        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, is_failing: true }).await;
         let mut waited = 0;
         while !cluster.job_record(&broken.id).is_some_and(|r| r.dead_lettered) {
             sleep_s(20.0).await;
@@ -172,7 +172,7 @@
         sleep_s(4.0).await;
         for _ in 0..2 {
             let leader = cluster.leader();
-            cluster.restart(leader, 0.5).await;
+            cluster.restart_controller(leader, 0.5).await;
             sleep_s(7.0).await;
         }
         for job in &jobs {
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -43,7 +43,7 @@
             claims && lost.replace(lost.get() + 1) < 2
         });
         let leader = cluster.leader();
-        cluster.restart(leader, 0.5).await;
+        cluster.restart_controller(leader, 0.5).await;
         sleep_s(8.0).await;
         let job = job_spec(1, 2);
         cluster.submit(&job, 2.0).await;
@@ -61,13 +61,13 @@
         }
         sleep_s(6.0).await;
         for controller in 0..CONTROLLERS.len() {
-            cluster.kill(controller);
+            cluster.kill_controller(controller);
         }
         sleep_s(2.0).await;
         // Claims take their time.
         cluster.store.set_fault_where(Fault::Delay(0.8), is_transaction);
         for controller in 0..CONTROLLERS.len() {
-            cluster.start(controller);
+            cluster.start_controller(controller);
         }
         for job in &jobs {
             cluster.wait_until_done(&job.id, 60.0).await;
@@ -91,7 +91,7 @@
         });
         sleep_s(7.0).await;
         cluster.store.clear_faults();
-        cluster.restart(leader, 0.3).await;
+        cluster.restart_controller(leader, 0.3).await;
         sleep_s(1.5).await;
         assert!(
             cluster.elected_leader().expect("there is a leader").term > term,
@@ -111,7 +111,7 @@
         cluster.submit(&job, 30.0).await;
         sleep_s(5.0).await;
         let old = cluster.elected_leader().expect("there is a leader");
-        cluster.store_refuses[old.controller].set(true);
+        cluster.is_refused_by_store[old.controller].set(true);
         sleep_s(20.0).await;
         let new = cluster.elected_leader().expect("there is a leader");
         assert!(new.controller != old.controller && new.term > old.term);
@@ -121,7 +121,7 @@
             cluster.request(old.controller, "GET", PATH_READY, b"").await.expect("an answer");
         assert_eq!(ready, 503, "users are sent to those who have the store");
         cluster.wait_until_done(&job.id, 90.0).await;
-        cluster.store_refuses[old.controller].set(false);
+        cluster.is_refused_by_store[old.controller].set(false);
         cluster.wait_until_done(&next.id, 90.0).await;
         cluster.assert_started_once(&job, "nothing was started again");
     });
@@ -142,9 +142,9 @@
         let old = cluster.leader();
         // Nobody else reaches the workers, so nobody fences them.
         for controller in cluster.other_controllers(old) {
-            cluster.cut_from_workers(controller);
+            cluster.partition_from_workers(controller);
         }
-        cluster.store_refuses[old].set(true);
+        cluster.is_refused_by_store[old].set(true);
         let before = cluster.history.total_starts();
         sleep_s(6.0).await;
         assert!(cluster.history.total_starts() > before, "its lease goes on for a while");
@@ -167,7 +167,7 @@
         let machines: Vec<String> =
             cluster.cloud.workers().iter().map(|worker| worker.settings.name.to_string()).collect();
         for machine in &machines {
-            cluster.net.cut(CONTROLLERS[old], machine);
+            cluster.net.partition(CONTROLLERS[old], machine);
         }
         sleep_s(LEASE_S).await;
         assert_ne!(cluster.leader(), old);
--- a/crates/corkfield/tests/scenarios/machines.rs
+++ b/crates/corkfield/tests/scenarios/machines.rs
@@ -15,10 +15,10 @@
         let worker = cluster.cloud.worker(hung.as_str()).expect("a worker");
         worker.set_hung(true);
         // Otherwise the machine would be returned after a while, which settles it as well.
-        cluster.cloud.down.set(true);
+        cluster.cloud.is_down.set(true);
         sleep_s(1.0).await;
         let leader = cluster.leader();
-        cluster.restart(leader, 1.0).await;
+        cluster.restart_controller(leader, 1.0).await;
         sleep_s(LEASE_S - 4.0).await;
         assert_eq!(
             cluster.history.machine_of(&task_id(&job, 0)),
@@ -65,7 +65,7 @@
             "its record is dropped after all"
         );
         let leader = cluster.leader();
-        cluster.restart(leader, 0.3).await;
+        cluster.restart_controller(leader, 0.3).await;
         cluster.wait_until_done(&job.id, 60.0).await;
     });
 }
@@ -78,7 +78,7 @@
         sleep_s(4.0).await;
         let leader = cluster.leader();
         let cut_off = cluster.cloud.workers()[0].clone();
-        cluster.net.cut(CONTROLLERS[leader], cut_off.settings.name.as_str());
+        cluster.net.partition(CONTROLLERS[leader], cut_off.settings.name.as_str());
         sleep_s(12.0).await;
         let before = cluster.history.starts_on(cut_off.settings.name.as_str());
         sleep_s(12.0).await;
@@ -96,12 +96,12 @@
 fn a_rental_without_an_answer_is_found_and_used() {
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(4);
-        cluster.cloud.lose_answers.set(true);
+        cluster.cloud.is_losing_answers.set(true);
         let mut job = job_spec(1, 32);
         job.estimate_s = 60.0;
         cluster.submit(&job, 60.0).await;
         sleep_s(25.0).await;
-        cluster.cloud.lose_answers.set(false);
+        cluster.cloud.is_losing_answers.set(false);
         assert!(cluster.cloud.workers().len() > 1, "machines came up all the same");
         assert!(cluster.history.running_tasks(&job.id) > 8, "and are used");
         cluster.wait_until_done(&job.id, 150.0).await;
@@ -132,7 +132,7 @@
 fn a_failing_machine_is_deleted_and_a_failing_job_stays_queued_without_blaming_machines() {
     scenario(3, |cluster| async move {
         let workers = cluster.cloud.workers();
-        workers[0].fails_all_tasks.set(true);
+        workers[0].is_faulty.set(true);
         let jobs = [job_spec(1, 20), job_spec(2, 20)];
         for job in &jobs {
             cluster.submit(job, 4.0).await;
@@ -140,9 +140,9 @@
         for job in &jobs {
             cluster.wait_until_done(&job.id, 90.0).await;
         }
-        assert!(workers[0].dead.get(), "the sick machine was returned");
+        assert!(workers[0].is_dead.get(), "the sick machine was returned");
         let broken = job_spec(3, 4);
-        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, fails: true }).await;
+        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, is_failing: true }).await;
         let good = job_spec(4, 400);
         cluster.submit(&good, 4.0).await;
         sleep_s(30.0).await;
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -17,7 +17,7 @@
     scenario(3, |cluster| async move {
         let unreachable = cluster.cloud.workers()[0].clone();
         let name = unreachable.settings.name.clone();
-        unreachable.receives_nothing.set(true);
+        unreachable.is_inbound_blocked.set(true);
         sleep_s(1.0).await;
         let jobs: Vec<_> = (1..=12).map(|number| job_spec(number, 32)).collect();
         for job in &jobs {
@@ -27,7 +27,7 @@
         assert_eq!(cluster.history.starts_on(name.as_str()), 0);
         let in_vain = cluster.undelivered_starts(name.as_str());
         assert!(in_vain <= 2 * 8, "{in_vain} starts were sent in vain");
-        unreachable.receives_nothing.set(false);
+        unreachable.is_inbound_blocked.set(false);
         for job in &jobs {
             cluster.wait_until_done(&job.id, 200.0).await;
         }
@@ -42,11 +42,11 @@
         cluster.submit(&job, 15.0).await;
         sleep_s(5.0).await;
         let unreachable = cluster.cloud.workers()[0].clone();
-        unreachable.receives_nothing.set(true);
+        unreachable.is_inbound_blocked.set(true);
         // It can't be returned either.
-        cluster.cloud.down.set(true);
+        cluster.cloud.is_down.set(true);
         let leader = cluster.leader();
-        cluster.restart(leader, 0.2).await;
+        cluster.restart_controller(leader, 0.2).await;
         // The answer limit, a worker's lease, and the rest of the work.
         cluster.wait_until_done(&job.id, 100.0).await;
     });
@@ -69,7 +69,7 @@
             if restart {
                 // A leader that never saw the machine.
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.1).await;
+                cluster.restart_controller(leader, 0.1).await;
                 sleep_s(5.0).await;
             }
             for copy in &copies {
@@ -139,7 +139,7 @@
         cluster.submit(&job, 4.0).await;
         for round in 0..6 {
             for controller in 0..CONTROLLERS.len() {
-                cluster.restart(controller, 0.05 * f64::from(round % 3)).await;
+                cluster.restart_controller(controller, 0.05 * f64::from(round % 3)).await;
                 sleep_s(0.07 * f64::from(round)).await;
             }
         }
@@ -153,7 +153,7 @@
 #[test]
 fn hundreds_of_machines_and_jobs_of_thousands_of_tasks_cost_few_passes_and_requests() {
     scenario(300, |cluster| async move {
-        let store_load = StoreLoad::count(&cluster.store);
+        let store_load = StoreLoad::start_counting(&cluster.store);
         let passes = || async {
             let view = cluster.overview(cluster.leader()).await;
 
@@ -188,19 +188,19 @@
         let largest = job_spec(1, 20_000);
         let broken = job_spec(2, 4);
         cluster.submit(&largest, 5.0).await;
-        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, fails: true }).await;
+        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, is_failing: true }).await;
         let waiting: Vec<_> = (3..40).map(|number| job_spec(number, 50)).collect();
         for job in &waiting {
             cluster.submit(job, 5.0).await;
         }
         cluster.store.set_down(true);
         for controller in 0..CONTROLLERS.len() {
-            cluster.restart(controller, 0.1).await;
+            cluster.restart_controller(controller, 0.1).await;
         }
         sleep_s(20.0).await;
         cluster.store.set_down(false);
         for round in 0..3 {
-            cluster.restart(round % CONTROLLERS.len(), 0.3).await;
+            cluster.restart_controller(round % CONTROLLERS.len(), 0.3).await;
             sleep_s(1.0).await;
         }
         sleep_s(6.0).await;
@@ -265,7 +265,7 @@
             let alone = if planning { leader } else { (leader + 1) % CONTROLLERS.len() };
             for other in ["state", "cloud"].into_iter().chain(CONTROLLERS) {
                 if other != CONTROLLERS[alone] {
-                    cluster.net.cut(CONTROLLERS[alone], other);
+                    cluster.net.partition(CONTROLLERS[alone], other);
                 }
             }
             // Users who still come to it are told to come back, in time and without a guess.
--- a/crates/corkfield/tests/scenarios/store_faults.rs
+++ b/crates/corkfield/tests/scenarios/store_faults.rs
@@ -21,7 +21,7 @@
         sleep_s(5.0).await;
         // One that might know of a cancellation can't be asked.
         let other = cluster.other_controllers(cluster.leader())[0];
-        cluster.kill(other);
+        cluster.kill_controller(other);
         cluster.store.set_down(true);
         sleep_s(45.0).await;
         assert_eq!(
@@ -30,7 +30,7 @@
             "without fresh state, leases run out (S6)"
         );
         cluster.store.set_down(false);
-        cluster.start(other);
+        cluster.start_controller(other);
         cluster.wait_until_done(&long.id, 150.0).await;
     });
 }
@@ -67,7 +67,7 @@
             cluster.submit(job, 4.0).await;
         }
         let leader = cluster.leader();
-        cluster.restart(leader, 0.3).await;
+        cluster.restart_controller(leader, 0.3).await;
         for job in &jobs {
             cluster.wait_until_done(&job.id, 200.0).await;
         }
@@ -105,7 +105,7 @@
         );
         // A controller restarted meanwhile is no worse than the others, once their last word
         // of the store is old.
-        cluster.restart(2, 0.5).await;
+        cluster.restart_controller(2, 0.5).await;
         sleep_s(10.0).await;
         assert_eq!(
             cluster.request(2, "GET", PATH_READY, b"").await.map(|(status, _)| status),
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the cloud: machines are rented, boot, are listed and deleted.
 
 use crate::history::ExecutionHistory;
-use crate::net::Hosts;
+use crate::net::NetworkProvider;
 use crate::worker::{FakeWorker, WorkerSettings};
 use crate::{empty_response, json_response, now, numeric_parameter, query_parameter, sleep};
 use corkfield_http::{serve, Limits, Network, Request, Response};
@@ -34,53 +34,53 @@
 
 /// The cloud. All machines are of its first type.
 pub struct FakeCloud {
-    hosts: Rc<dyn Hosts>,
+    networks: Rc<dyn NetworkProvider>,
     history: Rc<ExecutionHistory>,
     worker_template: WorkerSettings,
     /// The machine types that it lists.
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
     /// How many machines there can be at once.
     pub capacity: Cell<usize>,
     /// Every request is answered with 503.
-    pub down: Cell<bool>,
+    pub is_down: Cell<bool>,
     /// How long rented machines take to come up, in seconds.
     pub boot_s: Cell<f64>,
     /// The answers to rentals are lost.
-    pub lose_answers: Cell<bool>,
+    pub is_losing_answers: Cell<bool>,
     machines: RefCell<BTreeMap<MachineName, RentedMachine>>,
     /// What each rental request was answered with: a repeated one gets the same machines.
     answered_rentals: RefCell<BTreeMap<String, Vec<MachineName>>>,
     next_machine: Cell<u32>,
     /// Rentals that were carried out.
-    pub rentals: Cell<u32>,
+    pub executed_rentals: Cell<u32>,
     /// Requests that reached the cloud.
-    pub calls: Cell<u32>,
+    pub requests: Cell<u32>,
 }
 
 impl FakeCloud {
     /// Machines get addresses of the network (the first number) that the template's address is of.
     pub fn new(
-        hosts: Rc<dyn Hosts>,
+        networks: Rc<dyn NetworkProvider>,
         history: Rc<ExecutionHistory>,
         worker_template: WorkerSettings,
-        types: Vec<MachineType>,
+        machine_types: Vec<MachineType>,
         capacity: usize,
     ) -> Rc<Self> {
-        let boot_s = Cell::new(types[0].boot_s);
+        let boot_s = Cell::new(machine_types[0].boot_s);
         Rc::new(Self {
-            hosts,
+            networks,
             history,
             worker_template,
-            types,
+            machine_types,
             capacity: Cell::new(capacity),
-            down: Cell::new(false),
+            is_down: Cell::new(false),
             boot_s,
-            lose_answers: Cell::new(false),
+            is_losing_answers: Cell::new(false),
             machines: RefCell::default(),
             answered_rentals: RefCell::default(),
             next_machine: Cell::new(0),
-            rentals: Cell::new(0),
-            calls: Cell::new(0),
+            executed_rentals: Cell::new(0),
+            requests: Cell::new(0),
         })
     }
 
@@ -100,7 +100,7 @@
         self.next_machine.set(number + 1);
         let name = MachineName::from(format!("host-{number:06}"));
         let machine = RentedMachine {
-            machine_type: self.types[0].name.clone(),
+            machine_type: self.machine_types[0].name.clone(),
             zone: zone.to_owned(),
             spot,
             rented: now(),
@@ -109,7 +109,7 @@
         self.machines.borrow_mut().insert(name.clone(), machine);
         let settings = self.worker_settings(number, name.as_str(), zone, spot);
         let cloud = self.clone();
-        self.hosts.spawn(Box::pin(async move {
+        self.networks.spawn(Box::pin(async move {
             sleep(boot_s).await;
             cloud.start_worker(settings);
         }));
@@ -117,7 +117,7 @@
     }
 
     fn worker_settings(&self, number: u32, name: &str, zone: &str, spot: bool) -> WorkerSettings {
-        let machine_type = &self.types[0];
+        let machine_type = &self.machine_types[0];
         WorkerSettings {
             name: MachineName::from(name),
             addr: self.machine_addr(number),
@@ -142,7 +142,7 @@
     /// Starts the worker of a machine that has booted, unless the machine is gone by now.
     fn start_worker(&self, settings: WorkerSettings) {
         if let Some(machine) = self.machines.borrow_mut().get_mut(&settings.name) {
-            let network = self.hosts.host(settings.name.as_str());
+            let network = self.networks.host_network(settings.name.as_str());
             machine.worker = Some(FakeWorker::start(settings, network, self.history.clone()));
         }
     }
@@ -168,12 +168,14 @@
 
     async fn handle(self: Rc<Self>, request: Request) -> Response {
         sleep(ANSWER_DELAY_S).await;
-        self.calls.set(self.calls.get() + 1);
-        if self.down.get() {
+        self.requests.set(self.requests.get() + 1);
+        if self.is_down.get() {
             return Response::new(503, b"{\"error\":\"trouble\"}".to_vec());
         }
         match (request.method.as_str(), request.path()) {
-            ("GET", PATH_TYPES) => json_response(200, &MachineTypes { types: self.types.clone() }),
+            ("GET", PATH_TYPES) => {
+                json_response(200, &MachineTypes { types: self.machine_types.clone() })
+            }
             ("GET", PATH_MACHINES) => self.list(&request.target),
             ("POST", PATH_MACHINES) => self.answer_rental(&request.body).await,
             ("POST", PATH_DELETE) => self.delete(&request.body),
@@ -184,7 +186,7 @@
     async fn answer_rental(self: &Rc<Self>, body: &[u8]) -> Response {
         let Ok(request) = serde_json::from_slice(body) else { return empty_response(400) };
         let answer = self.rent(&request);
-        if self.lose_answers.get() {
+        if self.is_losing_answers.get() {
             return std::future::pending().await;
         }
         answer
@@ -199,7 +201,7 @@
         if count == 0 {
             return Response::new(503, b"{\"error\":\"no capacity\"}".to_vec());
         }
-        self.rentals.set(self.rentals.get() + 1);
+        self.executed_rentals.set(self.executed_rentals.get() + 1);
         let boot_s = self.boot_s.get();
         let machines: Vec<MachineName> =
             (0..count).map(|_| self.add_machine(&request.zone, request.spot, boot_s)).collect();
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -19,14 +19,14 @@
     /// How long each task runs, in seconds.
     pub run_s: f64,
     /// Its tasks fail wherever they run.
-    pub fails: bool,
+    pub is_failing: bool,
 }
 
 /// A rule of the deployment that was broken.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Violation {
     /// A later answer contradicts a final state that a user was given before (S1).
-    AnswerWentBack {
+    FinalStatusChanged {
         /// The job that was asked about.
         job: JobId,
         /// The final state that was answered first.
@@ -35,17 +35,17 @@
         to: JobStatus,
     },
     /// A job that was accepted is answered with 404 (S1).
-    AcceptedJobUnknown {
+    AcceptedJobNotFound {
         /// The job that was asked about.
         job: JobId,
     },
     /// A job is reported done before all its tasks have ended well (S9).
-    DoneTooEarly {
+    DoneBeforeCompletion {
         /// The job that was asked about.
         job: JobId,
     },
     /// A task runs in two places at once (S3, S5, S7).
-    RanTwice {
+    ConcurrentExecution {
         /// The task that was started again.
         task: TaskId,
         /// Where it was running.
@@ -61,7 +61,7 @@
         cpus: f64,
     },
     /// A task runs in a zone or on a kind of machine that its job does not allow (S8).
-    WrongPlace {
+    PlacementConstraintViolated {
         /// The task that was started.
         task: TaskId,
         /// Where it was started.
@@ -126,13 +126,13 @@
         *self.start_order_observer.borrow_mut() = Some(Box::new(observer));
     }
 
-    pub(crate) fn on_start_order(&self, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn notify_start_order(&self, task: &TaskId, attempt: Attempt) {
         if let Some(observer) = self.start_order_observer.borrow().as_ref() {
             observer(task, attempt);
         }
     }
 
-    pub(crate) fn on_machine_up(&self, settings: &WorkerSettings) {
+    pub(crate) fn record_machine(&self, settings: &WorkerSettings) {
         let place = MachinePlace { zone: settings.zone.clone(), spot: settings.spot };
         self.machines.borrow_mut().insert(settings.name.clone(), place);
     }
@@ -148,7 +148,7 @@
     }
 
     /// A user who asked at that moment was answered with this status: a final state stays.
-    pub fn on_user_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
+    pub fn record_user_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
         self.check_final_answer(id, status, asked);
         if status.is_final() {
             let answer = FinalAnswer { status, answered: now() };
@@ -169,31 +169,31 @@
         let Some(before) = answers.get(id).filter(|before| before.status != status) else { return };
         if status.is_final() || before.answered <= asked {
             let (from, to) = (before.status, status);
-            self.note(Violation::AnswerWentBack { job: id.clone(), from, to });
+            self.record_violation(Violation::FinalStatusChanged { job: id.clone(), from, to });
         }
     }
 
     /// A user who asked at that moment was answered that there is no such job.
-    pub fn on_unknown_answer(&self, id: &JobId, asked: Instant) {
+    pub fn record_not_found_answer(&self, id: &JobId, asked: Instant) {
         if self.accepted.borrow().get(id).is_some_and(|accepted| *accepted <= asked) {
-            self.note(Violation::AcceptedJobUnknown { job: id.clone() });
+            self.record_violation(Violation::AcceptedJobNotFound { job: id.clone() });
         }
     }
 
     fn check_done(&self, id: &JobId) {
         let tasks = self.plan(id).map_or(0, |plan| plan.spec.tasks as usize);
         if self.completed.borrow().get(id).map_or(0, BTreeSet::len) < tasks {
-            self.note(Violation::DoneTooEarly { job: id.clone() });
+            self.record_violation(Violation::DoneBeforeCompletion { job: id.clone() });
         }
     }
 
-    fn note(&self, violation: Violation) {
+    fn record_violation(&self, violation: Violation) {
         self.violations.borrow_mut().push(violation);
     }
 
     /// A task has its image and starts on a machine.
-    pub(crate) fn on_start(&self, task: &TaskId, machine: &str) {
-        self.record_start(task, machine);
+    pub(crate) fn record_start(&self, task: &TaskId, machine: &str) {
+        self.count_start(task, machine);
         self.check_cancelled(task);
         if self.cancelled.borrow().contains_key(&task.job) {
             self.starts_after_cancellation.set(self.starts_after_cancellation.get() + 1);
@@ -203,12 +203,16 @@
         self.check_quota(&plan.spec.team);
     }
 
-    fn record_start(&self, task: &TaskId, machine: &str) {
+    fn count_start(&self, task: &TaskId, machine: &str) {
         let before =
             self.machine_by_task.borrow_mut().insert(task.clone(), MachineName::from(machine));
         if let Some(on) = before {
             let and_on = MachineName::from(machine);
-            self.note(Violation::RanTwice { task: task.clone(), on, and_on });
+            self.record_violation(Violation::ConcurrentExecution {
+                task: task.clone(),
+                on,
+                and_on,
+            });
         }
         *self.starts_by_task.borrow_mut().entry(task.clone()).or_default() += 1;
         *self.starts_by_machine.borrow_mut().entry(MachineName::from(machine)).or_default() += 1;
@@ -228,7 +232,7 @@
             .map(|plan| plan.spec.cpus)
             .sum();
         if cpus > team.cpus_max + CPU_TOLERANCE {
-            self.note(Violation::QuotaExceeded { team: team.name.clone(), cpus });
+            self.record_violation(Violation::QuotaExceeded { team: team.name.clone(), cpus });
         }
     }
 
@@ -249,7 +253,12 @@
             || in_zone > spec.zone_cap() as usize;
         if wrong {
             let (machine, zone) = (MachineName::from(machine), zone.clone());
-            self.note(Violation::WrongPlace { task: task.clone(), machine, zone, job_zones });
+            self.record_violation(Violation::PlacementConstraintViolated {
+                task: task.clone(),
+                machine,
+                zone,
+                job_zones,
+            });
         }
     }
 
@@ -261,12 +270,12 @@
     pub(crate) fn check_cancelled(&self, task: &TaskId) {
         let cancelled = self.cancelled.borrow().get(&task.job).copied();
         if cancelled.is_some_and(|cancelled| now() > cancelled + self.cancel_limit.get()) {
-            self.note(Violation::RanAfterCancellation { task: task.clone() });
+            self.record_violation(Violation::RanAfterCancellation { task: task.clone() });
         }
     }
 
     /// A task no longer runs on a machine.
-    pub(crate) fn on_end(&self, task: &TaskId, machine: &str) {
+    pub(crate) fn record_end(&self, task: &TaskId, machine: &str) {
         let mut running = self.machine_by_task.borrow_mut();
         if running.get(task).is_some_and(|on| on.as_str() == machine) {
             running.remove(task);
@@ -274,7 +283,7 @@
     }
 
     /// A task has ended well.
-    pub(crate) fn on_completion(&self, task: &TaskId) {
+    pub(crate) fn record_completion(&self, task: &TaskId) {
         self.completed.borrow_mut().entry(task.job.clone()).or_default().insert(task.index);
     }
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -14,8 +14,8 @@
 
 pub use cloud::FakeCloud;
 pub use history::{ExecutionHistory, JobPlan, Violation};
-pub use net::{Host, Hosts, Loopback, MemoryNet};
-pub use process::{Freezer, Process};
+pub use net::{HostNetwork, Loopback, MemoryNet, NetworkProvider};
+pub use process::{PausableProcess, PauseHandle};
 pub use store::{FakeStore, Fault};
 pub use worker::{FakeWorker, WorkerSettings};
 
--- a/crates/fakes/src/net.rs
+++ b/crates/fakes/src/net.rs
@@ -20,12 +20,12 @@
 const ANY_HOST: &str = "*";
 
 type Task = LocalFuture<'static, ()>;
-type IncomingStreams = mpsc::UnboundedSender<Stream>;
+type StreamSender = mpsc::UnboundedSender<Stream>;
 
 /// An address that a host listens on.
-struct Bound {
+struct BoundListener {
     host: String,
-    incoming: IncomingStreams,
+    incoming: StreamSender,
 }
 
 /// The hosts at the two ends of a connection, or of a cut.
@@ -49,9 +49,9 @@
 }
 
 struct NetworkState {
-    listeners: RefCell<BTreeMap<SocketAddr, Bound>>,
-    cuts: RefCell<BTreeSet<Link>>,
-    healed: Notify,
+    listeners: RefCell<BTreeMap<SocketAddr, BoundListener>>,
+    partitions: RefCell<BTreeSet<Link>>,
+    partition_healed: Notify,
     /// How long each message is under way.
     latency: Cell<Duration>,
     spawn: mpsc::UnboundedSender<Task>,
@@ -59,20 +59,20 @@
 }
 
 impl NetworkState {
-    fn is_cut(&self, link: &Link) -> bool {
-        let cuts = self.cuts.borrow();
+    fn is_partitioned(&self, link: &Link) -> bool {
+        let partitions = self.partitions.borrow();
         let Link { from, to } = link;
         let pairs = [(from, to.as_str()), (to, from.as_str()), (from, ANY_HOST), (to, ANY_HOST)];
-        pairs.iter().any(|(from, to)| cuts.contains(&Link::new(from, to)))
+        pairs.iter().any(|(from, to)| partitions.contains(&Link::new(from, to)))
     }
 
     async fn wait_until_open(&self, link: &Link) {
         loop {
-            let healed = self.healed.notified();
-            if !self.is_cut(link) {
+            let partition_healed = self.partition_healed.notified();
+            if !self.is_partitioned(link) {
                 return;
             }
-            healed.await;
+            partition_healed.await;
         }
     }
 }
@@ -106,9 +106,9 @@
 }
 
 /// Networks of hosts that come up while a deployment is played.
-pub trait Hosts {
+pub trait NetworkProvider {
     /// The network as a host of this name sees it.
-    fn host(&self, name: &str) -> Rc<dyn Network>;
+    fn host_network(&self, name: &str) -> Rc<dyn Network>;
     /// Runs something that outlives the task that started it.
     fn spawn(&self, task: LocalFuture<'static, ()>);
 }
@@ -117,8 +117,8 @@
 #[derive(Clone, Copy, Default)]
 pub struct Loopback;
 
-impl Hosts for Loopback {
-    fn host(&self, _name: &str) -> Rc<dyn Network> {
+impl NetworkProvider for Loopback {
+    fn host_network(&self, _name: &str) -> Rc<dyn Network> {
         Rc::new(Tcp)
     }
 
@@ -128,13 +128,13 @@
 }
 
 /// A network in memory, in simulated time. Each host gets its own view of it from
-/// [`MemoryNet::host`].
+/// [`MemoryNet::host_network`].
 #[derive(Clone)]
 pub struct MemoryNet(Rc<NetworkState>);
 
-impl Hosts for MemoryNet {
-    fn host(&self, name: &str) -> Rc<dyn Network> {
-        Self::host(self, name)
+impl NetworkProvider for MemoryNet {
+    fn host_network(&self, name: &str) -> Rc<dyn Network> {
+        Self::host_network(self, name)
     }
 
     fn spawn(&self, task: LocalFuture<'static, ()>) {
@@ -153,8 +153,8 @@
         });
         Self(Rc::new(NetworkState {
             listeners: RefCell::default(),
-            cuts: RefCell::default(),
-            healed: Notify::new(),
+            partitions: RefCell::default(),
+            partition_healed: Notify::new(),
             latency: Cell::new(DEFAULT_LATENCY),
             spawn,
             connections: RefCell::default(),
@@ -164,19 +164,19 @@
 
 impl MemoryNet {
     /// The network as a host of this name sees it.
-    pub fn host(&self, name: &str) -> Rc<Host> {
-        Rc::new(Host { name: name.to_owned(), net: self.0.clone() })
+    pub fn host_network(&self, name: &str) -> Rc<HostNetwork> {
+        Rc::new(HostNetwork { name: name.to_owned(), net: self.0.clone() })
     }
 
     /// Holds back everything between two hosts (`*`: all others) until it is healed.
-    pub fn cut(&self, from: &str, to: &str) {
-        self.0.cuts.borrow_mut().insert(Link::new(from, to));
+    pub fn partition(&self, from: &str, to: &str) {
+        self.0.partitions.borrow_mut().insert(Link::new(from, to));
     }
 
     /// Ends a cut: what it held back arrives. The hosts must be named as they were for the cut.
     pub fn heal(&self, from: &str, to: &str) {
-        self.0.cuts.borrow_mut().remove(&Link::new(from, to));
-        self.0.healed.notify_waiters();
+        self.0.partitions.borrow_mut().remove(&Link::new(from, to));
+        self.0.partition_healed.notify_waiters();
     }
 
     /// Sets how long each message is under way.
@@ -203,19 +203,19 @@
 }
 
 /// One host's view of the network.
-pub struct Host {
+pub struct HostNetwork {
     name: String,
     net: Rc<NetworkState>,
 }
 
-impl Host {
+impl HostNetwork {
     /// The host that listens on an address.
     fn listening_host(&self, addr: SocketAddr) -> Result<String> {
         let listeners = self.net.listeners.borrow();
         listeners.get(&addr).map(|bound| bound.host.clone()).ok_or_else(connection_refused)
     }
 
-    fn incoming_streams(&self, addr: SocketAddr) -> Result<IncomingStreams> {
+    fn incoming_streams(&self, addr: SocketAddr) -> Result<StreamSender> {
         let listeners = self.net.listeners.borrow();
         listeners.get(&addr).map(|bound| bound.incoming.clone()).ok_or_else(connection_refused)
     }
@@ -252,7 +252,7 @@
     Error::from(ErrorKind::ConnectionRefused)
 }
 
-impl Network for Host {
+impl Network for HostNetwork {
     fn connect(&self, addr: SocketAddr) -> LocalFuture<'_, Result<Stream>> {
         Box::pin(async move {
             tokio::time::sleep(self.net.latency.get()).await;
@@ -272,7 +272,7 @@
             if listeners.contains_key(&addr) {
                 return Err(ErrorKind::AddrInUse.into());
             }
-            listeners.insert(addr, Bound { host: self.name.clone(), incoming });
+            listeners.insert(addr, BoundListener { host: self.name.clone(), incoming });
             let net = self.net.clone();
             let receiver = Mutex::new(receiver);
             Ok(Box::new(MemoryListener { addr, net, receiver }) as Box<dyn Listener>)
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -7,25 +7,25 @@
 use std::task::{Context, Poll, Waker};
 
 #[derive(Default)]
-struct FreezeState {
-    frozen: Cell<bool>,
+struct PauseState {
+    is_paused: Cell<bool>,
     /// Wakes the process that was polled while it was frozen.
     waker: RefCell<Option<Waker>>,
 }
 
-/// Stops and resumes a [`Process`].
+/// Stops and resumes a [`PausableProcess`].
 #[derive(Clone, Default)]
-pub struct Freezer(Rc<FreezeState>);
+pub struct PauseHandle(Rc<PauseState>);
 
-impl Freezer {
+impl PauseHandle {
     /// Stops the process.
-    pub fn freeze(&self) {
-        self.0.frozen.set(true);
+    pub fn pause(&self) {
+        self.0.is_paused.set(true);
     }
 
     /// Lets the process go on.
-    pub fn thaw(&self) {
-        self.0.frozen.set(false);
+    pub fn resume(&self) {
+        self.0.is_paused.set(false);
         if let Some(waker) = self.0.waker.borrow_mut().take() {
             waker.wake();
         }
@@ -34,24 +34,24 @@
 
 /// All that a process does. While it is frozen nothing of it is run: its timers have long fired
 /// and its sockets are full when it goes on.
-pub struct Process {
+pub struct PausableProcess {
     future: Pin<Box<dyn Future<Output = ()>>>,
-    freezer: Freezer,
+    pause_handle: PauseHandle,
 }
 
-impl Process {
+impl PausableProcess {
     /// A process that the freezer stops and resumes.
-    pub fn new(future: impl Future<Output = ()> + 'static, freezer: Freezer) -> Self {
-        Self { future: Box::pin(future), freezer }
+    pub fn new(future: impl Future<Output = ()> + 'static, pause_handle: PauseHandle) -> Self {
+        Self { future: Box::pin(future), pause_handle }
     }
 }
 
-impl Future for Process {
+impl Future for PausableProcess {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.freezer.0.frozen.get() {
-            *self.freezer.0.waker.borrow_mut() = Some(context.waker().clone());
+        if self.pause_handle.0.is_paused.get() {
+            *self.pause_handle.0.waker.borrow_mut() = Some(context.waker().clone());
             return Poll::Pending;
         }
         self.future.as_mut().poll(context)
--- a/crates/fakes/src/store/data.rs
+++ b/crates/fakes/src/store/data.rs
@@ -68,9 +68,9 @@
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     /// The largest value seen, in bytes of its text.
-    pub largest_value: usize,
+    pub max_value_bytes: usize,
     /// The most changes seen in one transaction.
-    pub most_changes: usize,
+    pub max_transaction_changes: usize,
 }
 
 impl StoreData {
@@ -148,7 +148,7 @@
 
     /// Executes a transaction whole or not at all; returns the revision after it.
     pub fn execute(&mut self, transaction: Transaction) -> Result<Revision, TransactionError> {
-        self.most_changes = self.most_changes.max(transaction.changes.len());
+        self.max_transaction_changes = self.max_transaction_changes.max(transaction.changes.len());
         if transaction.changes.iter().any(|change| self.names_unknown_lease(change)) {
             return Err(TransactionError::UnknownLease);
         }
@@ -179,7 +179,7 @@
         let version = self.revision;
         let event = match change {
             Change::Put { key, value, lease } => {
-                self.largest_value = self.largest_value.max(value.to_string().len());
+                self.max_value_bytes = self.max_value_bytes.max(value.to_string().len());
                 let event = Event::Put { key: key.clone(), value: value.clone(), version };
                 self.keys.insert(key, StoredValue { value, version, lease });
                 event
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -50,22 +50,22 @@
 pub struct FakeStore {
     data: RefCell<StoreData>,
     changed: Notify,
-    down: Cell<bool>,
+    is_down: Cell<bool>,
     fault_chooser: RefCell<Option<FaultChooser>>,
 }
 
 impl FakeStore {
-    /// Serves at an address; while `refuses` is set, those who come to it get 503.
+    /// Serves at an address; while `is_refusing` is set, those who come to it get 503.
     pub fn start(
         self: &Rc<Self>,
         network: Rc<dyn Network>,
         addr: SocketAddr,
-        refuses: Rc<Cell<bool>>,
+        is_refusing: Rc<Cell<bool>>,
     ) {
         let store = self.clone();
         tokio::task::spawn_local(async move {
             let Ok(listener) = network.listen(addr).await else { return };
-            let handler = move |request| store.clone().handle(request, refuses.clone());
+            let handler = move |request| store.clone().handle(request, is_refusing.clone());
             serve(listener, Limits::default(), Rc::new(handler)).await;
         });
     }
@@ -76,7 +76,7 @@
         tokio::task::spawn_local(async move {
             loop {
                 sleep(LEASE_CHECK_S).await;
-                if !store.down.get() {
+                if !store.is_down.get() {
                     store.end_expired_leases();
                 }
             }
@@ -85,7 +85,7 @@
 
     /// Begins or ends an outage. After it every lease has its full time again.
     pub fn set_down(&self, down: bool) {
-        self.down.set(down);
+        self.is_down.set(down);
         if !down {
             self.data.borrow_mut().renew_all_leases();
             self.changed.notify_waiters();
@@ -123,17 +123,17 @@
     }
 
     /// The largest value that was written, in bytes.
-    pub fn largest_value(&self) -> usize {
-        self.data.borrow().largest_value
+    pub fn max_value_bytes(&self) -> usize {
+        self.data.borrow().max_value_bytes
     }
 
     /// The most changes that one transaction held.
-    pub fn most_changes(&self) -> usize {
-        self.data.borrow().most_changes
+    pub fn max_transaction_changes(&self) -> usize {
+        self.data.borrow().max_transaction_changes
     }
 
     /// Writes as if somebody else did.
-    pub fn write_as_other(&self, key: &str, value: Value) {
+    pub fn write_externally(&self, key: &str, value: Value) {
         self.execute(Transaction::default().put(key, value));
     }
 
@@ -151,32 +151,32 @@
         }
     }
 
-    async fn handle(self: Rc<Self>, request: Request, refuses: Rc<Cell<bool>>) -> Response {
+    async fn handle(self: Rc<Self>, request: Request, is_refusing: Rc<Cell<bool>>) -> Response {
         sleep(ANSWER_DELAY_S).await;
-        if self.down.get() || refuses.get() {
+        if self.is_down.get() || is_refusing.get() {
             return empty_response(503);
         }
         match self.choose_fault(&request) {
-            Fault::None => self.answer(&request, &refuses).await,
+            Fault::None => self.answer(&request, &is_refusing).await,
             Fault::Delay(seconds) => {
                 sleep(seconds).await;
-                self.answer(&request, &refuses).await
+                self.answer(&request, &is_refusing).await
             }
             Fault::DelayAnswer(seconds) => {
-                let answer = self.answer(&request, &refuses).await;
+                let answer = self.answer(&request, &is_refusing).await;
                 sleep(seconds).await;
                 answer
             }
             Fault::Drop => std::future::pending().await,
             Fault::LoseAnswer => {
-                self.answer(&request, &refuses).await;
+                self.answer(&request, &is_refusing).await;
                 std::future::pending().await
             }
             Fault::DelayAndLoseAnswer(seconds) => {
                 // Executed even though the client has long given up.
                 tokio::task::spawn_local(async move {
                     sleep(seconds).await;
-                    self.answer(&request, &refuses).await;
+                    self.answer(&request, &is_refusing).await;
                 });
                 std::future::pending().await
             }
@@ -187,7 +187,7 @@
         self.fault_chooser.borrow().as_ref().map_or(Fault::None, |choose| choose(request))
     }
 
-    async fn answer(&self, request: &Request, refuses: &Cell<bool>) -> Response {
+    async fn answer(&self, request: &Request, is_refusing: &Cell<bool>) -> Response {
         let path = request.path().to_owned();
         let method = request.method.as_str();
         match (method, path.as_str()) {
@@ -197,7 +197,7 @@
             },
             ("POST", PATH_LEASES) => self.grant_lease(&request.body),
             ("GET", PATH_KEYS) => self.list(&request.target),
-            ("GET", PATH_WATCH) => self.watch(&request.target, refuses).await,
+            ("GET", PATH_WATCH) => self.watch(&request.target, is_refusing).await,
             _ => self.answer_by_path(method, &path),
         }
     }
@@ -254,7 +254,7 @@
         json_response(200, &Page { items: page.items, more: page.more, revision })
     }
 
-    async fn watch(&self, target: &str, refuses: &Cell<bool>) -> Response {
+    async fn watch(&self, target: &str, is_refusing: &Cell<bool>) -> Response {
         let prefix = query_parameter(target, "prefix").unwrap_or("").to_owned();
         let after = Revision::new(numeric_parameter(target, "after").unwrap_or(0));
         let wait_ms: u64 = numeric_parameter(target, "wait_ms").unwrap_or(0);
@@ -266,7 +266,7 @@
                 (data.revision, data.events_after(after, &prefix))
             };
             // A watch stays open, and waits, while its client is refused.
-            let refused = self.down.get() || refuses.get();
+            let refused = self.is_down.get() || is_refusing.get();
             if !refused && (!events.is_empty() || now() >= until) {
                 return json_response(200, &Events { revision, events });
             }
--- a/crates/fakes/src/worker/commands.rs
+++ b/crates/fakes/src/worker/commands.rs
@@ -21,7 +21,7 @@
 
     async fn handle(self: Rc<Self>, request: Request) -> Response {
         self.wait_while_hung().await;
-        if self.dead.get() || self.receives_nothing.get() {
+        if self.is_dead.get() || self.is_inbound_blocked.get() {
             return std::future::pending().await;
         }
         self.check_lease();
@@ -43,7 +43,7 @@
     async fn execute_delayed(self: Rc<Self>, direct: DirectOrders, delay_s: f64) {
         sleep(delay_s).await;
         self.wait_while_hung().await;
-        if self.dead.get() {
+        if self.is_dead.get() {
             return;
         }
         self.check_lease();
--- a/crates/fakes/src/worker/execution.rs
+++ b/crates/fakes/src/worker/execution.rs
@@ -17,9 +17,9 @@
 impl FakeWorker {
     /// Lets tasks go on until the machine is gone.
     pub(super) async fn run_tasks(self: Rc<Self>) {
-        while !self.dead.get() {
+        while !self.is_dead.get() {
             sleep(TASK_CHECK.as_secs_f64()).await;
-            if self.hung.get() {
+            if self.is_hung.get() {
                 self.postpone_tasks();
                 continue;
             }
@@ -53,19 +53,19 @@
 
     fn advance_task(&self, id: &TaskId, task: &mut Task) -> bool {
         let plan = self.history.plan(&id.job);
-        let fails = self.fails_all_tasks.get() || plan.as_ref().is_some_and(|plan| plan.fails);
+        let fails = self.is_faulty.get() || plan.as_ref().is_some_and(|plan| plan.is_failing);
         match task.phase {
             TaskPhase::Fetching => {
                 let planned_s = plan.map_or(DEFAULT_RUN_S, |plan| plan.run_s);
                 let run_s = if fails { RUN_UNTIL_FAILURE_S } else { planned_s };
                 task.phase = TaskPhase::Running;
                 task.until = now() + Duration::from_secs_f64(run_s);
-                self.history.on_start(id, self.settings.name.as_str());
+                self.history.record_start(id, self.settings.name.as_str());
             }
             TaskPhase::Running if fails => self.end_task(id, task, ExitCause::Error),
             TaskPhase::Running => {
                 self.end_task(id, task, ExitCause::Done);
-                self.history.on_completion(id);
+                self.history.record_completion(id);
             }
             TaskPhase::Saving => self.end_task(id, task, ExitCause::Stopped),
             _ => return false,
@@ -76,12 +76,12 @@
     fn end_task(&self, id: &TaskId, task: &mut Task, cause: ExitCause) {
         task.phase = TaskPhase::Exited;
         task.cause = Some(cause);
-        self.history.on_end(id, self.settings.name.as_str());
+        self.history.record_end(id, self.settings.name.as_str());
     }
 
     /// Executes orders of a leader that was found to be the present one.
     pub(super) fn execute(&self, orders: Vec<Order>) {
-        if orders.is_empty() && !self.settings.heartbeats_after_answers {
+        if orders.is_empty() && !self.settings.heartbeat_after_each_reply {
             return;
         }
         let mut state = self.state.borrow_mut();
@@ -98,7 +98,7 @@
     /// Starts a task, unless it has been started or an earlier attempt still runs. A task that
     /// can't run here has exited at once.
     fn start_task(&self, state: &mut WorkerState, task: TaskId, attempt: Attempt) {
-        self.history.on_start_order(&task, attempt);
+        self.history.notify_start_order(&task, attempt);
         if let Some(known) = state.tasks.get(&task) {
             if known.attempt == attempt || known.phase != TaskPhase::Exited {
                 return;
@@ -112,7 +112,7 @@
             Some(_) => None,
         };
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
-        let until = now() + self.image_fetch.get();
+        let until = now() + self.image_fetch_duration.get();
         state.tasks.insert(task, Task { attempt, phase, cause, until });
     }
 
--- a/crates/fakes/src/worker/heartbeats.rs
+++ b/crates/fakes/src/worker/heartbeats.rs
@@ -25,10 +25,10 @@
     pub(super) async fn send_heartbeats(self: Rc<Self>, network: Rc<dyn Network>) {
         let mut controller = 0;
         let mut client = self.client(controller, &network);
-        while !self.dead.get() {
+        while !self.is_dead.get() {
             self.wait_while_hung().await;
             self.check_lease();
-            let next = if self.sends_nothing.get() {
+            let next = if self.is_outbound_blocked.get() {
                 Err(self.try_next(controller).await)
             } else {
                 self.exchange(&client, controller).await
@@ -54,14 +54,14 @@
         let heartbeat = self.next_heartbeat();
         let sent = now();
         let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
-        if self.heartbeats_held_back.get() {
+        if self.is_holding_heartbeats.get() {
             self.keep_sent(body);
             sleep(REPLY_LIMIT.as_secs_f64()).await;
             return Err(self.try_next(controller).await);
         }
         let mut answer = client.request("POST", PATH_HEARTBEAT, &body, REPLY_LIMIT).await;
         self.keep_sent(body);
-        if self.receives_nothing.get() {
+        if self.is_inbound_blocked.get() {
             answer = self.lose_reply(answer, sent).await;
         }
         self.wait_while_hung().await;
@@ -132,7 +132,7 @@
         {
             let mut state = self.state.borrow_mut();
             let valid = reply.term >= state.term && agent_epoch == state.agent_epoch;
-            if !valid || self.dead.get() {
+            if !valid || self.is_dead.get() {
                 return;
             }
             if reply.term > state.term {
@@ -147,7 +147,7 @@
     /// Waits until something has changed or a heartbeat is due.
     async fn wait_for_next_heartbeat(&self) {
         sleep(MIN_INTERVAL.as_secs_f64()).await;
-        let left = self.settings.heartbeat.saturating_sub(MIN_INTERVAL);
+        let left = self.settings.heartbeat_interval.saturating_sub(MIN_INTERVAL);
         let _ = tokio::time::timeout(left, self.changed.notified()).await;
     }
 }
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -21,7 +21,7 @@
 const KEPT_HEARTBEATS: usize = 64;
 
 /// How long a task waits for its image unless a test sets another time.
-const DEFAULT_IMAGE_FETCH: Duration = Duration::from_millis(200);
+const DEFAULT_IMAGE_FETCH_DURATION: Duration = Duration::from_millis(200);
 
 /// What a worker is started with.
 #[derive(Debug, Clone)]
@@ -39,12 +39,12 @@
     /// How many CPUs its tasks may use.
     pub cpus: f64,
     /// The time between two heartbeats without changes.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// How long it keeps its tasks after the heartbeat that was answered last.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Heartbeats again after each answer, as if something had changed, not only after changes: a
     /// scenario then takes less simulated time. A measure of load needs the protocol's own rate.
-    pub heartbeats_after_answers: bool,
+    pub heartbeat_after_each_reply: bool,
     /// All controllers, by name.
     pub controllers: Vec<(ControllerName, SocketAddr)>,
 }
@@ -91,20 +91,20 @@
     state: RefCell<WorkerState>,
     /// Something has changed that the next heartbeat tells.
     changed: Notify,
-    hung: Cell<bool>,
+    is_hung: Cell<bool>,
     resumed: Notify,
     /// Its machine is gone.
-    pub dead: Cell<bool>,
+    pub is_dead: Cell<bool>,
     /// Every task that it starts fails.
-    pub fails_all_tasks: Cell<bool>,
+    pub is_faulty: Cell<bool>,
     /// Its heartbeats arrive, but neither replies nor direct orders reach it.
-    pub receives_nothing: Cell<bool>,
+    pub is_inbound_blocked: Cell<bool>,
     /// It reaches no controller, while direct orders reach it.
-    pub sends_nothing: Cell<bool>,
+    pub is_outbound_blocked: Cell<bool>,
     /// Its heartbeats are held back on their way: they are kept, and it gives them up one by one.
-    pub heartbeats_held_back: Cell<bool>,
+    pub is_holding_heartbeats: Cell<bool>,
     /// How long a task waits for its image.
-    pub image_fetch: Cell<Duration>,
+    pub image_fetch_duration: Cell<Duration>,
     /// Direct orders are not answered, and executed once after this many seconds.
     pub command_delay_s: Cell<Option<f64>>,
     delayed_commands: Cell<u32>,
@@ -121,20 +121,20 @@
         network: Rc<dyn Network>,
         history: Rc<ExecutionHistory>,
     ) -> Rc<Self> {
-        history.on_machine_up(&settings);
+        history.record_machine(&settings);
         let worker = Rc::new(Self {
             settings,
             history,
             state: RefCell::new(WorkerState::new()),
             changed: Notify::new(),
-            hung: Cell::new(false),
+            is_hung: Cell::new(false),
             resumed: Notify::new(),
-            dead: Cell::new(false),
-            fails_all_tasks: Cell::new(false),
-            receives_nothing: Cell::new(false),
-            sends_nothing: Cell::new(false),
-            heartbeats_held_back: Cell::new(false),
-            image_fetch: Cell::new(DEFAULT_IMAGE_FETCH),
+            is_dead: Cell::new(false),
+            is_faulty: Cell::new(false),
+            is_inbound_blocked: Cell::new(false),
+            is_outbound_blocked: Cell::new(false),
+            is_holding_heartbeats: Cell::new(false),
+            image_fetch_duration: Cell::new(DEFAULT_IMAGE_FETCH_DURATION),
             command_delay_s: Cell::new(None),
             delayed_commands: Cell::new(0),
             process: Cell::new(0),
@@ -149,12 +149,12 @@
 
     /// Lets the machine hang, or go on. While it hangs, its tasks stand still as well.
     pub fn set_hung(&self, hung: bool) {
-        self.hung.set(hung);
+        self.is_hung.set(hung);
         self.resumed.notify_waiters();
     }
 
     /// Gives notice that the machine will be taken away.
-    pub fn give_notice(&self, seconds: f64) {
+    pub fn give_termination_notice(&self, seconds: f64) {
         self.state.borrow_mut().notice_s = Some(seconds);
         self.changed.notify_one();
     }
@@ -170,7 +170,7 @@
     }
 
     /// Whether any task is on it, be it only fetching its image.
-    pub fn holds_tasks(&self) -> bool {
+    pub fn has_tasks(&self) -> bool {
         !self.state.borrow().tasks.is_empty()
     }
 
@@ -201,20 +201,20 @@
 
     /// The machine is gone, with all that is on it.
     pub fn kill(&self) {
-        self.dead.set(true);
+        self.is_dead.set(true);
         self.drop_tasks();
     }
 
     fn drop_tasks(&self) {
         for (task, _) in std::mem::take(&mut self.state.borrow_mut().tasks) {
-            self.history.on_end(&task, self.settings.name.as_str());
+            self.history.record_end(&task, self.settings.name.as_str());
         }
     }
 
     async fn wait_while_hung(&self) {
         loop {
             let resumed = self.resumed.notified();
-            if !self.hung.get() {
+            if !self.is_hung.get() {
                 return;
             }
             resumed.await;
@@ -222,14 +222,14 @@
     }
 
     async fn wait_until_dead(&self) {
-        while !self.dead.get() {
+        while !self.is_dead.get() {
             sleep(0.1).await;
         }
     }
 
     /// A lease that has expired takes all tasks with it, and a new agent epoch begins.
     fn check_lease(&self) {
-        if now() > self.state.borrow().renewed + self.settings.lease {
+        if now() > self.state.borrow().renewed + self.settings.lease_duration {
             self.drop_tasks();
             let mut state = self.state.borrow_mut();
             state.agent_epoch = state.agent_epoch.next();
