--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -252,7 +252,7 @@
     /// Each task of the job was started, and none a second time.
     pub fn assert_started_once(&self, job: &JobSpec, why: &str) {
         for index in 0..job.tasks {
-            assert_eq!(self.history.starts_of(&task_id(job, index)), 1, "{why}");
+            assert_eq!(self.history.start_count(&task_id(job, index)), 1, "{why}");
         }
     }
 
--- a/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
@@ -68,7 +68,10 @@
     for worker in cluster.cloud.workers() {
         let name = &worker.settings.name;
         let recorded = cluster.store.value(&machine_key(name.as_str())).is_some();
-        assert!(recorded || cluster.history.starts_on(name.as_str()) == 0, "{name} has no record");
+        assert!(
+            recorded || cluster.history.start_count_on(name.as_str()) == 0,
+            "{name} has no record"
+        );
     }
 }
 
--- a/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
@@ -36,7 +36,7 @@
             }
             cluster.store.set_down(false);
             cluster.wait_until_done(&job.id, 150.0).await;
-            let once = (0..12).all(|index| cluster.history.starts_of(&task_id(&job, index)) == 1);
+            let once = (0..12).all(|index| cluster.history.start_count(&task_id(&job, index)) == 1);
             assert_eq!(once, trouble.is_none());
         });
     }
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -71,7 +71,11 @@
         }
         for job in &jobs {
             cluster.wait_until_done(&job.id, 60.0).await;
-            assert_eq!(cluster.history.starts_of(&task_id(job, 0)), 1, "nothing was started again");
+            assert_eq!(
+                cluster.history.start_count(&task_id(job, 0)),
+                1,
+                "nothing was started again"
+            );
         }
     });
 }
--- a/crates/corkfield/tests/scenarios/machines.rs
+++ b/crates/corkfield/tests/scenarios/machines.rs
@@ -80,10 +80,10 @@
         let cut_off = cluster.cloud.workers()[0].clone();
         cluster.net.partition(CONTROLLERS[leader], cut_off.settings.name.as_str());
         sleep_s(12.0).await;
-        let before = cluster.history.starts_on(cut_off.settings.name.as_str());
+        let before = cluster.history.start_count_on(cut_off.settings.name.as_str());
         sleep_s(12.0).await;
         assert!(
-            cluster.history.starts_on(cut_off.settings.name.as_str()) > before,
+            cluster.history.start_count_on(cut_off.settings.name.as_str()) > before,
             "it is given work"
         );
         assert_eq!(cut_off.agent_epoch(), AgentEpoch::new(1), "its lease never ran out");
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -24,14 +24,14 @@
             cluster.submit(job, 4.0).await;
         }
         sleep_s(45.0).await;
-        assert_eq!(cluster.history.starts_on(name.as_str()), 0);
+        assert_eq!(cluster.history.start_count_on(name.as_str()), 0);
         let in_vain = cluster.undelivered_starts(name.as_str());
         assert!(in_vain <= 2 * 8, "{in_vain} starts were sent in vain");
         unreachable.is_inbound_blocked.set(false);
         for job in &jobs {
             cluster.wait_until_done(&job.id, 200.0).await;
         }
-        assert!(cluster.history.starts_on(name.as_str()) > 0, "it is used again");
+        assert!(cluster.history.start_count_on(name.as_str()) > 0, "it is used again");
     });
 }
 
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: machines are rented, boot, are listed and deleted.
+//! A fake cloud: it rents, boots, lists and deletes machines.
 
 use crate::history::ExecutionHistory;
 use crate::net::NetworkProvider;
@@ -16,49 +16,51 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How long the cloud takes for an answer, in seconds.
+/// The time that the cloud takes to answer a request, in seconds.
 const ANSWER_DELAY_S: f64 = 0.05;
-/// How many machines one page of the list holds, if the request does not say.
-const DEFAULT_PAGE: usize = 500;
-/// How many machines share the first three numbers of their addresses.
+/// The page size of the list of machines for requests without a limit.
+const DEFAULT_PAGE_SIZE: usize = 500;
+/// The number of machines that share the first three octets of their addresses.
 const MACHINES_PER_SUBNET: u32 = 250;
 
 struct RentedMachine {
     machine_type: String,
     zone: String,
     spot: bool,
-    rented: Instant,
-    /// There is none while the machine boots.
+    rented_at: Instant,
+    /// The worker of the machine; `None` while the machine boots.
     worker: Option<Rc<FakeWorker>>,
 }
 
-/// The cloud. All machines are of its first type.
+/// A fake cloud. All its machines are of the first machine type.
 pub struct FakeCloud {
     networks: Rc<dyn NetworkProvider>,
     history: Rc<ExecutionHistory>,
     worker_template: WorkerSettings,
-    /// The machine types that it lists.
+    /// The machine types that the cloud lists.
     pub machine_types: Vec<MachineType>,
-    /// How many machines there can be at once.
+    /// The largest number of machines that can exist at once.
     pub capacity: Cell<usize>,
-    /// Every request is answered with 503.
+    /// Whether the cloud answers every request with 503.
     pub is_down: Cell<bool>,
-    /// How long rented machines take to come up, in seconds.
+    /// The boot time of rented machines, in seconds.
     pub boot_s: Cell<f64>,
-    /// The answers to rentals are lost.
+    /// Whether the answers to rental requests are lost. The requests are still executed.
     pub is_losing_answers: Cell<bool>,
     machines: RefCell<BTreeMap<MachineName, RentedMachine>>,
-    /// What each rental request was answered with: a repeated one gets the same machines.
+    /// The machines that were rented for each rental request; a repeated request gets the same
+    /// machines.
     answered_rentals: RefCell<BTreeMap<String, Vec<MachineName>>>,
     next_machine: Cell<u32>,
-    /// Rentals that were carried out.
+    /// The number of rental requests that were executed.
     pub executed_rentals: Cell<u32>,
-    /// Requests that reached the cloud.
+    /// The number of requests that reached the cloud.
     pub requests: Cell<u32>,
 }
 
 impl FakeCloud {
-    /// Machines get addresses of the network (the first number) that the template's address is of.
+    /// Creates a cloud without machines. The first octet of a machine's address is that of the
+    /// template's address.
     pub fn new(
         networks: Rc<dyn NetworkProvider>,
         history: Rc<ExecutionHistory>,
@@ -84,7 +86,7 @@
         })
     }
 
-    /// Serves at an address.
+    /// Starts to serve the cloud's HTTP interface at an address.
     pub fn start(self: &Rc<Self>, network: Rc<dyn Network>, addr: SocketAddr) {
         let cloud = self.clone();
         tokio::task::spawn_local(async move {
@@ -94,7 +96,7 @@
         });
     }
 
-    /// Rents a machine whose worker starts after `boot_s` seconds; returns the machine's name.
+    /// Adds a machine whose worker starts after `boot_s` seconds; returns the machine's name.
     pub fn add_machine(self: &Rc<Self>, zone: &str, spot: bool, boot_s: f64) -> MachineName {
         let number = self.next_machine.get();
         self.next_machine.set(number + 1);
@@ -103,7 +105,7 @@
             machine_type: self.machine_types[0].name.clone(),
             zone: zone.to_owned(),
             spot,
-            rented: now(),
+            rented_at: now(),
             worker: None,
         };
         self.machines.borrow_mut().insert(name.clone(), machine);
@@ -139,7 +141,7 @@
         SocketAddr::from(([network, 9, subnet, host], 9000))
     }
 
-    /// Starts the worker of a machine that has booted, unless the machine is gone by now.
+    /// Starts the worker of a machine that has booted, unless the machine was deleted meanwhile.
     fn start_worker(&self, settings: WorkerSettings) {
         if let Some(machine) = self.machines.borrow_mut().get_mut(&settings.name) {
             let network = self.networks.host_network(settings.name.as_str());
@@ -147,17 +149,17 @@
         }
     }
 
-    /// The worker of a machine that is up.
+    /// Returns the worker of a machine that has booted.
     pub fn worker(&self, name: &str) -> Option<Rc<FakeWorker>> {
         self.machines.borrow().get(name).and_then(|machine| machine.worker.clone())
     }
 
-    /// The workers of all machines that are up, by name.
+    /// Returns the workers of all machines that have booted, ordered by machine name.
     pub fn workers(&self) -> Vec<Rc<FakeWorker>> {
         self.machines.borrow().values().filter_map(|machine| machine.worker.clone()).collect()
     }
 
-    /// Takes a machine back without a notice.
+    /// Reclaims a machine without a termination notice.
     pub fn reclaim(&self, name: &str) {
         if let Some(machine) = self.machines.borrow_mut().remove(name) {
             if let Some(worker) = machine.worker {
@@ -196,8 +198,8 @@
         if let Some(machines) = self.answered_rentals.borrow().get(&request.request) {
             return json_response(200, &MachineNames { machines: machines.clone() });
         }
-        let free = self.capacity.get().saturating_sub(self.machines.borrow().len());
-        let count = (request.count as usize).min(free);
+        let free_capacity = self.capacity.get().saturating_sub(self.machines.borrow().len());
+        let count = (request.count as usize).min(free_capacity);
         if count == 0 {
             return Response::new(503, b"{\"error\":\"no capacity\"}".to_vec());
         }
@@ -220,12 +222,12 @@
 
     fn list(&self, target: &str) -> Response {
         let after = query_parameter(target, "after").unwrap_or("");
-        let limit = numeric_parameter(target, "limit").unwrap_or(DEFAULT_PAGE);
+        let limit = numeric_parameter(target, "limit").unwrap_or(DEFAULT_PAGE_SIZE);
         let machines = self.machines.borrow();
         let mut listed: Vec<ListedMachine> = machines
             .iter()
             .filter(|(name, _)| name.as_str() > after)
-            .map(|(name, machine)| machine.listed(name.as_str()))
+            .map(|(name, machine)| machine.to_listed(name.as_str()))
             .collect();
         let more = listed.len() > limit;
         listed.truncate(limit);
@@ -234,7 +236,7 @@
 }
 
 impl RentedMachine {
-    fn listed(&self, name: &str) -> ListedMachine {
+    fn to_listed(&self, name: &str) -> ListedMachine {
         let state = if self.worker.is_some() { ListedState::Running } else { ListedState::Booting };
         ListedMachine {
             name: MachineName::from(name),
@@ -243,7 +245,7 @@
             zone: self.zone.clone(),
             spot: self.spot,
             state,
-            age_s: now().saturating_duration_since(self.rented).as_secs_f64(),
+            age_s: now().saturating_duration_since(self.rented_at).as_secs_f64(),
         }
     }
 }
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -1,4 +1,5 @@
-//! What really runs where, what users were answered, and the rules that a deployment must keep.
+//! The record of task executions on the machines and of answers to users, and the safety rules that
+//! are checked on it.
 
 use crate::now;
 use crate::worker::WorkerSettings;
@@ -8,120 +9,123 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// What rounding may add to the CPUs that a team uses.
+/// The rounding error that is allowed in the sum of the CPUs that a team uses.
 const CPU_TOLERANCE: f64 = 1e-6;
 
-/// How the tasks of a job really behave.
+/// A job, and how its tasks behave on the fake workers.
 #[derive(Debug, Clone)]
 pub struct JobPlan {
-    /// The job as it is submitted.
+    /// The job as the user submits it.
     pub spec: JobSpec,
-    /// How long each task runs, in seconds.
+    /// The run time of each task, in seconds.
     pub run_s: f64,
-    /// Its tasks fail wherever they run.
+    /// Whether the tasks fail on every machine.
     pub is_failing: bool,
 }
 
-/// A rule of the deployment that was broken.
+/// A violation of a safety rule.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Violation {
-    /// A later answer contradicts a final state that a user was given before (S1).
+    /// An answer contradicts a final status that a user was given before (S1).
     FinalStatusChanged {
         /// The job that was asked about.
         job: JobId,
-        /// The final state that was answered first.
+        /// The final status that was answered first.
         from: JobStatus,
-        /// What was answered later.
+        /// The status that was answered later.
         to: JobStatus,
     },
-    /// A job that was accepted is answered with 404 (S1).
+    /// A request for an accepted job was answered with 404 (S1).
     AcceptedJobNotFound {
         /// The job that was asked about.
         job: JobId,
     },
-    /// A job is reported done before all its tasks have ended well (S9).
+    /// A job was reported as done before all its tasks had completed (S9).
     DoneBeforeCompletion {
         /// The job that was asked about.
         job: JobId,
     },
-    /// A task runs in two places at once (S3, S5, S7).
+    /// A task was started while it was running already (S3, S5, S7).
     ConcurrentExecution {
-        /// The task that was started again.
+        /// The task that was started a second time.
         task: TaskId,
-        /// Where it was running.
-        on: MachineName,
-        /// Where it was started as well.
-        and_on: MachineName,
+        /// The machine that runs the task already.
+        running_on: MachineName,
+        /// The machine that started the task as well.
+        started_on: MachineName,
     },
-    /// A team uses more CPUs than its quota allows (S8).
+    /// The running tasks of a team use more CPUs than its quota allows (S8).
     QuotaExceeded {
-        /// The team by name.
+        /// The name of the team.
         team: String,
-        /// The CPUs of all its running tasks.
+        /// The CPUs of all running tasks of the team.
         cpus: f64,
     },
-    /// A task runs in a zone or on a kind of machine that its job does not allow (S8).
+    /// A task was started in a zone or on a kind of machine that its job does not allow (S8).
     PlacementConstraintViolated {
         /// The task that was started.
         task: TaskId,
-        /// Where it was started.
+        /// The machine that started the task.
         machine: MachineName,
         /// The zone of that machine.
         zone: String,
-        /// The zones of all running tasks of the job, this one's among them.
+        /// The zones of all running tasks of the job, including this task.
         job_zones: Vec<String>,
     },
-    /// A task runs longer after a confirmed cancellation than is allowed (S6, S11).
+    /// A task ran for longer than allowed after a user was told that its job is cancelled (S6,
+    /// S11).
     RanAfterCancellation {
-        /// The task that still runs.
+        /// The task that was still running.
         task: TaskId,
     },
 }
 
-/// A final state that a user was given, and when.
+/// The first final status that a user was given for a job, and the time of the answer.
 struct FinalAnswer {
     status: JobStatus,
     answered: Instant,
 }
 
-/// Where a machine is, and of which kind.
-struct MachinePlace {
+/// The zone of a machine, and whether it is a spot machine.
+struct MachineLocation {
     zone: String,
     spot: bool,
 }
 
-/// Sees each start that a worker is ordered, at that moment.
+/// Is called with each start order when a worker receives it.
 type StartOrderObserver = Box<dyn Fn(&TaskId, Attempt)>;
 
-/// Records what workers run and what users are answered, and notes each [`Violation`].
+/// Records the tasks that workers run and the answers that users get, and collects each
+/// [`Violation`].
 #[derive(Default)]
 pub struct ExecutionHistory {
     plans: RefCell<BTreeMap<JobId, JobPlan>>,
     machine_by_task: RefCell<BTreeMap<TaskId, MachineName>>,
     completed: RefCell<BTreeMap<JobId, BTreeSet<u32>>>,
-    /// When users were first told that a job is cancelled.
+    /// The time at which a user was first told that a job is cancelled.
     cancelled: RefCell<BTreeMap<JobId, Instant>>,
     teams: RefCell<Vec<Team>>,
     violations: RefCell<Vec<Violation>>,
     starts_by_task: RefCell<BTreeMap<TaskId, u32>>,
     starts_by_machine: RefCell<BTreeMap<MachineName, u32>>,
-    machines: RefCell<BTreeMap<MachineName, MachinePlace>>,
+    machines: RefCell<BTreeMap<MachineName, MachineLocation>>,
     final_answers: RefCell<BTreeMap<JobId, FinalAnswer>>,
-    /// When users were first told that a job is accepted.
+    /// The time at which a user was first told that a job is accepted.
     accepted: RefCell<BTreeMap<JobId, Instant>>,
     starts_after_cancellation: Cell<u32>,
     start_order_observer: RefCell<Option<StartOrderObserver>>,
-    /// How long tasks may run on after a user was told that their job is cancelled.
+    /// The time for which tasks may continue after a user was told that their job is cancelled.
     pub cancel_limit: Cell<Duration>,
 }
 
 impl ExecutionHistory {
-    /// Sets the teams, whose quotas are checked at every start.
+    /// Sets the teams whose quotas are checked at every start of a task.
     pub fn set_teams(&self, teams: Vec<Team>) {
         *self.teams.borrow_mut() = teams;
     }
 
-    /// Shows each start that a worker is ordered from now on, and its attempt.
+    /// Calls `observer` with the task and the attempt of each start order that a worker receives
+    /// from now on.
     pub fn observe_start_orders(&self, observer: impl Fn(&TaskId, Attempt) + 'static) {
         *self.start_order_observer.borrow_mut() = Some(Box::new(observer));
     }
@@ -133,21 +137,22 @@
     }
 
     pub(crate) fn record_machine(&self, settings: &WorkerSettings) {
-        let place = MachinePlace { zone: settings.zone.clone(), spot: settings.spot };
-        self.machines.borrow_mut().insert(settings.name.clone(), place);
+        let location = MachineLocation { zone: settings.zone.clone(), spot: settings.spot };
+        self.machines.borrow_mut().insert(settings.name.clone(), location);
     }
 
-    /// Adds a job that is about to be submitted; workers know no others.
+    /// Adds a job that is about to be submitted. Workers refuse the tasks of all other jobs.
     pub fn add_plan(&self, plan: JobPlan) {
         self.plans.borrow_mut().insert(plan.spec.id.clone(), plan);
     }
 
-    /// How the tasks of a job behave.
+    /// Returns the plan of a job.
     pub fn plan(&self, id: &JobId) -> Option<JobPlan> {
         self.plans.borrow().get(id).cloned()
     }
 
-    /// A user who asked at that moment was answered with this status: a final state stays.
+    /// Records that a user who sent a request at `asked` was answered with `status`; checks that a
+    /// final status does not change (S1).
     pub fn record_user_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
         self.check_final_answer(id, status, asked);
         if status.is_final() {
@@ -156,7 +161,7 @@
         }
         self.accepted.borrow_mut().entry(id.clone()).or_insert_with(now);
         match status {
-            JobStatus::Done => self.check_done(id),
+            JobStatus::Done => self.check_all_tasks_completed(id),
             JobStatus::Cancelled => {
                 self.cancelled.borrow_mut().entry(id.clone()).or_insert_with(now);
             }
@@ -166,21 +171,21 @@
 
     fn check_final_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
         let answers = self.final_answers.borrow();
-        let Some(before) = answers.get(id).filter(|before| before.status != status) else { return };
-        if status.is_final() || before.answered <= asked {
-            let (from, to) = (before.status, status);
+        let Some(first) = answers.get(id).filter(|first| first.status != status) else { return };
+        if status.is_final() || first.answered <= asked {
+            let (from, to) = (first.status, status);
             self.record_violation(Violation::FinalStatusChanged { job: id.clone(), from, to });
         }
     }
 
-    /// A user who asked at that moment was answered that there is no such job.
+    /// Records that a user who sent a request at `asked` was answered that the job does not exist.
     pub fn record_not_found_answer(&self, id: &JobId, asked: Instant) {
         if self.accepted.borrow().get(id).is_some_and(|accepted| *accepted <= asked) {
             self.record_violation(Violation::AcceptedJobNotFound { job: id.clone() });
         }
     }
 
-    fn check_done(&self, id: &JobId) {
+    fn check_all_tasks_completed(&self, id: &JobId) {
         let tasks = self.plan(id).map_or(0, |plan| plan.spec.tasks as usize);
         if self.completed.borrow().get(id).map_or(0, BTreeSet::len) < tasks {
             self.record_violation(Violation::DoneBeforeCompletion { job: id.clone() });
@@ -191,27 +196,27 @@
         self.violations.borrow_mut().push(violation);
     }
 
-    /// A task has its image and starts on a machine.
+    /// Records that a task has its image and starts on a machine.
     pub(crate) fn record_start(&self, task: &TaskId, machine: &str) {
-        self.count_start(task, machine);
-        self.check_cancelled(task);
+        self.track_running_task(task, machine);
+        self.check_cancellation_limit(task);
         if self.cancelled.borrow().contains_key(&task.job) {
             self.starts_after_cancellation.set(self.starts_after_cancellation.get() + 1);
         }
         let Some(plan) = self.plan(&task.job) else { return };
-        self.check_place(task, machine, &plan.spec);
+        self.check_placement(task, machine, &plan.spec);
         self.check_quota(&plan.spec.team);
     }
 
-    fn count_start(&self, task: &TaskId, machine: &str) {
-        let before =
+    fn track_running_task(&self, task: &TaskId, machine: &str) {
+        let previous =
             self.machine_by_task.borrow_mut().insert(task.clone(), MachineName::from(machine));
-        if let Some(on) = before {
-            let and_on = MachineName::from(machine);
+        if let Some(running_on) = previous {
+            let started_on = MachineName::from(machine);
             self.record_violation(Violation::ConcurrentExecution {
                 task: task.clone(),
-                on,
-                and_on,
+                running_on,
+                started_on,
             });
         }
         *self.starts_by_task.borrow_mut().entry(task.clone()).or_default() += 1;
@@ -236,22 +241,23 @@
         }
     }
 
-    /// Zone and kind of machine, given where the job's other tasks are at this moment.
-    fn check_place(&self, task: &TaskId, machine: &str, spec: &JobSpec) {
+    /// Checks the zone and the kind of a machine against the constraints of the job and the zones
+    /// of the job's running tasks.
+    fn check_placement(&self, task: &TaskId, machine: &str, spec: &JobSpec) {
         let machines = self.machines.borrow();
-        let Some(MachinePlace { zone, spot }) = machines.get(machine) else { return };
+        let Some(MachineLocation { zone, spot }) = machines.get(machine) else { return };
         let running = self.machine_by_task.borrow();
         let job_zones: Vec<String> = running
             .iter()
             .filter(|(other, _)| other.job == task.job)
-            .filter_map(|(_, machine)| machines.get(machine).map(|place| place.zone.clone()))
+            .filter_map(|(_, machine)| machines.get(machine).map(|location| location.zone.clone()))
             .collect();
-        let in_zone = job_zones.iter().filter(|other| *other == zone).count();
-        let wrong = spec.zone.as_ref().is_some_and(|only| only != zone)
+        let tasks_in_zone = job_zones.iter().filter(|other| *other == zone).count();
+        let is_violated = spec.zone.as_ref().is_some_and(|only| only != zone)
             || *spot && !spec.spot
-            || spec.one_zone && in_zone < job_zones.len()
-            || in_zone > spec.zone_cap() as usize;
-        if wrong {
+            || spec.one_zone && tasks_in_zone < job_zones.len()
+            || tasks_in_zone > spec.zone_cap() as usize;
+        if is_violated {
             let (machine, zone) = (MachineName::from(machine), zone.clone());
             self.record_violation(Violation::PlacementConstraintViolated {
                 task: task.clone(),
@@ -262,19 +268,19 @@
         }
     }
 
-    /// Starts of jobs whose users had been told that they are cancelled.
+    /// Returns the number of task starts after a user was told that the job is cancelled.
     pub fn starts_after_cancellation(&self) -> u32 {
         self.starts_after_cancellation.get()
     }
 
-    pub(crate) fn check_cancelled(&self, task: &TaskId) {
+    pub(crate) fn check_cancellation_limit(&self, task: &TaskId) {
         let cancelled = self.cancelled.borrow().get(&task.job).copied();
         if cancelled.is_some_and(|cancelled| now() > cancelled + self.cancel_limit.get()) {
             self.record_violation(Violation::RanAfterCancellation { task: task.clone() });
         }
     }
 
-    /// A task no longer runs on a machine.
+    /// Records that a task has ended on a machine.
     pub(crate) fn record_end(&self, task: &TaskId, machine: &str) {
         let mut running = self.machine_by_task.borrow_mut();
         if running.get(task).is_some_and(|on| on.as_str() == machine) {
@@ -282,37 +288,37 @@
         }
     }
 
-    /// A task has ended well.
+    /// Records that a task has completed.
     pub(crate) fn record_completion(&self, task: &TaskId) {
         self.completed.borrow_mut().entry(task.job.clone()).or_default().insert(task.index);
     }
 
-    /// The machine that a task runs on.
+    /// Returns the machine that a task runs on.
     pub fn machine_of(&self, task: &TaskId) -> Option<MachineName> {
         self.machine_by_task.borrow().get(task).cloned()
     }
 
-    /// How many tasks of a job run.
+    /// Returns the number of running tasks of a job.
     pub fn running_tasks(&self, id: &JobId) -> usize {
         self.machine_by_task.borrow().keys().filter(|task| task.job == *id).count()
     }
 
-    /// How often a task was started.
-    pub fn starts_of(&self, task: &TaskId) -> u32 {
+    /// Returns the number of times that a task was started.
+    pub fn start_count(&self, task: &TaskId) -> u32 {
         self.starts_by_task.borrow().get(task).copied().unwrap_or(0)
     }
 
-    /// How many tasks were started on a machine.
-    pub fn starts_on(&self, machine: &str) -> u32 {
+    /// Returns the number of task starts on a machine.
+    pub fn start_count_on(&self, machine: &str) -> u32 {
         self.starts_by_machine.borrow().get(machine).copied().unwrap_or(0)
     }
 
-    /// How many tasks were started on all machines.
+    /// Returns the number of task starts on all machines.
     pub fn total_starts(&self) -> u32 {
         self.starts_by_task.borrow().values().sum()
     }
 
-    /// The rules that were broken, the first one first.
+    /// Returns the violations so far, the oldest first.
     pub fn violations(&self) -> Vec<Violation> {
         self.violations.borrow().clone()
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for the network, the state service, the cloud and the workers, in memory and in
-//! simulated time. They follow the published protocol; the execution history checks the rules.
+//! In-memory fakes of the network, the state service, the cloud and the workers, for tests in
+//! simulated time. The fakes implement the published protocol; the execution history checks the
+//! safety rules.
 //!
-//! Architecture invariant: this crate knows the protocol (`corkfield-wire`, `corkfield-http`) and
-//! nothing of the controllers that are tested with it.
+//! Architecture invariant: this crate depends on the protocol (`corkfield-wire`, `corkfield-http`)
+//! and not on the controllers that are tested with it.
 #![forbid(unsafe_code)]
 
 mod cloud;
@@ -23,7 +24,7 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// The simulated time.
+/// Returns the current simulated time.
 pub(crate) fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
@@ -32,18 +33,18 @@
     Response::new(status, serde_json::to_vec(body).unwrap_or_default())
 }
 
-/// A response without content: an empty JSON object.
+/// Returns a response whose body is an empty JSON object.
 pub(crate) fn empty_response(status: u16) -> Response {
     Response::new(status, b"{}".to_vec())
 }
 
-/// A parameter of a request's query.
+/// Returns the value of a query parameter of a request target.
 pub(crate) fn query_parameter<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A parameter of a request's query that is a number.
+/// Returns the value of a numeric query parameter; `None` if it is absent or not a number.
 pub(crate) fn numeric_parameter<T: std::str::FromStr>(target: &str, name: &str) -> Option<T> {
     query_parameter(target, name)?.parse().ok()
 }
--- a/crates/fakes/src/net.rs
+++ b/crates/fakes/src/net.rs
@@ -1,4 +1,5 @@
-//! A network in memory: hosts, cuts that hold messages back, hosts that die.
+//! An in-memory network of hosts. A partition between two hosts delays their messages until it is
+//! healed; a host that has stopped refuses connections.
 
 use corkfield_http::net::LocalFuture;
 use corkfield_http::{Listener, Network, Stream, Tcp};
@@ -11,24 +12,24 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 use tokio::sync::{mpsc, Mutex, Notify};
 
-/// How many bytes a connection holds on each side.
+/// The buffer size of each end of a connection, in bytes.
 const PIPE_BYTES: usize = 64 * 1024;
-/// How many bytes are forwarded as one message.
-const MESSAGE_BYTES: usize = 16 * 1024;
+/// The largest number of bytes that are forwarded as one message.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 const DEFAULT_LATENCY: Duration = Duration::from_millis(1);
-/// Stands for all other hosts in a cut.
+/// The name that stands for all other hosts in a partition.
 const ANY_HOST: &str = "*";
 
 type Task = LocalFuture<'static, ()>;
 type StreamSender = mpsc::UnboundedSender<Stream>;
 
-/// An address that a host listens on.
+/// A listener that a host has bound to an address.
 struct BoundListener {
     host: String,
     incoming: StreamSender,
 }
 
-/// The hosts at the two ends of a connection, or of a cut.
+/// The hosts at the two ends of a connection or of a partition.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: String,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Connections that a host has open, and the most it had at once.
+/// The number of connections that a host has open, and the highest number so server_pipe.
 #[derive(Default)]
 struct ConnectionCount {
     open: usize,
@@ -52,7 +53,7 @@
     listeners: RefCell<BTreeMap<SocketAddr, BoundListener>>,
     partitions: RefCell<BTreeSet<Link>>,
     partition_healed: Notify,
-    /// How long each message is under way.
+    /// The time from sending a message to its delivery.
     latency: Cell<Duration>,
     spawn: mpsc::UnboundedSender<Task>,
     connections: RefCell<BTreeMap<String, ConnectionCount>>,
@@ -66,18 +67,18 @@
         pairs.iter().any(|(from, to)| partitions.contains(&Link::new(from, to)))
     }
 
-    async fn wait_until_open(&self, link: &Link) {
+    async fn wait_until_healed(&self, link: &Link) {
         loop {
-            let partition_healed = self.partition_healed.notified();
+            let healed = self.partition_healed.notified();
             if !self.is_partitioned(link) {
                 return;
             }
-            partition_healed.await;
+            healed.await;
         }
     }
 }
 
-/// A connection counts at both of its ends, as long as its client keeps it.
+/// Counts a connection at the hosts at both ends, until the client closes the connection.
 struct CountedConnection {
     net: Rc<NetworkState>,
     link: Link,
@@ -105,15 +106,16 @@
     }
 }
 
-/// Networks of hosts that come up while a deployment is played.
+/// Provides the network to hosts that are added while a deployment runs.
 pub trait NetworkProvider {
-    /// The network as a host of this name sees it.
+    /// Returns the network as the host `name` sees it.
     fn host_network(&self, name: &str) -> Rc<dyn Network>;
-    /// Runs something that outlives the task that started it.
+    /// Runs a future that may outlive the task that spawned it.
     fn spawn(&self, task: LocalFuture<'static, ()>);
 }
 
-/// The system's own network: each host listens on a loopback address of its own, in real time.
+/// The network of the operating system: each host listens on its own loopback address, in real
+/// time.
 #[derive(Clone, Copy, Default)]
 pub struct Loopback;
 
@@ -127,7 +129,7 @@
     }
 }
 
-/// A network in memory, in simulated time. Each host gets its own view of it from
+/// An in-memory network in simulated time. Each host gets its own view of the network from
 /// [`MemoryNet::host_network`].
 #[derive(Clone)]
 pub struct MemoryNet(Rc<NetworkState>);
@@ -143,7 +145,8 @@
 }
 
 impl Default for MemoryNet {
-    /// Must be called on a local task set: messages under way outlive their senders.
+    /// Must be called on a local task set: the task set delivers messages even after their senders
+    /// have ended.
     fn default() -> Self {
         let (spawn, mut tasks) = mpsc::unbounded_channel::<Task>();
         tokio::task::spawn_local(async move {
@@ -163,87 +166,90 @@
 }
 
 impl MemoryNet {
-    /// The network as a host of this name sees it.
+    /// Returns the network as the host `name` sees it.
     pub fn host_network(&self, name: &str) -> Rc<HostNetwork> {
         Rc::new(HostNetwork { name: name.to_owned(), net: self.0.clone() })
     }
 
-    /// Holds back everything between two hosts (`*`: all others) until it is healed.
+    /// Delays all messages between two hosts, in both directions, until the partition is healed.
+    /// The name `*` stands for all other hosts.
     pub fn partition(&self, from: &str, to: &str) {
         self.0.partitions.borrow_mut().insert(Link::new(from, to));
     }
 
-    /// Ends a cut: what it held back arrives. The hosts must be named as they were for the cut.
+    /// Heals a partition, so that the delayed messages arrive. The hosts must be in the same order
+    /// as in the call to [`MemoryNet::partition`].
     pub fn heal(&self, from: &str, to: &str) {
         self.0.partitions.borrow_mut().remove(&Link::new(from, to));
         self.0.partition_healed.notify_waiters();
     }
 
-    /// Sets how long each message is under way.
+    /// Sets the time from sending a message to its delivery.
     pub fn set_latency(&self, latency: Duration) {
         self.0.latency.set(latency);
     }
 
-    /// The most connections that a host had open at once.
+    /// Returns the highest number of connections that a host had open at once.
     pub fn peak_connections(&self, host: &str) -> usize {
         self.0.connections.borrow().get(host).map_or(0, |count| count.peak)
     }
 
-    /// Counts the most open connections anew, from those that are open now.
+    /// Resets the peak of every host to the number of connections that are open now.
     pub fn reset_peak_connections(&self) {
         for count in self.0.connections.borrow_mut().values_mut() {
             count.peak = count.open;
         }
     }
 
-    /// Connections that a host has open now.
+    /// Returns the number of connections that a host has open now.
     pub fn open_connections(&self, host: &str) -> usize {
         self.0.connections.borrow().get(host).map_or(0, |count| count.open)
     }
 }
 
-/// One host's view of the network.
+/// The network as one host sees it.
 pub struct HostNetwork {
     name: String,
     net: Rc<NetworkState>,
 }
 
 impl HostNetwork {
-    /// The host that listens on an address.
+    /// Returns the name of the host that listens on an address.
     fn listening_host(&self, addr: SocketAddr) -> Result<String> {
         let listeners = self.net.listeners.borrow();
         listeners.get(&addr).map(|bound| bound.host.clone()).ok_or_else(connection_refused)
     }
 
-    fn incoming_streams(&self, addr: SocketAddr) -> Result<StreamSender> {
+    fn stream_sender(&self, addr: SocketAddr) -> Result<StreamSender> {
         let listeners = self.net.listeners.borrow();
         listeners.get(&addr).map(|bound| bound.incoming.clone()).ok_or_else(connection_refused)
     }
 
-    /// A connection over a link: the stream of this host, and that of the other one.
+    /// Opens a connection over a link; returns the stream of the client, which is this host, and
+    /// that of the server.
     fn open_connection(&self, link: Link) -> (DuplexStream, DuplexStream) {
-        let (mine, near) = tokio::io::duplex(PIPE_BYTES);
-        let (far, theirs) = tokio::io::duplex(PIPE_BYTES);
-        let (near_read, near_write) = tokio::io::split(near);
-        let (far_read, far_write) = tokio::io::split(far);
-        let counted = CountedConnection::new(self.net.clone(), link.clone());
-        self.spawn_forwarding(link.clone(), near_read, far_write, Some(counted));
-        self.spawn_forwarding(link, far_read, near_write, None);
-        (mine, theirs)
+        let (client_stream, client_pipe) = tokio::io::duplex(PIPE_BYTES);
+        let (server_pipe, server_stream) = tokio::io::duplex(PIPE_BYTES);
+        let (client_read, client_write) = tokio::io::split(client_pipe);
+        let (server_read, server_write) = tokio::io::split(server_pipe);
+        let connection = CountedConnection::new(self.net.clone(), link.clone());
+        self.spawn_forwarding(link.clone(), client_read, server_write, Some(connection));
+        self.spawn_forwarding(link, server_read, client_write, None);
+        (client_stream, server_stream)
     }
 
-    /// Forwards one direction of a connection, which counts as long as its client sends.
+    /// Forwards one direction of a connection. `connection` stays counted until `from` is closed.
     fn spawn_forwarding(
         &self,
         link: Link,
         from: ReadHalf<DuplexStream>,
         to: WriteHalf<DuplexStream>,
-        counted: Option<CountedConnection>,
+        connection: Option<CountedConnection>,
     ) {
         let net = self.net.clone();
         let _ = self.net.spawn.send(Box::pin(async move {
             forward(net, link, from, to).await;
-            drop(counted);
+            drop(connection);
         }));
     }
 }
@@ -257,11 +263,11 @@
         Box::pin(async move {
             tokio::time::sleep(self.net.latency.get()).await;
             let link = Link::new(&self.name, &self.listening_host(addr)?);
-            self.net.wait_until_open(&link).await;
-            let incoming = self.incoming_streams(addr)?;
-            let (mine, theirs) = self.open_connection(link);
-            incoming.send(Box::new(theirs)).map_err(|_| connection_refused())?;
-            Ok(Box::new(mine) as Stream)
+            self.net.wait_until_healed(&link).await;
+            let incoming = self.stream_sender(addr)?;
+            let (client_stream, server_stream) = self.open_connection(link);
+            incoming.send(Box::new(server_stream)).map_err(|_| connection_refused())?;
+            Ok(Box::new(client_stream) as Stream)
         })
     }
 
@@ -301,18 +307,19 @@
     }
 }
 
-/// Carries bytes one way until the sender closes, or the receiver is gone.
+/// Forwards bytes in one direction until the sender closes the stream or the receiver has ended.
 async fn forward(
     net: Rc<NetworkState>,
     link: Link,
     mut from: ReadHalf<DuplexStream>,
     mut to: WriteHalf<DuplexStream>,
 ) {
-    let mut buffer = vec![0; MESSAGE_BYTES];
+    let mut buffer = vec![0; MAX_MESSAGE_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
         tokio::time::sleep(net.latency.get()).await;
-        // What was sent before or during a cut arrives after it, even if its sender gave up.
-        net.wait_until_open(&link).await;
+        // Bytes sent before or during a partition arrive after it, even if the sender has timed
+        // out meanwhile.
+        net.wait_until_healed(&link).await;
         if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
             break;
         }
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -1,4 +1,4 @@
-//! A process that can be paused while its clocks run on.
+//! A process that can be paused while time continues to pass.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -9,21 +9,21 @@
 #[derive(Default)]
 struct PauseState {
     is_paused: Cell<bool>,
-    /// Wakes the process that was polled while it was frozen.
+    /// Wakes the process if it was polled while it was paused.
     waker: RefCell<Option<Waker>>,
 }
 
-/// Stops and resumes a [`PausableProcess`].
+/// Pauses and resumes a [`PausableProcess`].
 #[derive(Clone, Default)]
 pub struct PauseHandle(Rc<PauseState>);
 
 impl PauseHandle {
-    /// Stops the process.
+    /// Pauses the process.
     pub fn pause(&self) {
         self.0.is_paused.set(true);
     }
 
-    /// Lets the process go on.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.0.is_paused.set(false);
         if let Some(waker) = self.0.waker.borrow_mut().take() {
@@ -32,15 +32,15 @@
     }
 }
 
-/// All that a process does. While it is frozen nothing of it is run: its timers have long fired
-/// and its sockets are full when it goes on.
+/// A process that runs one future. While the process is paused, the future is not polled: when the
+/// process resumes, its timers have expired and its sockets have buffered input.
 pub struct PausableProcess {
     future: Pin<Box<dyn Future<Output = ()>>>,
     pause_handle: PauseHandle,
 }
 
 impl PausableProcess {
-    /// A process that the freezer stops and resumes.
+    /// Creates a process that `pause_handle` pauses and resumes.
     pub fn new(future: impl Future<Output = ()> + 'static, pause_handle: PauseHandle) -> Self {
         Self { future: Box::pin(future), pause_handle }
     }
--- a/crates/fakes/src/store/data.rs
+++ b/crates/fakes/src/store/data.rs
@@ -1,4 +1,5 @@
-//! Keys, leases and events of the store: transactions on conditions, without any I/O.
+//! The data of the fake state service: keys, leases, events and conditional transactions. This
+//! module does no I/O.
 
 use crate::now;
 use corkfield_wire::store::{Change, Event, Failed, Item, Transaction};
@@ -7,12 +8,12 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A key's value.
+/// The value of a key.
 struct StoredValue {
     value: Value,
-    /// The revision that wrote it.
+    /// The revision at which the value was written.
     version: Revision,
-    /// The lease with which the key ends.
+    /// The lease that the key is attached to; the key is deleted when the lease ends.
     lease: Option<u64>,
 }
 
@@ -29,7 +30,7 @@
 
 struct Lease {
     ttl: Duration,
-    expires: Instant,
+    expires_at: Instant,
 }
 
 struct RecordedEvent {
@@ -46,20 +47,20 @@
 
 /// Why a transaction was not executed.
 pub(super) enum TransactionError {
-    /// A change names a lease that does not exist.
+    /// A change refers to a lease that does not exist.
     UnknownLease,
-    /// The versions of these keys are not those of the conditions.
+    /// The versions of these keys differ from the versions in the conditions.
     ConditionsFailed(Failed),
 }
 
 /// One page of a list of keys.
 pub(super) struct ItemPage {
     pub items: Vec<Item>,
-    /// There are more keys after these.
+    /// Whether there are more keys after this page.
     pub more: bool,
 }
 
-/// All that the store holds.
+/// The keys, leases and events of the store.
 #[derive(Default)]
 pub(super) struct StoreData {
     keys: BTreeMap<String, StoredValue>,
@@ -67,9 +68,9 @@
     events: Vec<RecordedEvent>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
-    /// The largest value seen, in bytes of its text.
+    /// The size of the largest value written so far, in bytes of its JSON text.
     pub max_value_bytes: usize,
-    /// The most changes seen in one transaction.
+    /// The largest number of changes in one transaction so far.
     pub max_transaction_changes: usize,
 }
 
@@ -82,7 +83,7 @@
         self.keys.get(key).map(|stored| stored.value.clone())
     }
 
-    /// The version of a key; 0 if there is none.
+    /// Returns the version of a key; 0 if the key does not exist.
     pub fn version(&self, key: &str) -> Revision {
         self.keys.get(key).map_or(Revision::NONE, |stored| stored.version)
     }
@@ -91,7 +92,7 @@
         self.keys.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Up to `limit` keys with a prefix that come after a key.
+    /// Returns up to `limit` items whose keys have a prefix and sort after the key `after`.
     pub fn page(&self, prefix: &str, after: &str, limit: usize) -> ItemPage {
         let mut items: Vec<Item> = self
             .keys
@@ -104,7 +105,7 @@
         ItemPage { items, more }
     }
 
-    /// What happened to keys with a prefix after a revision.
+    /// Returns the events after a revision for keys with a prefix.
     pub fn events_after(&self, revision: Revision, prefix: &str) -> Vec<Event> {
         let events = self
             .events
@@ -115,41 +116,41 @@
 
     pub fn grant_lease(&mut self, ttl: Duration) -> u64 {
         self.last_lease += 1;
-        self.leases.insert(self.last_lease, Lease { ttl, expires: now() + ttl });
+        self.leases.insert(self.last_lease, Lease { ttl, expires_at: now() + ttl });
         self.last_lease
     }
 
-    /// Gives a lease its full time again; false if it has ended.
+    /// Extends a lease by its full duration from now; returns false if the lease has ended.
     pub fn renew_lease(&mut self, lease: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&lease) else { return false };
-        lease.expires = now() + lease.ttl;
+        lease.expires_at = now() + lease.ttl;
         true
     }
 
     pub fn renew_all_leases(&mut self) {
         for lease in self.leases.values_mut() {
-            lease.expires = now() + lease.ttl;
+            lease.expires_at = now() + lease.ttl;
         }
     }
 
-    /// Leases that were not renewed in time.
+    /// Returns the leases that have expired.
     pub fn expired_leases(&self) -> Vec<u64> {
         let now = now();
-        let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
         expired.map(|(number, _)| *number).collect()
     }
 
-    /// Removes a lease; returns the keys that end with it.
+    /// Removes a lease; returns the keys that are attached to it.
     pub fn remove_lease(&mut self, lease: u64) -> Vec<String> {
         self.leases.remove(&lease);
         let attached = self.keys.iter().filter(|(_, stored)| stored.lease == Some(lease));
         attached.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Executes a transaction whole or not at all; returns the revision after it.
+    /// Executes a transaction atomically; returns the revision after it.
     pub fn execute(&mut self, transaction: Transaction) -> Result<Revision, TransactionError> {
         self.max_transaction_changes = self.max_transaction_changes.max(transaction.changes.len());
-        if transaction.changes.iter().any(|change| self.names_unknown_lease(change)) {
+        if transaction.changes.iter().any(|change| self.has_unknown_lease(change)) {
             return Err(TransactionError::UnknownLease);
         }
         let failed: Vec<String> = transaction
@@ -171,7 +172,7 @@
         Ok(self.revision)
     }
 
-    fn names_unknown_lease(&self, change: &Change) -> bool {
+    fn has_unknown_lease(&self, change: &Change) -> bool {
         matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease))
     }
 
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service: its HTTP interface, outages, and faults of single requests.
+//! A fake state service: its HTTP interface, outages, and faults injected into single requests.
 
 mod data;
 
@@ -17,45 +17,46 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long the store takes for an answer, in seconds.
+/// The time that the store takes to answer a request, in seconds.
 const ANSWER_DELAY_S: f64 = 0.002;
-/// How often leases are looked at, in seconds.
-const LEASE_CHECK_S: f64 = 0.05;
-/// How many keys one page of a list holds, if the request does not say.
-const DEFAULT_PAGE: usize = 1000;
-/// How long a watch waits before it looks again, at the least.
+/// The interval at which expired leases are ended, in seconds.
+const LEASE_CHECK_INTERVAL_S: f64 = 0.05;
+/// The page size of a list of keys for requests without a limit.
+const DEFAULT_PAGE_SIZE: usize = 1000;
+/// The minimum time that a watch waits before it checks for events again.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(20);
 
-/// What becomes of a request.
+/// The fault that is injected into a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Executed and answered at once.
+    /// The request is executed and answered at once.
     None,
-    /// Executed after this many seconds, and answered.
+    /// The request is executed after this many seconds, then answered.
     Delay(f64),
-    /// Executed at once, and answered after this many seconds.
+    /// The request is executed at once and answered after this many seconds.
     DelayAnswer(f64),
-    /// Executed, but the answer is lost.
+    /// The request is executed, but its answer is lost.
     LoseAnswer,
-    /// Executed after this many seconds, but the answer is lost.
+    /// The request is executed after this many seconds, but its answer is lost.
     DelayAndLoseAnswer(f64),
-    /// Never executed, and not answered.
+    /// The request is neither executed nor answered.
     Drop,
 }
 
 type FaultChooser = Box<dyn Fn(&Request) -> Fault>;
 
-/// The state service.
+/// A fake state service.
 #[derive(Default)]
 pub struct FakeStore {
     data: RefCell<StoreData>,
-    changed: Notify,
+    data_changed: Notify,
     is_down: Cell<bool>,
     fault_chooser: RefCell<Option<FaultChooser>>,
 }
 
 impl FakeStore {
-    /// Serves at an address; while `is_refusing` is set, those who come to it get 503.
+    /// Starts to serve the store's HTTP interface at an address. While `is_refusing` is set,
+    /// requests to this address are answered with 503.
     pub fn start(
         self: &Rc<Self>,
         network: Rc<dyn Network>,
@@ -70,12 +71,12 @@
         });
     }
 
-    /// Starts to end leases that are not renewed.
+    /// Starts the periodic task that ends expired leases.
     pub fn start_lease_expiry(self: &Rc<Self>) {
         let store = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                sleep(LEASE_CHECK_S).await;
+                sleep(LEASE_CHECK_INTERVAL_S).await;
                 if !store.is_down.get() {
                     store.end_expired_leases();
                 }
@@ -83,56 +84,56 @@
         });
     }
 
-    /// Begins or ends an outage. After it every lease has its full time again.
+    /// Begins or ends an outage. When the outage ends, all leases are renewed.
     pub fn set_down(&self, down: bool) {
         self.is_down.set(down);
         if !down {
             self.data.borrow_mut().renew_all_leases();
-            self.changed.notify_waiters();
+            self.data_changed.notify_waiters();
         }
     }
 
-    /// Chooses a fault for each request from now on.
+    /// Sets the function that chooses the fault for each request from now on.
     pub fn set_faults(&self, chooser: impl Fn(&Request) -> Fault + 'static) {
         *self.fault_chooser.borrow_mut() = Some(Box::new(chooser));
     }
 
-    /// Lets a fault meet the requests that the predicate names, and no others.
-    pub fn set_fault_where(&self, fault: Fault, is_met: impl Fn(&Request) -> bool + 'static) {
-        self.set_faults(move |request| if is_met(request) { fault } else { Fault::None });
+    /// Injects a fault into the requests that match the predicate, and into no others.
+    pub fn set_fault_where(&self, fault: Fault, is_match: impl Fn(&Request) -> bool + 'static) {
+        self.set_faults(move |request| if is_match(request) { fault } else { Fault::None });
     }
 
-    /// Executes and answers all requests from now on.
+    /// Injects no more faults: all requests from now on are executed and answered at once.
     pub fn clear_faults(&self) {
         *self.fault_chooser.borrow_mut() = None;
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.data.borrow().value(key)
     }
 
-    /// The version of a key; 0 if there is none.
+    /// Returns the version of a key; 0 if the key does not exist.
     pub fn version(&self, key: &str) -> Revision {
         self.data.borrow().version(key)
     }
 
-    /// All keys with a prefix.
+    /// Returns all keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.data.borrow().keys_with_prefix(prefix)
     }
 
-    /// The largest value that was written, in bytes.
+    /// Returns the size of the largest value that was written, in bytes.
     pub fn max_value_bytes(&self) -> usize {
         self.data.borrow().max_value_bytes
     }
 
-    /// The most changes that one transaction held.
+    /// Returns the largest number of changes in one transaction.
     pub fn max_transaction_changes(&self) -> usize {
         self.data.borrow().max_transaction_changes
     }
 
-    /// Writes as if somebody else did.
+    /// Writes a key as a client other than the controllers.
     pub fn write_externally(&self, key: &str, value: Value) {
         self.execute(Transaction::default().put(key, value));
     }
@@ -173,7 +174,7 @@
                 std::future::pending().await
             }
             Fault::DelayAndLoseAnswer(seconds) => {
-                // Executed even though the client has long given up.
+                // The request is executed even though its client has timed out.
                 tokio::task::spawn_local(async move {
                     sleep(seconds).await;
                     self.answer(&request, &is_refusing).await;
@@ -210,7 +211,7 @@
         json_response(200, &Grant { lease })
     }
 
-    /// Requests whose path names a key or a lease.
+    /// Answers a request whose path contains a key or a lease.
     fn answer_by_path(&self, method: &str, path: &str) -> Response {
         if let Some(key) = path.strip_prefix(PATH_KEYS).and_then(|rest| rest.strip_prefix('/')) {
             return self.read_key(key);
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Ends or renews the lease that the rest of a path names.
+    /// Ends or renews the lease in the rest of a path.
     fn answer_for_lease(&self, method: &str, rest: &str) -> Response {
         let (lease, verb) = rest.split_once('/').unwrap_or((rest, ""));
         let Ok(lease) = lease.parse::<u64>() else { return not_found() };
@@ -247,7 +248,7 @@
     fn list(&self, target: &str) -> Response {
         let prefix = query_parameter(target, "prefix").unwrap_or("");
         let after = query_parameter(target, "after").unwrap_or("");
-        let limit = numeric_parameter(target, "limit").unwrap_or(DEFAULT_PAGE);
+        let limit = numeric_parameter(target, "limit").unwrap_or(DEFAULT_PAGE_SIZE);
         let data = self.data.borrow();
         let page = data.page(prefix, after, limit);
         let revision = data.revision;
@@ -258,20 +259,20 @@
         let prefix = query_parameter(target, "prefix").unwrap_or("").to_owned();
         let after = Revision::new(numeric_parameter(target, "after").unwrap_or(0));
         let wait_ms: u64 = numeric_parameter(target, "wait_ms").unwrap_or(0);
-        let until = now() + Duration::from_millis(wait_ms);
+        let deadline = now() + Duration::from_millis(wait_ms);
         loop {
-            let changed = self.changed.notified();
+            let changed = self.data_changed.notified();
             let (revision, events) = {
                 let data = self.data.borrow();
                 (data.revision, data.events_after(after, &prefix))
             };
-            // A watch stays open, and waits, while its client is refused.
+            // While its client is refused, a watch stays open and returns no events.
             let refused = self.is_down.get() || is_refusing.get();
-            if !refused && (!events.is_empty() || now() >= until) {
+            if !refused && (!events.is_empty() || now() >= deadline) {
                 return json_response(200, &Events { revision, events });
             }
-            let left = until.saturating_duration_since(now()).max(MIN_WATCH_WAIT);
-            let _ = tokio::time::timeout(left, changed).await;
+            let remaining = deadline.saturating_duration_since(now()).max(MIN_WATCH_WAIT);
+            let _ = tokio::time::timeout(remaining, changed).await;
         }
     }
 
@@ -279,7 +280,7 @@
         let executed = self.data.borrow_mut().execute(transaction);
         match executed {
             Ok(revision) => {
-                self.changed.notify_waiters();
+                self.data_changed.notify_waiters();
                 json_response(200, &RevisionAnswer { revision })
             }
             Err(TransactionError::UnknownLease) => {
--- a/crates/fakes/src/worker/commands.rs
+++ b/crates/fakes/src/worker/commands.rs
@@ -1,4 +1,4 @@
-//! Direct orders and questions of controllers.
+//! Direct orders and status requests from controllers.
 
 use super::FakeWorker;
 use crate::{empty_response, json_response, sleep};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 impl FakeWorker {
-    /// Serves at the machine's address until the machine is gone.
+    /// Serves the worker's HTTP interface at the machine's address until the machine is killed.
     pub(super) async fn serve_commands(self: Rc<Self>, network: Rc<dyn Network>) {
         let Ok(listener) = network.listen(self.settings.addr).await else { return };
         let worker = self.clone();
@@ -32,15 +32,15 @@
             return empty_response(400);
         };
         if let Some(delay_s) = self.command_delay_s.get() {
-            tokio::task::spawn_local(self.execute_delayed(direct, delay_s));
+            tokio::task::spawn_local(self.execute_after_delay(direct, delay_s));
             return std::future::pending().await;
         }
         let status = if self.execute_direct(direct) { 200 } else { 409 };
         json_response(status, &self.next_heartbeat())
     }
 
-    /// Executes delayed direct orders, although their sender has long given them up.
-    async fn execute_delayed(self: Rc<Self>, direct: DirectOrders, delay_s: f64) {
+    /// Executes direct orders after a delay, although the request of their sender has timed out.
+    async fn execute_after_delay(self: Rc<Self>, direct: DirectOrders, delay_s: f64) {
         sleep(delay_s).await;
         self.wait_while_hung().await;
         if self.is_dead.get() {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Executes direct orders; false if their term or their agent epoch is an old one.
+    /// Executes direct orders. Returns false if their term is lower than the worker's term or their
+    /// agent epoch is not the current one.
     fn execute_direct(&self, direct: DirectOrders) -> bool {
         {
             let mut state = self.state.borrow_mut();
@@ -61,7 +62,7 @@
             }
             if direct.term > state.term {
                 state.term = direct.term;
-                self.changed.notify_one();
+                self.state_changed.notify_one();
             }
         }
         self.execute(direct.orders);
--- a/crates/fakes/src/worker/execution.rs
+++ b/crates/fakes/src/worker/execution.rs
@@ -1,4 +1,4 @@
-//! Orders are executed, and tasks go through their phases.
+//! Execution of orders, and the phases of tasks.
 
 use super::{FakeWorker, Task, WorkerState};
 use crate::{now, sleep};
@@ -7,44 +7,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often tasks are looked at.
-const TASK_CHECK: Duration = Duration::from_millis(50);
-/// How long a task runs until it fails, in seconds.
-const RUN_UNTIL_FAILURE_S: f64 = 0.2;
-/// How long a task of an unknown job runs, in seconds.
+/// The interval at which tasks are checked for the end of their phase.
+const TASK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The run time of a task that fails, in seconds.
+const FAILING_TASK_RUN_S: f64 = 0.2;
+/// The run time of a task of an unknown job, in seconds.
 const DEFAULT_RUN_S: f64 = 1.0;
 
 impl FakeWorker {
-    /// Lets tasks go on until the machine is gone.
+    /// Runs the tasks until the machine is killed.
     pub(super) async fn run_tasks(self: Rc<Self>) {
         while !self.is_dead.get() {
-            sleep(TASK_CHECK.as_secs_f64()).await;
+            sleep(TASK_CHECK_INTERVAL.as_secs_f64()).await;
             if self.is_hung.get() {
-                self.postpone_tasks();
+                self.extend_task_phases();
                 continue;
             }
             self.check_lease();
             if self.advance_tasks() {
-                self.changed.notify_one();
+                self.state_changed.notify_one();
             }
         }
     }
 
-    /// Tasks of a hung machine don't go on, but they are still there.
-    fn postpone_tasks(&self) {
+    /// Extends the current phase of all tasks by one check interval, while the machine hangs.
+    fn extend_task_phases(&self) {
         for task in self.state.borrow_mut().tasks.values_mut() {
-            task.until += TASK_CHECK;
+            task.phase_ends_at += TASK_CHECK_INTERVAL;
         }
     }
 
-    /// Takes each task whose phase is over to the next one; true if there was any.
+    /// Moves each task whose current phase has ended to its next phase; returns whether any task
+    /// changed.
     fn advance_tasks(&self) -> bool {
         let mut changed = false;
         for (id, task) in &mut self.state.borrow_mut().tasks {
             if task.phase != TaskPhase::Exited {
-                self.history.check_cancelled(id);
+                self.history.check_cancellation_limit(id);
             }
-            if now() >= task.until {
+            if now() >= task.phase_ends_at {
                 changed |= self.advance_task(id, task);
             }
         }
@@ -53,16 +54,16 @@
 
     fn advance_task(&self, id: &TaskId, task: &mut Task) -> bool {
         let plan = self.history.plan(&id.job);
-        let fails = self.is_faulty.get() || plan.as_ref().is_some_and(|plan| plan.is_failing);
+        let will_fail = self.is_faulty.get() || plan.as_ref().is_some_and(|plan| plan.is_failing);
         match task.phase {
             TaskPhase::Fetching => {
                 let planned_s = plan.map_or(DEFAULT_RUN_S, |plan| plan.run_s);
-                let run_s = if fails { RUN_UNTIL_FAILURE_S } else { planned_s };
+                let run_s = if will_fail { FAILING_TASK_RUN_S } else { planned_s };
                 task.phase = TaskPhase::Running;
-                task.until = now() + Duration::from_secs_f64(run_s);
+                task.phase_ends_at = now() + Duration::from_secs_f64(run_s);
                 self.history.record_start(id, self.settings.name.as_str());
             }
-            TaskPhase::Running if fails => self.end_task(id, task, ExitCause::Error),
+            TaskPhase::Running if will_fail => self.end_task(id, task, ExitCause::Error),
             TaskPhase::Running => {
                 self.end_task(id, task, ExitCause::Done);
                 self.history.record_completion(id);
@@ -79,7 +80,7 @@
         self.history.record_end(id, self.settings.name.as_str());
     }
 
-    /// Executes orders of a leader that was found to be the present one.
+    /// Executes orders; the caller must have checked their term.
     pub(super) fn execute(&self, orders: Vec<Order>) {
         if orders.is_empty() && !self.settings.heartbeat_after_each_reply {
             return;
@@ -92,15 +93,15 @@
                 Order::Forget { task, attempt } => state.forget_task(&task, attempt),
             }
         }
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// Starts a task, unless it has been started or an earlier attempt still runs. A task that
-    /// can't run here has exited at once.
+    /// Starts a task, unless this attempt has been started already or another attempt has not
+    /// exited yet. A task that cannot run on this machine is added as exited.
     fn start_task(&self, state: &mut WorkerState, task: TaskId, attempt: Attempt) {
         self.history.notify_start_order(&task, attempt);
-        if let Some(known) = state.tasks.get(&task) {
-            if known.attempt == attempt || known.phase != TaskPhase::Exited {
+        if let Some(existing) = state.tasks.get(&task) {
+            if existing.attempt == attempt || existing.phase != TaskPhase::Exited {
                 return;
             }
         }
@@ -112,13 +113,13 @@
             Some(_) => None,
         };
         let phase = if cause.is_some() { TaskPhase::Exited } else { TaskPhase::Fetching };
-        let until = now() + self.image_fetch_duration.get();
-        state.tasks.insert(task, Task { attempt, phase, cause, until });
+        let phase_ends_at = now() + self.image_fetch_duration.get();
+        state.tasks.insert(task, Task { attempt, phase, cause, phase_ends_at });
     }
 
     fn used_cpus(&self, state: &WorkerState) -> f64 {
-        let present = state.tasks.iter().filter(|(_, task)| task.phase != TaskPhase::Exited);
-        present.filter_map(|(id, _)| self.history.plan(&id.job).map(|plan| plan.spec.cpus)).sum()
+        let unfinished = state.tasks.iter().filter(|(_, task)| task.phase != TaskPhase::Exited);
+        unfinished.filter_map(|(id, _)| self.history.plan(&id.job).map(|plan| plan.spec.cpus)).sum()
     }
 
     fn stop_task(&self, state: &mut WorkerState, id: &TaskId, attempt: Attempt) {
@@ -131,7 +132,7 @@
 }
 
 impl WorkerState {
-    /// Forgets an attempt that has exited.
+    /// Removes an attempt that has exited.
     fn forget_task(&mut self, id: &TaskId, attempt: Attempt) {
         let exited = |task: &Task| task.attempt == attempt && task.phase == TaskPhase::Exited;
         if self.tasks.get(id).is_some_and(exited) {
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a machine's worker: it runs tasks, heartbeats to the controllers, and takes
-//! direct orders. Tests make it hang, cut it off, or let it fail.
+//! A fake worker of a machine: it runs tasks, sends heartbeats to the controllers and executes
+//! direct orders. Tests can make the worker hang, block its messages, or make its tasks fail.
 
 mod commands;
 mod execution;
@@ -17,35 +17,37 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How many of its heartbeats a worker keeps for copies that come late.
-const KEPT_HEARTBEATS: usize = 64;
+/// The number of sent heartbeats that a worker keeps, so that tests can deliver late copies.
+const MAX_KEPT_HEARTBEATS: usize = 64;
 
-/// How long a task waits for its image unless a test sets another time.
+/// The time that a task takes to fetch its image, unless a test sets another time.
 const DEFAULT_IMAGE_FETCH_DURATION: Duration = Duration::from_millis(200);
 
-/// What a worker is started with.
+/// The settings of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerSettings {
-    /// The machine by name.
+    /// The name of the machine.
     pub name: MachineName,
-    /// Where it takes direct orders.
+    /// The address at which the worker receives direct orders.
     pub addr: SocketAddr,
-    /// Its machine type by name.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// The zone that it is in.
+    /// The zone of the machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// How many CPUs its tasks may use.
+    /// The CPUs that tasks may use.
     pub cpus: f64,
-    /// The time between two heartbeats without changes.
+    /// The time between two heartbeats if nothing changes.
     pub heartbeat_interval: Duration,
-    /// How long it keeps its tasks after the heartbeat that was answered last.
+    /// The time for which the worker keeps its tasks after it sent the last heartbeat that was
+    /// answered.
     pub lease_duration: Duration,
-    /// Heartbeats again after each answer, as if something had changed, not only after changes: a
-    /// scenario then takes less simulated time. A measure of load needs the protocol's own rate.
+    /// Whether the worker treats each reply as a change and sends the next heartbeat soon after it.
+    /// Scenarios set this to take less simulated time; a load measurement must not, because it
+    /// needs the rate of the protocol.
     pub heartbeat_after_each_reply: bool,
-    /// All controllers, by name.
+    /// The names and addresses of all controllers.
     pub controllers: Vec<(ControllerName, SocketAddr)>,
 }
 
@@ -53,20 +55,21 @@
     attempt: Attempt,
     phase: TaskPhase,
     cause: Option<ExitCause>,
-    /// When its present phase ends.
-    until: Instant,
+    /// The time at which the current phase ends.
+    phase_ends_at: Instant,
 }
 
-/// What the worker knows; it loses its tasks when its machine is gone or its lease expires.
+/// The state of the worker. The tasks are dropped when the machine is killed or the worker's lease
+/// expires.
 struct WorkerState {
     agent_epoch: AgentEpoch,
     sequence: u64,
-    /// The highest term it has seen.
+    /// The highest term that the worker has seen.
     term: Term,
-    /// When its lease was renewed: the moment it sent the heartbeat that was answered last.
-    renewed: Instant,
+    /// The time from which the lease runs: when the last answered heartbeat was sent.
+    renewed_at: Instant,
     tasks: BTreeMap<TaskId, Task>,
-    /// Seconds until its machine is taken away, if it was given notice.
+    /// The time until the machine is terminated, in seconds, if a termination notice was given.
     notice_s: Option<f64>,
 }
 
@@ -76,46 +79,47 @@
             agent_epoch: AgentEpoch::FIRST,
             sequence: 0,
             term: Term::default(),
-            renewed: now(),
+            renewed_at: now(),
             tasks: BTreeMap::new(),
             notice_s: None,
         }
     }
 }
 
-/// A machine's worker.
+/// A fake worker of a machine.
 pub struct FakeWorker {
-    /// What it was started with.
+    /// The settings that the worker was started with.
     pub settings: WorkerSettings,
     history: Rc<ExecutionHistory>,
     state: RefCell<WorkerState>,
-    /// Something has changed that the next heartbeat tells.
-    changed: Notify,
+    /// Is notified when the state has changed, so that a heartbeat is due.
+    state_changed: Notify,
     is_hung: Cell<bool>,
     resumed: Notify,
-    /// Its machine is gone.
+    /// Whether the machine has been killed.
     pub is_dead: Cell<bool>,
-    /// Every task that it starts fails.
+    /// Whether every task that the worker starts fails.
     pub is_faulty: Cell<bool>,
-    /// Its heartbeats arrive, but neither replies nor direct orders reach it.
+    /// Whether replies and direct orders to the worker are lost. Its heartbeats still arrive.
     pub is_inbound_blocked: Cell<bool>,
-    /// It reaches no controller, while direct orders reach it.
+    /// Whether the worker can reach no controller. Direct orders still reach the worker.
     pub is_outbound_blocked: Cell<bool>,
-    /// Its heartbeats are held back on their way: they are kept, and it gives them up one by one.
+    /// Whether heartbeats are held back by the network. The worker records each heartbeat as sent,
+    /// waits for a reply until the timeout, and tries the next controller.
     pub is_holding_heartbeats: Cell<bool>,
-    /// How long a task waits for its image.
+    /// The time that a task takes to fetch its image.
     pub image_fetch_duration: Cell<Duration>,
-    /// Direct orders are not answered, and executed once after this many seconds.
+    /// If set, direct orders are executed after this many seconds and never answered.
     pub command_delay_s: Cell<Option<f64>>,
     delayed_commands: Cell<u32>,
-    /// Counts its processes: one more with each restart.
+    /// The number of restarts; identifies the current process.
     process: Cell<u32>,
     sent_heartbeats: RefCell<VecDeque<Vec<u8>>>,
     undelivered_starts: Cell<u32>,
 }
 
 impl FakeWorker {
-    /// Starts a worker on its machine's network.
+    /// Starts a worker on the network of its machine.
     pub fn start(
         settings: WorkerSettings,
         network: Rc<dyn Network>,
@@ -126,7 +130,7 @@
             settings,
             history,
             state: RefCell::new(WorkerState::new()),
-            changed: Notify::new(),
+            state_changed: Notify::new(),
             is_hung: Cell::new(false),
             resumed: Notify::new(),
             is_dead: Cell::new(false),
@@ -147,59 +151,61 @@
         worker
     }
 
-    /// Lets the machine hang, or go on. While it hangs, its tasks stand still as well.
+    /// Makes the machine hang or resume. While the machine hangs, its tasks make no progress.
     pub fn set_hung(&self, hung: bool) {
         self.is_hung.set(hung);
         self.resumed.notify_waiters();
     }
 
-    /// Gives notice that the machine will be taken away.
+    /// Gives a termination notice: the machine will be terminated after this many seconds.
     pub fn give_termination_notice(&self, seconds: f64) {
         self.state.borrow_mut().notice_s = Some(seconds);
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// Heartbeats that it sent, the oldest first, as they were.
+    /// Returns the bodies of the latest heartbeats that the worker sent, the oldest first.
     pub fn sent_heartbeats(&self) -> Vec<Vec<u8>> {
         self.sent_heartbeats.borrow().iter().cloned().collect()
     }
 
-    /// The highest term that it has seen.
+    /// Returns the highest term that the worker has seen.
     pub fn term(&self) -> Term {
         self.state.borrow().term
     }
 
-    /// Whether any task is on it, be it only fetching its image.
+    /// Returns whether the worker has any task, including exited tasks and tasks that are fetching
+    /// their image.
     pub fn has_tasks(&self) -> bool {
         !self.state.borrow().tasks.is_empty()
     }
 
-    /// Starts in replies that did not reach it.
+    /// Returns the number of start orders in replies that were lost.
     pub fn undelivered_starts(&self) -> u32 {
         self.undelivered_starts.get()
     }
 
-    /// The machine is back within an instant: its worker counts anew and knows nothing.
+    /// Restarts the machine within an instant: the worker loses its tasks, and its agent epoch,
+    /// sequence number and term start from their initial values.
     pub fn restart(&self) {
         self.drop_tasks();
         let mut state = self.state.borrow_mut();
         (state.agent_epoch, state.sequence, state.term) = (AgentEpoch::FIRST, 0, Term::default());
-        state.renewed = now();
+        state.renewed_at = now();
         self.process.set(self.process.get() + 1);
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// Delayed direct orders that were executed in the end.
+    /// Returns the number of delayed commands that were executed.
     pub fn delayed_commands(&self) -> u32 {
         self.delayed_commands.get()
     }
 
-    /// Its agent epoch: 1, and one more after each lease that expired.
+    /// Returns the agent epoch, which starts at 1 and increases with each expired lease.
     pub fn agent_epoch(&self) -> AgentEpoch {
         self.state.borrow().agent_epoch
     }
 
-    /// The machine is gone, with all that is on it.
+    /// Kills the machine with all its tasks.
     pub fn kill(&self) {
         self.is_dead.set(true);
         self.drop_tasks();
@@ -227,18 +233,18 @@
         }
     }
 
-    /// A lease that has expired takes all tasks with it, and a new agent epoch begins.
+    /// Drops all tasks and begins a new agent epoch if the lease has expired.
     fn check_lease(&self) {
-        if now() > self.state.borrow().renewed + self.settings.lease_duration {
+        if now() > self.state.borrow().renewed_at + self.settings.lease_duration {
             self.drop_tasks();
             let mut state = self.state.borrow_mut();
             state.agent_epoch = state.agent_epoch.next();
-            state.renewed = now();
-            self.changed.notify_one();
+            state.renewed_at = now();
+            self.state_changed.notify_one();
         }
     }
 
-    /// The next heartbeat, with a new sequence number.
+    /// Returns the next heartbeat, with a new sequence number.
     fn next_heartbeat(&self) -> WorkerHeartbeat {
         let mut state = self.state.borrow_mut();
         state.sequence += 1;
