--- a/crates/corkfield/tests/scenarios/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations that meet claims, orders in flight and controllers that are cut off.
+//! Cancellations during claims, with orders in flight and with partitioned controllers.
 
 use crate::cluster::{is_job_claim, job_spec, scenario, sleep_s, CANCEL_S, CONTROLLERS};
 use corkfield_fakes::Fault;
@@ -6,7 +6,7 @@
 use corkfield_wire::JobStatus;
 
 #[test]
-fn a_late_claim_does_not_bring_back_a_cancelled_job() {
+fn a_delayed_claim_does_not_restore_a_cancelled_job() {
     scenario(1, |cluster| async move {
         cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(6.0), is_job_claim);
         let job = job_spec(1, 4);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_cancellation_meets_an_order_in_flight() {
+fn a_cancellation_stops_tasks_whose_start_orders_are_in_flight() {
     scenario(2, |cluster| async move {
         for number in 1..8 {
             let job = job_spec(number, 8);
@@ -33,7 +33,11 @@
                 let (status, body) =
                     cluster.request(controller, "GET", &path, b"").await.expect("an answer");
                 let view: JobView = serde_json::from_slice(&body).expect("a view");
-                assert_eq!((status, view.status), (200, JobStatus::Cancelled), "no older answer");
+                assert_eq!(
+                    (status, view.status),
+                    (200, JobStatus::Cancelled),
+                    "controller {controller} gives no older status"
+                );
             }
         }
         sleep_s(CANCEL_S).await;
@@ -44,17 +48,18 @@
 }
 
 #[test]
-fn a_cancellation_is_kept_while_the_reporting_controller_is_cut_off_from_everything_but_workers() {
+fn a_cancellation_is_enforced_while_the_leader_reaches_only_workers() {
     scenario(2, |cluster| async move {
         let job = job_spec(1, 12);
         cluster.submit(&job, 200.0).await;
         sleep_s(5.0).await;
-        let old = cluster.leader();
-        // It answers workers, but hears of nothing; and nobody else reaches the workers.
+        let leader = cluster.leader();
+        // The leader still answers the workers but does not learn of the cancellation, and no other
+        // controller reaches the workers.
         for other in ["state", "cloud", "user"].into_iter().chain(CONTROLLERS) {
-            cluster.net.partition(CONTROLLERS[old], other);
+            cluster.net.partition(CONTROLLERS[leader], other);
         }
-        for controller in cluster.other_controllers(old) {
+        for controller in cluster.other_controllers(leader) {
             cluster.partition_from_workers(controller);
         }
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment in memory: three controllers, the stand-ins, and a user.
+//! An in-memory deployment: three controllers, the fakes around them, and a user.
 
 mod settings;
 mod store_load;
@@ -28,34 +28,34 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, LocalSet};
 
-/// The controllers by name.
+/// The names of the controllers.
 pub const CONTROLLERS: [&str; 3] = ["n0", "n1", "n2"];
-/// How long tasks may run on after a cancellation, in seconds.
+/// The time for which tasks may continue after a confirmed cancellation, in seconds.
 pub const CANCEL_S: f64 = 30.0;
-/// The lease of a worker, in seconds.
+/// The duration of a worker's lease, in seconds.
 pub const LEASE_S: f64 = 12.0;
 
-/// How long the deployment runs before a scenario begins, in seconds.
+/// The time that the deployment runs before a scenario begins, in seconds.
 const WARM_UP_S: f64 = 8.0;
 const MAX_USER_CONNECTIONS: usize = 50;
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// A controller's process.
+/// The process of a controller.
 struct ControllerProcess {
     handle: JoinHandle<()>,
     pause_handle: PauseHandle,
 }
 
-/// Who leads, and under which term.
+/// The leader and its term, as read from the leader record.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ElectedLeader {
-    /// Its index among [`CONTROLLERS`].
+    /// The index of the leader in [`CONTROLLERS`].
     pub controller: usize,
-    /// The term of its claim.
+    /// The term under which the controller leads.
     pub term: Term,
 }
 
-/// The whole deployment.
+/// An in-memory deployment.
 pub struct Cluster {
     limits: PlatformLimits,
     operator: Operator,
@@ -63,41 +63,41 @@
     pub store: Rc<FakeStore>,
     pub cloud: Rc<FakeCloud>,
     pub history: Rc<ExecutionHistory>,
-    /// While set, the state service refuses that controller.
+    /// For each controller: whether the state service refuses its requests.
     pub is_refused_by_store: Vec<Rc<Cell<bool>>>,
     processes: RefCell<Vec<Option<ControllerProcess>>>,
     clients: Vec<Client>,
     last_seed: Cell<u64>,
 }
 
-/// Plays a scenario in simulated time; it ends with a look at the rules.
-pub fn scenario<F: Future<Output = ()>>(machines: u32, play: impl FnOnce(Rc<Cluster>) -> F) {
-    scenario_with_limits(SMALL_LIMITS, machines, play);
+/// Runs a scenario in simulated time; at the end, asserts that no safety rule was violated.
+pub fn scenario<F: Future<Output = ()>>(machines: u32, body: impl FnOnce(Rc<Cluster>) -> F) {
+    scenario_with_limits(SMALL_LIMITS, machines, body);
 }
 
-/// A scenario under other grants of the platform.
+/// Runs a scenario with other limits of the platform than [`SMALL_LIMITS`].
 pub fn scenario_with_limits<F: Future<Output = ()>>(
     limits: PlatformLimits,
     machines: u32,
-    play: impl FnOnce(Rc<Cluster>) -> F,
+    body: impl FnOnce(Rc<Cluster>) -> F,
 ) {
-    play_scenario(limits, Operator::default(), machines, play);
+    run_scenario(limits, Operator::default(), machines, body);
 }
 
-/// A scenario under settings that the operators changed.
+/// Runs a scenario with other operator settings than the defaults.
 pub fn scenario_with_operator<F: Future<Output = ()>>(
     operator: Operator,
     machines: u32,
-    play: impl FnOnce(Rc<Cluster>) -> F,
+    body: impl FnOnce(Rc<Cluster>) -> F,
 ) {
-    play_scenario(SMALL_LIMITS, operator, machines, play);
+    run_scenario(SMALL_LIMITS, operator, machines, body);
 }
 
-fn play_scenario<F: Future<Output = ()>>(
+fn run_scenario<F: Future<Output = ()>>(
     limits: PlatformLimits,
     operator: Operator,
     machines: u32,
-    play: impl FnOnce(Rc<Cluster>) -> F,
+    body: impl FnOnce(Rc<Cluster>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -110,7 +110,7 @@
             cluster.start_controller(controller);
         }
         sleep_s(WARM_UP_S).await;
-        play(cluster.clone()).await;
+        body(cluster.clone()).await;
         assert_eq!(cluster.history.violations(), Vec::<Violation>::new());
     });
 }
@@ -120,7 +120,7 @@
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-/// A job of tasks of one CPU each, of the team without a quota.
+/// Returns a job of the team without a quota; each of its tasks needs one CPU.
 pub fn job_spec(number: u32, tasks: u32) -> JobSpec {
     let text = format!(
         "{{\"name_id\":\"j-{number:06}\",\"pool\":\"sums\",\"owner\":\"free\",\"shape\":\"sweep\",\"rank\":\"normal\",\
@@ -130,7 +130,7 @@
     JobSpec::parse(text.as_bytes()).expect("a valid submission")
 }
 
-/// A task of a job.
+/// Returns the id of a task of a job.
 pub fn task_id(spec: &JobSpec, index: u32) -> TaskId {
     TaskId { job: spec.id.clone(), index }
 }
@@ -179,7 +179,7 @@
         let (network, seed) =
             (self.net.host_network(CONTROLLERS[controller]), self.last_seed.get());
         let pause_handle = PauseHandle::default();
-        // Its own task set: when it is dropped, all that the controller had under way ends.
+        // The controller has its own task set: dropping the set ends all tasks of the controller.
         let controller_run = async move {
             let set = LocalSet::new();
             let _ = set.run_until(node::run(settings, network, seed)).await;
@@ -189,21 +189,21 @@
         self.processes.borrow_mut()[controller] = Some(ControllerProcess { handle, pause_handle });
     }
 
-    /// Ends a controller at once, with all that it has under way.
+    /// Kills a controller at once, with all its tasks.
     pub fn kill_controller(&self, controller: usize) {
         if let Some(process) = self.processes.borrow_mut()[controller].take() {
             process.handle.abort();
         }
     }
 
-    /// Ends a controller, and starts it again after some seconds.
+    /// Kills a controller and starts it again after `after_s` seconds.
     pub async fn restart_controller(&self, controller: usize, after_s: f64) {
         self.kill_controller(controller);
         sleep_s(after_s).await;
         self.start_controller(controller);
     }
 
-    /// Pauses a controller, while its clocks run on.
+    /// Pauses a controller for some seconds, while time continues to pass.
     pub async fn pause_controller(&self, controller: usize, seconds: f64) {
         let pause_handle = self.pause_handle(controller);
         pause_handle.pause();
@@ -216,58 +216,58 @@
         processes[controller].as_ref().expect("the controller runs").pause_handle.clone()
     }
 
-    /// All controllers but one.
+    /// Returns the indices of all controllers except one.
     pub fn other_controllers(&self, controller: usize) -> Vec<usize> {
         (0..CONTROLLERS.len()).filter(|other| *other != controller).collect()
     }
 
-    /// Cuts the links between a controller and the others.
+    /// Partitions a controller from the other controllers.
     pub fn partition_from_peers(&self, controller: usize) {
         for other in self.other_controllers(controller) {
             self.net.partition(CONTROLLERS[controller], CONTROLLERS[other]);
         }
     }
 
-    /// Heals the links between a controller and the others.
+    /// Heals the partition between a controller and the other controllers.
     pub fn heal_to_peers(&self, controller: usize) {
         for other in self.other_controllers(controller) {
             self.net.heal(CONTROLLERS[controller], CONTROLLERS[other]);
         }
     }
 
-    /// Cuts the links between a controller and the machines that are up.
+    /// Partitions a controller from the machines that have booted.
     pub fn partition_from_workers(&self, controller: usize) {
         for worker in self.cloud.workers() {
             self.net.partition(CONTROLLERS[controller], worker.settings.name.as_str());
         }
     }
 
-    /// Heals the links between a controller and the machines that are up.
+    /// Heals the partition between a controller and the machines that have booted.
     pub fn heal_to_workers(&self, controller: usize) {
         for worker in self.cloud.workers() {
             self.net.heal(CONTROLLERS[controller], worker.settings.name.as_str());
         }
     }
 
-    /// Each task of the job was started, and none a second time.
-    pub fn assert_started_once(&self, job: &JobSpec, why: &str) {
+    /// Asserts that each task of a job was started exactly once.
+    pub fn assert_started_once(&self, job: &JobSpec, message: &str) {
         for index in 0..job.tasks {
-            assert_eq!(self.history.start_count(&task_id(job, index)), 1, "{why}");
+            assert_eq!(self.history.start_count(&task_id(job, index)), 1, "{message}");
         }
     }
 
-    /// The worker of the machine that a task is on.
+    /// Returns the worker of the machine that runs a task.
     pub fn worker_of(&self, task: &TaskId) -> Rc<FakeWorker> {
         let machine = self.history.machine_of(task).expect("the task is on a machine");
         self.cloud.worker(machine.as_str()).expect("a worker")
     }
 
-    /// Starts that were sent to a machine and did not reach it, as far as its worker can tell.
+    /// Returns the number of start orders that were sent to a machine in replies that were lost.
     pub fn undelivered_starts(&self, machine: &str) -> u32 {
         self.cloud.worker(machine).map_or(0, |worker| worker.undelivered_starts())
     }
 
-    /// The leader that the leader record names.
+    /// Returns the leader according to the leader record.
     pub fn elected_leader(&self) -> Option<ElectedLeader> {
         let record: LeaderRecord = serde_json::from_value(self.store.value(LEADER_KEY)?).ok()?;
         let name = record.node?;
@@ -275,18 +275,18 @@
         Some(ElectedLeader { controller, term: record.term })
     }
 
-    /// The index of the leader among [`CONTROLLERS`].
+    /// Returns the index of the leader in [`CONTROLLERS`].
     pub fn leader(&self) -> usize {
         self.elected_leader().expect("there is a leader").controller
     }
 
-    /// The record of an unfinished job.
+    /// Returns the record of an unfinished job.
     pub fn job_record(&self, id: &JobId) -> Option<JobRecord> {
         serde_json::from_value(self.store.value(&job_key(id))?).ok()
     }
 }
 
-/// Starts the cloud, with this many machines about to come up in two zones.
+/// Starts the cloud with `machines` machines that are about to boot, in two zones.
 fn start_cloud(net: &MemoryNet, history: &Rc<ExecutionHistory>, machines: u32) -> Rc<FakeCloud> {
     let cloud = FakeCloud::new(
         Rc::new(net.clone()),
--- a/crates/corkfield/tests/scenarios/cluster/settings.rs
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the three controllers, and what the deployment consists of.
+//! The settings of the three controllers, the machine type and the worker settings.
 
 use super::{CANCEL_S, CONTROLLERS, LEASE_S};
 use corkfield::settings::{Operator, Settings};
@@ -10,29 +10,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the platform grants.
+/// The limits that the platform sets for a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct PlatformLimits {
-    /// Requests to the state service a second.
+    /// Requests to the state service per second.
     pub state_rps: f64,
-    /// Changes of the state service a second.
+    /// Changes written to the state service per second.
     pub write_rps: f64,
-    /// Requests to the cloud a second.
+    /// Requests to the cloud per second.
     pub cloud_rps: f64,
-    /// Sockets of each controller.
+    /// Open sockets of each controller.
     pub sockets: u32,
 }
 
-/// Enough for the few machines of most scenarios.
+/// Limits that suffice for the few machines of most scenarios.
 pub const SMALL_LIMITS: PlatformLimits =
     PlatformLimits { state_rps: 200.0, write_rps: 90.0, cloud_rps: 5.0, sockets: 500 };
 
-/// Where users and workers reach a controller.
+/// Returns the address at which users and workers reach a controller.
 pub fn client_addr(controller: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8080))
 }
 
-/// Where a controller reaches the state service: each has an address of its own.
+/// Returns the address at which a controller reaches the state service. Each controller has its
+/// own, so that the state service can refuse a single controller.
 pub fn store_addr(controller: usize) -> SocketAddr {
     SocketAddr::from(([10, 2, 0, controller as u8 + 1], 2379))
 }
@@ -41,7 +42,7 @@
     SocketAddr::from(([10, 2, 1, 1], 443))
 }
 
-/// The settings of a controller, as they are deployed.
+/// Returns the settings of a controller.
 pub fn controller_settings(
     controller: usize,
     limits: PlatformLimits,
@@ -87,7 +88,7 @@
     text
 }
 
-/// The only machine type, of eight CPUs.
+/// Returns the only machine type, which has eight CPUs.
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "box".to_owned(),
@@ -103,7 +104,7 @@
     }
 }
 
-/// What all workers have in common; the cloud fills in the rest.
+/// Returns the settings that all workers share; the cloud sets the others for each machine.
 pub fn worker_template() -> WorkerSettings {
     let controllers = CONTROLLERS.iter().enumerate();
     WorkerSettings {
--- a/crates/corkfield/tests/scenarios/cluster/store_load.rs
+++ b/crates/corkfield/tests/scenarios/cluster/store_load.rs
@@ -1,4 +1,4 @@
-//! Requests to the store: which ones they are, and how many.
+//! Classification and counting of requests to the state service.
 
 use corkfield_fakes::{FakeStore, Fault};
 use corkfield_http::Request;
@@ -10,23 +10,23 @@
     request.path() == PATH_TXN
 }
 
-/// Whether a request is a transaction whose text holds another one.
+/// Returns whether a request is a transaction whose body contains a text.
 pub fn is_transaction_with(request: &Request, text: &str) -> bool {
     is_transaction(request) && String::from_utf8_lossy(&request.body).contains(text)
 }
 
-/// Whether a request claims jobs for a controller.
+/// Returns whether a request claims jobs for a controller.
 pub fn is_job_claim(request: &Request) -> bool {
     is_transaction_with(request, "\"owner\":\"n")
 }
 
-/// Whether a request cancels a job.
+/// Returns whether a request cancels a job.
 pub fn is_job_cancellation(request: &Request) -> bool {
     is_transaction_with(request, "aborted")
 }
 
-/// The changes that a request asks for; none if it is no transaction.
-pub fn changes_in(request: &Request) -> usize {
+/// Returns the number of changes in a request; 0 if the request is not a transaction.
+pub fn change_count(request: &Request) -> usize {
     if !is_transaction(request) {
         return 0;
     }
@@ -34,21 +34,22 @@
     transaction.changes.len()
 }
 
-/// Counts the requests that reach the store, and the changes in them.
+/// Counts the requests that reach the store and the changes in these requests.
 pub struct StoreLoad {
     requests: Rc<Cell<u32>>,
     changes: Rc<Cell<u32>>,
 }
 
 impl StoreLoad {
-    /// Counts from now on; takes the place of faults that were chosen before.
+    /// Counts requests from now on. This replaces the fault chooser of the store, so that all
+    /// requests are executed and answered at once.
     pub fn start_counting(store: &FakeStore) -> Self {
         let load = Self { requests: Rc::default(), changes: Rc::default() };
         let (requests, changes) = (load.requests.clone(), load.changes.clone());
         store.set_faults(move |request| {
             requests.set(requests.get() + 1);
-            let more = u32::try_from(changes_in(request)).expect("a transaction is small");
-            changes.set(changes.get() + more);
+            let added = u32::try_from(change_count(request)).expect("a transaction is small");
+            changes.set(changes.get() + added);
             Fault::None
         });
         load
@@ -62,12 +63,12 @@
         self.changes.get()
     }
 
-    /// Requests since the last call.
+    /// Returns the number of requests since the last call.
     pub fn take_requests(&self) -> u32 {
         self.requests.take()
     }
 
-    /// Changes since the last call.
+    /// Returns the number of changes since the last call.
     pub fn take_changes(&self) -> u32 {
         self.changes.take()
     }
--- a/crates/corkfield/tests/scenarios/fleet/large.rs
+++ b/crates/corkfield/tests/scenarios/fleet/large.rs
@@ -1,4 +1,5 @@
-//! Fleets above the size that the service was first built for. Bounds are counts.
+//! Fleets larger than the size that the service was first designed for. The bounds are counts or
+//! simulated time, so that they hold on a test machine of any speed.
 
 use super::wait_until_started;
 use crate::cluster::{
@@ -9,30 +10,30 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What a platform grants for so many machines.
+/// Returns the platform limits for a number of machines.
 fn limits_for(machines: usize) -> PlatformLimits {
-    let size = machines as f64 / 1700.0;
+    let scale = machines as f64 / 1700.0;
     PlatformLimits {
-        state_rps: 500.0 * size,
-        write_rps: 200.0 * size,
-        cloud_rps: 12.0 * size,
-        sockets: u32::try_from(machines * 23 / 10).expect("not that many"),
+        state_rps: 500.0 * scale,
+        write_rps: 200.0 * scale,
+        cloud_rps: 12.0 * scale,
+        sockets: u32::try_from(machines * 23 / 10).expect("the number of sockets fits"),
     }
 }
 
-/// Machines come up, jobs are cancelled, the leader ends while a part of the machines is silent,
-/// and all other jobs are done: no worker loses its lease, and nothing is started twice.
-fn comes_up_and_fails_over(machines: usize) {
+/// Asserts that no worker lease expires and no task is started twice while machines boot, jobs are
+/// cancelled, and the leader is replaced while a sixth of the machines hangs.
+fn boot_and_fail_over(machines: usize) {
     scenario_with_limits(limits_for(machines), 16, |cluster| async move {
         cluster.cloud.capacity.set(machines);
-        let count = u32::try_from(machines * 8 / 2500).expect("not that many");
+        let count = u32::try_from(machines * 8 / 2500).expect("the number of jobs fits");
         let jobs: Vec<_> = (0..count)
             .map(|number| JobSpec { estimate_s: 20.0, ..job_spec(number, 2500) })
             .collect();
         for job in &jobs {
             cluster.submit(job, 22.0).await;
         }
-        let (cancelled, others) = jobs.split_at(2);
+        let (cancelled, kept) = jobs.split_at(2);
         wait_until_started(&cluster, count * 2500 * 9 / 10, 40.0).await;
         let hung: Vec<_> = cluster.cloud.workers().into_iter().step_by(6).collect();
         hung.iter().for_each(|worker| worker.set_hung(true));
@@ -42,31 +43,31 @@
         }
         sleep_s(6.0).await;
         hung.iter().for_each(|worker| worker.set_hung(false));
-        for job in others {
+        for job in kept {
             cluster.wait_until_done(&job.id, 60.0).await;
-            cluster.assert_started_once(job, "no lease expired");
+            cluster.assert_started_once(job, "no worker lease expired");
         }
         let agent_epochs = cluster.cloud.workers().iter().map(|worker| worker.agent_epoch()).max();
-        assert_eq!(agent_epochs, Some(AgentEpoch::new(1)), "no lease expired");
+        assert_eq!(agent_epochs, Some(AgentEpoch::new(1)), "no worker lease expired");
         sleep_s(CANCEL_S).await;
     });
 }
 
 #[test]
 fn four_thousand_machines_come_up_and_survive_a_failover() {
-    comes_up_and_fails_over(4000);
+    boot_and_fail_over(4000);
 }
 
 #[test]
 fn six_thousand_machines_come_up_and_survive_a_failover() {
-    comes_up_and_fails_over(6000);
+    boot_and_fail_over(6000);
 }
 
 #[test]
 fn hundreds_of_jobs_are_claimed_in_few_transactions_after_a_failover() {
     let limits = PlatformLimits { state_rps: 300.0, write_rps: 120.0, ..limits_for(1700) };
     scenario_with_limits(limits, 20, |cluster| async move {
-        // More than the machines can do: nearly all of them wait.
+        // The jobs exceed the capacity of the machines, so nearly all of them are queued.
         let jobs: Vec<_> = (0..800).map(|number| job_spec(number, 2)).collect();
         for job in &jobs {
             cluster.submit(job, 60.0).await;
@@ -78,11 +79,11 @@
         }
         let started = tokio::time::Instant::now();
         let claims = Rc::new(Cell::new(0));
-        let counted = claims.clone();
+        let counter = claims.clone();
         cluster.store.set_faults(move |request| {
             let is_claim = is_transaction_with(request, "\"c/planner\"")
                 && is_transaction_with(request, "\"put\":\"c/jobs/");
-            counted.set(counted.get() + u32::from(is_claim));
+            counter.set(counter.get() + u32::from(is_claim));
             Fault::None
         });
         let leader = cluster.leader();
@@ -94,10 +95,10 @@
             }
             sleep_s(0.1).await;
         }
-        // The changes that may be written a second set the time; four records at a time would
-        // take 200 transactions besides.
+        // The limit of changes per second determines the time. With four records per transaction,
+        // the claims would also need 200 transactions.
         let elapsed_s = started.elapsed().as_secs_f64();
-        assert!(elapsed_s < 12.0, "{elapsed_s}");
-        assert!(claims.get() < 120, "{}", claims.get());
+        assert!(elapsed_s < 12.0, "{elapsed_s} s");
+        assert!(claims.get() < 120, "{} claim transactions", claims.get());
     });
 }
--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -1,4 +1,4 @@
-//! A job from its submission to its end: input, limits, priorities, dead-lettering.
+//! Jobs from submission to completion: validation, limits, priorities, quotas and dead-lettering.
 
 use crate::cluster::{job_spec, scenario, sleep_s, CANCEL_S};
 use corkfield_fakes::JobPlan;
@@ -7,27 +7,27 @@
 use corkfield_wire::{JobStatus, Priority};
 
 #[test]
-fn jobs_are_run_and_done_and_stay_done() {
+fn completed_jobs_stay_done_and_idle_machines_are_returned() {
     scenario(2, |cluster| async move {
         let jobs = [job_spec(1, 20), job_spec(2, 3)];
         for job in &jobs {
             assert_eq!(cluster.submit(job, 3.0).await, 201);
-            assert_eq!(cluster.submit(job, 3.0).await, 200, "a repeat is known");
+            assert_eq!(cluster.submit(job, 3.0).await, 200, "a repeated submission is recognized");
         }
         for job in &jobs {
             cluster.wait_until_done(&job.id, 60.0).await;
             assert_eq!(cluster.submit(job, 3.0).await, 200);
-            assert!(cluster.job_record(&job.id).is_none(), "only a small final record is kept");
+            assert!(cluster.job_record(&job.id).is_none(), "only the final record is kept");
             assert!(cluster.store.value(&final_key(&job.id)).is_some());
         }
-        // Machines that nobody needs are returned in the end.
+        // Idle machines are returned.
         sleep_s(120.0).await;
         assert!(cluster.cloud.workers().is_empty());
     });
 }
 
-/// Submissions at the edge of what is accepted and beyond, each with the status of its answer.
-fn invalid_submissions() -> Vec<(Vec<u8>, u16)> {
+/// Returns submissions that are invalid or barely valid, each with the expected status.
+fn boundary_submissions() -> Vec<(Vec<u8>, u16)> {
     let as_json = |change: &dyn Fn(&mut serde_json::Value)| {
         let mut value = serde_json::to_value(job_spec(2, 2)).expect("serializable");
         change(&mut value);
@@ -56,20 +56,23 @@
 }
 
 #[test]
-fn bad_input_is_refused_and_known_ids_are_recognised_first() {
+fn invalid_requests_are_refused_but_accepted_ids_are_recognized_first() {
     scenario(1, |cluster| async move {
-        let good = job_spec(1, 2);
-        cluster.submit(&good, 2.0).await;
-        for (body, expected) in invalid_submissions() {
+        let valid_job = job_spec(1, 2);
+        cluster.submit(&valid_job, 2.0).await;
+        for (body, expected) in boundary_submissions() {
             let text = String::from_utf8_lossy(&body).into_owned();
             let answer =
                 cluster.request(1, "POST", PATH_JOBS, &body).await.map(|(status, _)| status);
             assert_eq!(answer, Some(expected), "{text}");
         }
-        // S2: an accepted job's id is never refused, whatever comes with it.
-        let bad = format!("{{\"name_id\":\"{}\"}}", good.id);
+        // S2: a submission with the id of an accepted job is never refused, even if it is invalid.
+        let incomplete = format!("{{\"name_id\":\"{}\"}}", valid_job.id);
         assert_eq!(
-            cluster.request(2, "POST", PATH_JOBS, bad.as_bytes()).await.map(|(status, _)| status),
+            cluster
+                .request(2, "POST", PATH_JOBS, incomplete.as_bytes())
+                .await
+                .map(|(status, _)| status),
             Some(200)
         );
         for path in ["/submissions/j-777777", "/submissions/nonsense", "/nowhere"] {
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn a_job_of_a_hundred_thousand_tasks_stays_within_the_limits_and_survives_a_failover() {
+fn a_job_of_a_hundred_thousand_tasks_stays_within_the_store_limits_and_survives_a_failover() {
     scenario(4, |cluster| async move {
         let mut job = job_spec(1, 100_000);
         job.cpus = 0.1;
@@ -117,33 +120,37 @@
 #[test]
 fn a_job_at_the_claim_limit_is_dead_lettered_and_can_be_released_or_cancelled() {
     scenario(2, |cluster| async move {
-        let broken = job_spec(1, 2);
-        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, is_failing: true }).await;
+        let failing = job_spec(1, 2);
+        cluster.submit_plan(JobPlan { spec: failing.clone(), run_s: 1.0, is_failing: true }).await;
         let mut waited = 0;
-        while !cluster.job_record(&broken.id).is_some_and(|r| r.dead_lettered) {
+        while !cluster.job_record(&failing.id).is_some_and(|r| r.dead_lettered) {
             sleep_s(20.0).await;
             waited += 1;
-            assert!(waited < 120, "never set aside: {:?}", cluster.job_record(&broken.id));
+            assert!(
+                waited < 120,
+                "the job is never dead-lettered: {:?}",
+                cluster.job_record(&failing.id)
+            );
         }
-        assert_eq!(cluster.job_record(&broken.id).expect("kept").claims, 13);
+        assert_eq!(cluster.job_record(&failing.id).expect("kept").claims, 13);
         assert_eq!(
-            cluster.status(&broken.id).await,
+            cluster.status(&failing.id).await,
             Some(JobStatus::Queued),
-            "never a final state"
+            "a dead-lettered job has no final status"
         );
-        let release = format!("/operator/release/{}", broken.id);
+        let release = format!("/operator/release/{}", failing.id);
         assert_eq!(
             cluster.request(0, "POST", &release, b"").await.map(|(status, _)| status),
             Some(200)
         );
         sleep_s(5.0).await;
-        assert!(!cluster.job_record(&broken.id).expect("kept").dead_lettered);
-        assert_eq!(cluster.cancel(&broken.id).await, Some(JobStatus::Cancelled));
+        assert!(!cluster.job_record(&failing.id).expect("kept").dead_lettered);
+        assert_eq!(cluster.cancel(&failing.id).await, Some(JobStatus::Cancelled));
     });
 }
 
 #[test]
-fn an_urgent_job_preempts_a_low_priority_job() {
+fn a_high_priority_job_preempts_a_low_priority_job() {
     scenario(1, |cluster| async move {
         cluster.cloud.capacity.set(1);
         let mut low = job_spec(1, 8);
@@ -151,16 +158,16 @@
         cluster.submit(&low, 300.0).await;
         sleep_s(5.0).await;
         assert_eq!(cluster.history.running_tasks(&low.id), 8);
-        let mut urgent = job_spec(2, 2);
-        urgent.priority = Priority::High;
-        urgent.cpus = 4.0;
-        cluster.submit(&urgent, 5.0).await;
-        cluster.wait_until_done(&urgent.id, 40.0).await;
+        let mut high = job_spec(2, 2);
+        high.priority = Priority::High;
+        high.cpus = 4.0;
+        cluster.submit(&high, 5.0).await;
+        cluster.wait_until_done(&high.id, 40.0).await;
     });
 }
 
 #[test]
-fn a_quota_is_kept_through_a_failover() {
+fn a_team_quota_is_not_exceeded_during_failovers() {
     scenario(3, |cluster| async move {
         let mut jobs = Vec::new();
         for number in 1..4 {
--- a/crates/corkfield/tests/scenarios/main.rs
+++ b/crates/corkfield/tests/scenarios/main.rs
@@ -1,11 +1,11 @@
-//! Whole controllers against in-memory stand-ins, in simulated time. All scenarios are one test
-//! binary, so that the controllers are linked once.
+//! Scenario tests: complete controllers run against in-memory fakes in simulated time. All
+//! scenarios are in one test binary, so that the controllers are linked only once.
 
 mod cancellations;
 mod cluster;
 mod combined_faults;
+mod delayed_heartbeats;
 mod fleet;
-mod held_back_heartbeats;
 mod jobs;
 mod leadership;
 mod machines;
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -1,5 +1,5 @@
-//! Hundreds of machines, machines that receive nothing, late copies of messages, and workers or
-//! controllers that are back at once.
+//! Lost, delayed and copied messages, workers and controllers that restart at once, and the load of
+//! hundreds of machines and jobs.
 
 use crate::cluster::{
     is_transaction, job_spec, scenario, sleep_s, task_id, StoreLoad, CONTROLLERS, LEASE_S,
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 
 #[test]
-fn a_machine_that_receives_nothing_gets_no_work_until_it_executes_orders_again() {
+fn a_machine_with_blocked_inbound_messages_gets_no_tasks_until_it_executes_orders_again() {
     scenario(3, |cluster| async move {
-        let unreachable = cluster.cloud.workers()[0].clone();
-        let name = unreachable.settings.name.clone();
-        unreachable.is_inbound_blocked.set(true);
+        let blocked_worker = cluster.cloud.workers()[0].clone();
+        let name = blocked_worker.settings.name.clone();
+        blocked_worker.is_inbound_blocked.set(true);
         sleep_s(1.0).await;
         let jobs: Vec<_> = (1..=12).map(|number| job_spec(number, 32)).collect();
         for job in &jobs {
@@ -25,35 +25,35 @@
         }
         sleep_s(45.0).await;
         assert_eq!(cluster.history.start_count_on(name.as_str()), 0);
-        let in_vain = cluster.undelivered_starts(name.as_str());
-        assert!(in_vain <= 2 * 8, "{in_vain} starts were sent in vain");
-        unreachable.is_inbound_blocked.set(false);
+        let undelivered = cluster.undelivered_starts(name.as_str());
+        assert!(undelivered <= 2 * 8, "{undelivered} start orders were lost");
+        blocked_worker.is_inbound_blocked.set(false);
         for job in &jobs {
             cluster.wait_until_done(&job.id, 200.0).await;
         }
-        assert!(cluster.history.start_count_on(name.as_str()) > 0, "it is used again");
+        assert!(cluster.history.start_count_on(name.as_str()) > 0, "the machine gets tasks again");
     });
 }
 
 #[test]
-fn a_machine_that_receives_nothing_does_not_hold_up_a_failover_for_ever() {
+fn a_machine_with_blocked_inbound_messages_does_not_delay_a_failover_indefinitely() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 48);
         cluster.submit(&job, 15.0).await;
         sleep_s(5.0).await;
-        let unreachable = cluster.cloud.workers()[0].clone();
-        unreachable.is_inbound_blocked.set(true);
-        // It can't be returned either.
+        let blocked_worker = cluster.cloud.workers()[0].clone();
+        blocked_worker.is_inbound_blocked.set(true);
+        // With the cloud down, the machine cannot be returned either.
         cluster.cloud.is_down.set(true);
         let leader = cluster.leader();
         cluster.restart_controller(leader, 0.2).await;
-        // The answer limit, a worker's lease, and the rest of the work.
+        // This covers the answer limit, a worker's lease and the remaining run time of the tasks.
         cluster.wait_until_done(&job.id, 100.0).await;
     });
 }
 
 #[test]
-fn late_copies_of_heartbeats_prove_nothing_and_bring_nothing_back() {
+fn delayed_copies_of_heartbeats_do_not_restore_a_reclaimed_machine() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 24);
         cluster.submit(&job, 4.0).await;
@@ -61,13 +61,13 @@
         let gone = cluster.cloud.workers()[0].clone();
         let name = gone.settings.name.clone();
         cluster.cloud.reclaim(name.as_str());
-        // Long enough for the list to tell.
+        // Waits until the cloud's list of machines no longer contains the machine.
         sleep_s(20.0).await;
         let copies = gone.sent_heartbeats();
         let record = format!("{MACHINE_RECORDS_PREFIX}{name}");
         for restart in [false, true] {
             if restart {
-                // A leader that never saw the machine.
+                // The next leader has never received a heartbeat of the machine.
                 let leader = cluster.leader();
                 cluster.restart_controller(leader, 0.1).await;
                 sleep_s(5.0).await;
@@ -81,50 +81,51 @@
             cluster.submit(&next, 2.0).await;
             cluster.wait_until_done(&next.id, 40.0).await;
             sleep_s(15.0).await;
-            assert!(cluster.store.value(&record).is_none(), "no record is left behind");
+            assert!(cluster.store.value(&record).is_none(), "the machine has no record");
         }
     });
 }
 
 #[test]
-fn a_worker_that_restarts_its_sequence_is_neither_ignored_for_ever_nor_believed() {
+fn a_machine_whose_worker_restarts_its_sequence_numbers_is_returned() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 30);
         cluster.submit(&job, 20.0).await;
         sleep_s(6.0).await;
-        let lost = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
-        let worker = cluster.cloud.worker(lost.as_str()).expect("a worker");
-        let old = worker.sent_heartbeats();
+        let machine = cluster.history.machine_of(&task_id(&job, 0)).expect("running");
+        let worker = cluster.cloud.worker(machine.as_str()).expect("a worker");
+        let copies = worker.sent_heartbeats();
         worker.restart();
         sleep_s(0.5).await;
-        for copy in &old {
+        for copy in &copies {
             cluster.request(cluster.leader(), "POST", PATH_HEARTBEAT, copy).await;
         }
         cluster.wait_until_done(&job.id, LEASE_S + 60.0).await;
-        // Its tasks did not wait for a lease to lapse.
+        // Only the tasks of the restarted worker were started again.
         let starts = cluster.history.total_starts();
         assert!(starts <= 30 + 8, "{starts} starts");
-        let there = cluster.cloud.worker(lost.as_str());
-        assert!(there.is_none(), "the machine was returned");
+        let current = cluster.cloud.worker(machine.as_str());
+        assert!(current.is_none(), "the machine was returned");
     });
 }
 
-/// A worker was back within its first few heartbeats, and the fall of its numbers went unseen: the
-/// first that arrived of the new process had passed the known one. Then a heartbeat of the former
-/// process arrives that was held back, with a number above all. It lacks the tasks that run, and
-/// freed them: they were started elsewhere as well ("task released ... state=Running").
+/// Guards against tasks that run twice after a worker restarted within its first few heartbeats.
+/// The leader did not notice the restart, because the first heartbeat of the new process that
+/// arrived had a higher sequence number than the last known one. Then a delayed heartbeat of the
+/// previous process arrives with the highest sequence number. It does not report the running tasks;
+/// the leader released them ("task released ... state=Running") and started them elsewhere as well.
 #[test]
-fn a_held_back_heartbeat_of_a_former_process_starts_nothing_twice() {
+fn a_delayed_heartbeat_of_a_previous_worker_process_starts_no_task_twice() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 12);
         cluster.submit(&job, 20.0).await;
         sleep_s(5.0).await;
         let worker = cluster.worker_of(&task_id(&job, 0));
-        let newest = worker.sent_heartbeats().pop().expect("it sent some");
+        let newest = worker.sent_heartbeats().pop().expect("the worker sent heartbeats");
         let newest: WorkerHeartbeat = serde_json::from_slice(&newest).expect("a heartbeat");
         let sequence = newest.sequence + 30;
-        let held_back = WorkerHeartbeat { sequence, tasks: Vec::new(), ..newest };
-        let body = serde_json::to_vec(&held_back).expect("serializable");
+        let delayed = WorkerHeartbeat { sequence, tasks: Vec::new(), ..newest };
+        let body = serde_json::to_vec(&delayed).expect("serializable");
         cluster.request(cluster.leader(), "POST", PATH_HEARTBEAT, &body).await;
         cluster.wait_until_done(&job.id, 60.0).await;
         let name = worker.settings.name.as_str();
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn controllers_back_at_once_in_the_middle_of_an_election_lose_nothing() {
+fn controllers_that_restart_during_elections_lose_no_job() {
     scenario(3, |cluster| async move {
         let job = job_spec(1, 60);
         cluster.submit(&job, 4.0).await;
@@ -148,10 +149,10 @@
     });
 }
 
-/// Bounds are counts, so that they hold on any machine: what grows with the number of heartbeats
-/// times that of machines, or writes for each task, shows here.
+/// Guards against load that grows with the product of heartbeats and machines, and against one
+/// write for each task. The bounds are counts, so that they hold on a test machine of any speed.
 #[test]
-fn hundreds_of_machines_and_jobs_of_thousands_of_tasks_cost_few_passes_and_requests() {
+fn hundreds_of_machines_and_thousands_of_tasks_need_few_placement_passes_and_requests() {
     scenario(300, |cluster| async move {
         let store_load = StoreLoad::start_counting(&cluster.store);
         let passes = || async {
@@ -171,26 +172,27 @@
         let seconds = started.elapsed().as_secs_f64();
         let passes = passes().await - before;
         let (requests, writes) = (store_load.requests(), store_load.changes());
-        // 9,000 tasks on 2,400 CPUs, 6 s each, on machines that report twice a second.
+        // 9,000 tasks of 6 s run on 2,400 CPUs, and each machine sends up to two heartbeats per
+        // second.
         assert!(seconds < 60.0, "{seconds} s");
         assert!(passes < 400, "{passes} passes");
         assert!(requests < 700, "{requests} requests");
-        // Completion is written by job, not by task.
+        // Completions are written for each job, not for each task.
         assert!(writes < 300, "{writes} writes");
         assert_eq!(cluster.history.total_starts(), 9000);
     });
 }
 
 #[test]
-fn after_an_outage_and_failovers_every_job_is_answered_in_time_under_a_burst_of_polls() {
+fn bursts_of_status_requests_are_answered_in_time_after_an_outage_and_failovers() {
     scenario(3, |cluster| async move {
-        // One far larger than the fleet, one that fails everywhere, and many that wait.
+        // One job is far larger than the fleet, one fails on every machine, and many are queued.
         let largest = job_spec(1, 20_000);
-        let broken = job_spec(2, 4);
+        let failing = job_spec(2, 4);
         cluster.submit(&largest, 5.0).await;
-        cluster.submit_plan(JobPlan { spec: broken.clone(), run_s: 1.0, is_failing: true }).await;
-        let waiting: Vec<_> = (3..40).map(|number| job_spec(number, 50)).collect();
-        for job in &waiting {
+        cluster.submit_plan(JobPlan { spec: failing.clone(), run_s: 1.0, is_failing: true }).await;
+        let queued: Vec<_> = (3..40).map(|number| job_spec(number, 50)).collect();
+        for job in &queued {
             cluster.submit(job, 5.0).await;
         }
         cluster.store.set_down(true);
@@ -204,30 +206,31 @@
             sleep_s(1.0).await;
         }
         sleep_s(6.0).await;
-        let (in_time, asked) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+        let (answered_in_time, sent) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         for poll in 0..20 {
-            for job in waiting.iter().chain([&largest, &broken]) {
+            for job in queued.iter().chain([&largest, &failing]) {
                 let (cluster, path) = (cluster.clone(), format!("{PATH_JOBS}/{}", job.id));
-                let (in_time, controller) = (in_time.clone(), poll % CONTROLLERS.len());
-                asked.set(asked.get() + 1);
+                let (answered_in_time, controller) =
+                    (answered_in_time.clone(), poll % CONTROLLERS.len());
+                sent.set(sent.get() + 1);
                 tokio::task::spawn_local(async move {
                     let started = tokio::time::Instant::now();
                     let answer = cluster.request(controller, "GET", &path, b"").await;
                     let ok = answer.is_some_and(|(status, _)| status == 200);
                     if ok && started.elapsed().as_secs_f64() < 2.0 {
-                        in_time.set(in_time.get() + 1);
+                        answered_in_time.set(answered_in_time.get() + 1);
                     }
                 });
             }
             sleep_s(0.25).await;
         }
         sleep_s(5.0).await;
-        assert_eq!(in_time.get(), asked.get());
+        assert_eq!(answered_in_time.get(), sent.get());
     });
 }
 
 #[test]
-fn late_copies_of_users_requests_change_nothing() {
+fn delayed_copies_of_user_requests_change_nothing() {
     scenario(2, |cluster| async move {
         let (done, cancelled) = (job_spec(1, 4), job_spec(2, 40));
         let bodies = [&done, &cancelled].map(|job| serde_json::to_vec(job).expect("serializable"));
@@ -235,50 +238,55 @@
         cluster.submit(&cancelled, 30.0).await;
         cluster.wait_until_done(&done.id, 30.0).await;
         assert_eq!(cluster.cancel(&cancelled.id).await, Some(JobStatus::Cancelled));
-        let starts = cluster.history.total_starts();
+        let starts_before = cluster.history.total_starts();
         for controller in 0..CONTROLLERS.len() {
             for body in &bodies {
                 let answer = cluster.request(controller, "POST", PATH_JOBS, body).await;
-                assert_eq!(answer.map(|(status, _)| status), Some(200), "known, and over");
+                assert_eq!(
+                    answer.map(|(status, _)| status),
+                    Some(200),
+                    "the job is known and final"
+                );
             }
-            let withdraw = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", done.id);
+            let cancellation = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", done.id);
             let (status, body) =
-                cluster.request(controller, "POST", &withdraw, b"").await.expect("an answer");
+                cluster.request(controller, "POST", &cancellation, b"").await.expect("an answer");
             let view: JobView = serde_json::from_slice(&body).expect("a view");
             assert_eq!((status, view.status), (200, JobStatus::Done));
         }
         sleep_s(10.0).await;
         assert_eq!(cluster.status(&cancelled.id).await, Some(JobStatus::Cancelled));
         assert_eq!(cluster.status(&done.id).await, Some(JobStatus::Done));
-        assert_eq!(cluster.history.total_starts(), starts, "nothing starts for a copy");
+        assert_eq!(cluster.history.total_starts(), starts_before, "no copy starts a task");
     });
 }
 
 #[test]
-fn a_controller_with_nothing_but_workers_is_replaced_in_time_and_guesses_nothing() {
-    for planning in [true, false] {
+fn a_controller_that_reaches_only_workers_is_replaced_and_gives_no_stale_answers() {
+    for is_leader in [true, false] {
         scenario(3, |cluster| async move {
             let job = job_spec(1, 60);
             cluster.submit(&job, 6.0).await;
             sleep_s(4.0).await;
             let leader = cluster.leader();
-            let alone = if planning { leader } else { (leader + 1) % CONTROLLERS.len() };
+            let isolated = if is_leader { leader } else { (leader + 1) % CONTROLLERS.len() };
             for other in ["state", "cloud"].into_iter().chain(CONTROLLERS) {
-                if other != CONTROLLERS[alone] {
-                    cluster.net.partition(CONTROLLERS[alone], other);
+                if other != CONTROLLERS[isolated] {
+                    cluster.net.partition(CONTROLLERS[isolated], other);
                 }
             }
-            // Users who still come to it are told to come back, in time and without a guess.
+            // The isolated controller answers users with 503, in time and without a stale status.
             sleep_s(6.0).await;
             let body = serde_json::to_vec(&job_spec(2, 3)).expect("serializable");
-            let answer = cluster.request(alone, "POST", PATH_JOBS, &body).await;
+            let answer = cluster.request(isolated, "POST", PATH_JOBS, &body).await;
             assert_eq!(answer.map(|(status, _)| status), Some(503));
             let path = format!("{PATH_JOBS}/{}", job.id);
-            let answer = cluster.request(alone, "GET", &path, b"").await;
+            let answer = cluster.request(isolated, "GET", &path, b"").await;
             assert_eq!(answer.map(|(status, _)| status), Some(503));
-            // Its workers are heard by the others: the new leader's fence reaches them (S7), and
-            // even if it didn't, it may not answer them for long (S6). Either is enough here.
-            let others = cluster.other_controllers(alone);
+            // The other controllers still reach the workers, so the new leader fences them (S7). In
+            // addition, the isolated controller stops answering its workers soon (S6). Each of the
+            // two suffices here.
+            let others = cluster.other_controllers(isolated);
             let mut done = false;
             for _ in 0..100 {
                 sleep_s(1.0).await;
@@ -286,10 +294,10 @@
                 let view = answer.and_then(|(_, body)| serde_json::from_slice(&body).ok());
                 done |= view.is_some_and(|view: JobView| view.status == JobStatus::Done);
             }
-            assert!(done, "done by way of the others");
+            assert!(done, "the other controllers report the job as done");
             assert!(others.contains(&cluster.leader()));
             for other in ["state", "cloud"].into_iter().chain(CONTROLLERS) {
-                cluster.net.heal(CONTROLLERS[alone], other);
+                cluster.net.heal(CONTROLLERS[isolated], other);
             }
             cluster.submit(&job_spec(2, 3), 1.0).await;
             cluster.wait_until_done(&job_spec(2, 3).id, 60.0).await;
@@ -298,10 +306,11 @@
 }
 
 #[test]
-fn many_jobs_are_stored_side_by_side_while_the_store_is_slow() {
+fn records_of_many_jobs_are_written_concurrently_while_the_store_is_slow() {
     scenario(60, |cluster| async move {
         cluster.store.set_fault_where(Fault::Delay(0.9), is_transaction);
-        // Their first 128 tasks may begin at once; the others wait for a write of each record.
+        // The first 128 tasks of each job may start at once; the others require a write of the
+        // job's record first.
         let jobs: Vec<_> = (1..=40).map(|number| job_spec(number, 200)).collect();
         let started = tokio::time::Instant::now();
         for job in &jobs {
@@ -311,7 +320,8 @@
             cluster.wait_until_done(&job.id, 200.0).await;
         }
         let seconds = started.elapsed().as_secs_f64();
-        // 8,000 tasks of 2 s on 480 CPUs, claims of 0.9 s; 90 s with one write after another.
+        // 8,000 tasks of 2 s run on 480 CPUs, and each claim takes 0.9 s. Writing one
+        // record after another takes 90 s.
         assert!(seconds < 75.0, "{seconds} s");
     });
 }
--- a/crates/corkfield/tests/scenarios/store_faults.rs
+++ b/crates/corkfield/tests/scenarios/store_faults.rs
@@ -1,4 +1,4 @@
-//! Outages of the store, lost answers, and transactions that are executed late.
+//! Outages of the state service, lost answers, and transactions that are executed late.
 
 use crate::cluster::{is_transaction, job_spec, scenario, sleep_s, CONTROLLERS};
 use corkfield_fakes::Fault;
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 
 #[test]
-fn a_short_outage_of_the_store_stops_no_task_and_a_long_one_loses_no_job() {
+fn a_short_store_outage_stops_no_task_and_a_long_one_loses_no_job() {
     scenario(2, |cluster| async move {
         let short = job_spec(1, 12);
         cluster.submit(&short, 20.0).await;
@@ -15,11 +15,11 @@
         sleep_s(9.0).await;
         cluster.store.set_down(false);
         cluster.wait_until_done(&short.id, 60.0).await;
-        cluster.assert_started_once(&short, "nothing was started again");
+        cluster.assert_started_once(&short, "no task was started twice");
         let long = job_spec(2, 12);
         cluster.submit(&long, 60.0).await;
         sleep_s(5.0).await;
-        // One that might know of a cancellation can't be asked.
+        // The leader cannot ask a stopped controller, which might know of a cancellation.
         let other = cluster.other_controllers(cluster.leader())[0];
         cluster.kill_controller(other);
         cluster.store.set_down(true);
@@ -27,7 +27,7 @@
         assert_eq!(
             cluster.history.running_tasks(&long.id),
             0,
-            "without fresh state, leases run out (S6)"
+            "worker leases expire without fresh state (S6)"
         );
         cluster.store.set_down(false);
         cluster.start_controller(other);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn lost_answers_to_commits_neither_lose_nor_double_anything() {
+fn lost_answers_to_transactions_lose_no_job_and_start_no_task_twice() {
     scenario(2, |cluster| async move {
         let count = Cell::new(0);
         cluster.store.set_fault_where(Fault::LoseAnswer, move |request| {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn transactions_that_are_carried_out_late_do_no_harm() {
+fn transactions_executed_late_lose_no_job_and_start_no_task_twice() {
     scenario(2, |cluster| async move {
         let count = Cell::new(0);
         cluster.store.set_fault_where(Fault::DelayAndLoseAnswer(7.0), move |request| {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn without_the_store_nothing_is_guessed() {
+fn requests_that_need_the_store_get_503_during_an_outage() {
     scenario(1, |cluster| async move {
         let job = job_spec(1, 2);
         cluster.submit(&job, 2.0).await;
@@ -87,12 +87,12 @@
             cluster.request(0, "POST", PATH_JOBS, &body).await.map(|(status, _)| status),
             Some(503)
         );
-        let unknown = "/submissions/j-000009";
+        let unknown_job = "/submissions/j-000009";
         assert_eq!(
-            cluster.request(0, "GET", unknown, b"").await.map(|(status, _)| status),
+            cluster.request(0, "GET", unknown_job, b"").await.map(|(status, _)| status),
             Some(503)
         );
-        // A final state may be answered from memory: it never changes.
+        // A final status may be answered from memory, because it never changes.
         let path = format!("{PATH_JOBS}/{}", job.id);
         let answers = [
             cluster.request(0, "GET", &path, b"").await,
@@ -103,8 +103,8 @@
             cluster.request(0, "GET", PATH_READY, b"").await.map(|(status, _)| status),
             Some(200)
         );
-        // A controller restarted meanwhile is no worse than the others, once their last word
-        // of the store is old.
+        // A controller that restarts during the outage is ready, as the others are, once their last
+        // proof of fresh state is old.
         cluster.restart_controller(2, 0.5).await;
         sleep_s(10.0).await;
         assert_eq!(
@@ -112,16 +112,16 @@
             Some(200)
         );
         assert_eq!(
-            cluster.request(2, "GET", unknown, b"").await.map(|(status, _)| status),
+            cluster.request(2, "GET", unknown_job, b"").await.map(|(status, _)| status),
             Some(503)
         );
     });
 }
 
 #[test]
-fn a_quiet_deployment_stays_ready() {
+fn an_idle_deployment_stays_ready() {
     scenario(1, |cluster| async move {
-        // Nothing changes in the store: proofs of fresh state come from watches that run out.
+        // Nothing changes in the store, so proofs of fresh state come from watches that time out.
         for _ in 0..300 {
             sleep_s(0.1).await;
             for controller in 0..CONTROLLERS.len() {
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -28,7 +28,7 @@
 pub enum Violation {
     /// An answer contradicts a final status that a user was given before (S1).
     FinalStatusChanged {
-        /// The job that was asked about.
+        /// The job of the request.
         job: JobId,
         /// The final status that was answered first.
         from: JobStatus,
@@ -37,12 +37,12 @@
     },
     /// A request for an accepted job was answered with 404 (S1).
     AcceptedJobNotFound {
-        /// The job that was asked about.
+        /// The job of the request.
         job: JobId,
     },
     /// A job was reported as done before all its tasks had completed (S9).
     DoneBeforeCompletion {
-        /// The job that was asked about.
+        /// The job of the request.
         job: JobId,
     },
     /// A task was started while it was running already (S3, S5, S7).
@@ -83,7 +83,7 @@
 /// The first final status that a user was given for a job, and the time of the answer.
 struct FinalAnswer {
     status: JobStatus,
-    answered: Instant,
+    answered_at: Instant,
 }
 
 /// The zone of a machine, and whether it is a spot machine.
@@ -103,7 +103,7 @@
     machine_by_task: RefCell<BTreeMap<TaskId, MachineName>>,
     completed: RefCell<BTreeMap<JobId, BTreeSet<u32>>>,
     /// The time at which a user was first told that a job is cancelled.
-    cancelled: RefCell<BTreeMap<JobId, Instant>>,
+    cancelled_at: RefCell<BTreeMap<JobId, Instant>>,
     teams: RefCell<Vec<Team>>,
     violations: RefCell<Vec<Violation>>,
     starts_by_task: RefCell<BTreeMap<TaskId, u32>>,
@@ -111,7 +111,7 @@
     machines: RefCell<BTreeMap<MachineName, MachineLocation>>,
     final_answers: RefCell<BTreeMap<JobId, FinalAnswer>>,
     /// The time at which a user was first told that a job is accepted.
-    accepted: RefCell<BTreeMap<JobId, Instant>>,
+    accepted_at: RefCell<BTreeMap<JobId, Instant>>,
     starts_after_cancellation: Cell<u32>,
     start_order_observer: RefCell<Option<StartOrderObserver>>,
     /// The time for which tasks may continue after a user was told that their job is cancelled.
@@ -151,36 +151,37 @@
         self.plans.borrow().get(id).cloned()
     }
 
-    /// Records that a user who sent a request at `asked` was answered with `status`; checks that a
-    /// final status does not change (S1).
-    pub fn record_user_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
-        self.check_final_answer(id, status, asked);
+    /// Records that a user who sent a request at `requested_at` was answered with `status`; checks
+    /// that a final status does not change (S1).
+    pub fn record_user_answer(&self, id: &JobId, status: JobStatus, requested_at: Instant) {
+        self.check_final_answer(id, status, requested_at);
         if status.is_final() {
-            let answer = FinalAnswer { status, answered: now() };
+            let answer = FinalAnswer { status, answered_at: now() };
             self.final_answers.borrow_mut().entry(id.clone()).or_insert(answer);
         }
-        self.accepted.borrow_mut().entry(id.clone()).or_insert_with(now);
+        self.accepted_at.borrow_mut().entry(id.clone()).or_insert_with(now);
         match status {
             JobStatus::Done => self.check_all_tasks_completed(id),
             JobStatus::Cancelled => {
-                self.cancelled.borrow_mut().entry(id.clone()).or_insert_with(now);
+                self.cancelled_at.borrow_mut().entry(id.clone()).or_insert_with(now);
             }
             JobStatus::Queued | JobStatus::Running => {}
         }
     }
 
-    fn check_final_answer(&self, id: &JobId, status: JobStatus, asked: Instant) {
+    fn check_final_answer(&self, id: &JobId, status: JobStatus, requested_at: Instant) {
         let answers = self.final_answers.borrow();
         let Some(first) = answers.get(id).filter(|first| first.status != status) else { return };
-        if status.is_final() || first.answered <= asked {
+        if status.is_final() || first.answered_at <= requested_at {
             let (from, to) = (first.status, status);
             self.record_violation(Violation::FinalStatusChanged { job: id.clone(), from, to });
         }
     }
 
-    /// Records that a user who sent a request at `asked` was answered that the job does not exist.
-    pub fn record_not_found_answer(&self, id: &JobId, asked: Instant) {
-        if self.accepted.borrow().get(id).is_some_and(|accepted| *accepted <= asked) {
+    /// Records that a user who sent a request at `requested_at` was answered that the job does not
+    /// exist.
+    pub fn record_not_found_answer(&self, id: &JobId, requested_at: Instant) {
+        if self.accepted_at.borrow().get(id).is_some_and(|accepted| *accepted <= requested_at) {
             self.record_violation(Violation::AcceptedJobNotFound { job: id.clone() });
         }
     }
@@ -200,7 +201,7 @@
     pub(crate) fn record_start(&self, task: &TaskId, machine: &str) {
         self.track_running_task(task, machine);
         self.check_cancellation_limit(task);
-        if self.cancelled.borrow().contains_key(&task.job) {
+        if self.cancelled_at.borrow().contains_key(&task.job) {
             self.starts_after_cancellation.set(self.starts_after_cancellation.get() + 1);
         }
         let Some(plan) = self.plan(&task.job) else { return };
@@ -274,7 +275,7 @@
     }
 
     pub(crate) fn check_cancellation_limit(&self, task: &TaskId) {
-        let cancelled = self.cancelled.borrow().get(&task.job).copied();
+        let cancelled = self.cancelled_at.borrow().get(&task.job).copied();
         if cancelled.is_some_and(|cancelled| now() > cancelled + self.cancel_limit.get()) {
             self.record_violation(Violation::RanAfterCancellation { task: task.clone() });
         }
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -85,9 +85,9 @@
     }
 
     /// Begins or ends an outage. When the outage ends, all leases are renewed.
-    pub fn set_down(&self, down: bool) {
-        self.is_down.set(down);
-        if !down {
+    pub fn set_down(&self, is_down: bool) {
+        self.is_down.set(is_down);
+        if !is_down {
             self.data.borrow_mut().renew_all_leases();
             self.data_changed.notify_waiters();
         }
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -152,8 +152,8 @@
     }
 
     /// Makes the machine hang or resume. While the machine hangs, its tasks make no progress.
-    pub fn set_hung(&self, hung: bool) {
-        self.is_hung.set(hung);
+    pub fn set_hung(&self, is_hung: bool) {
+        self.is_hung.set(is_hung);
         self.resumed.notify_waiters();
     }
 
@@ -195,7 +195,7 @@
         self.state_changed.notify_one();
     }
 
-    /// Returns the number of delayed commands that were executed.
+    /// Returns the number of delayed messages of direct orders that were executed.
     pub fn delayed_commands(&self) -> u32 {
         self.delayed_commands.get()
     }
