--- a/crates/corkfield/tests/scenarios/jobs.rs
+++ b/crates/corkfield/tests/scenarios/jobs.rs
@@ -104,12 +104,12 @@
         job.memory_gb = 0.1;
         assert_eq!(cluster.submit(&job, 0.4).await, 201);
         sleep_s(40.0).await;
-        let before = cluster.job_record(&job.id).expect("unfinished").done;
+        let done_before = cluster.job_record(&job.id).expect("unfinished").done;
         let leader = cluster.leader();
         cluster.restart_controller(leader, 0.3).await;
         sleep_s(20.0).await;
-        let after = cluster.job_record(&job.id).expect("unfinished").done;
-        assert!(before > 500 && after > before, "{before} then {after}");
+        let done_after = cluster.job_record(&job.id).expect("unfinished").done;
+        assert!(done_before > 500 && done_after > done_before, "{done_before} then {done_after}");
         assert!(cluster.store.max_value_bytes() < 16 * 1024);
         assert!(cluster.store.max_transaction_changes() <= 12);
         assert_eq!(cluster.cancel(&job.id).await, Some(JobStatus::Cancelled));
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -58,15 +58,15 @@
         let job = job_spec(1, 24);
         cluster.submit(&job, 4.0).await;
         cluster.wait_until_done(&job.id, 40.0).await;
-        let gone = cluster.cloud.workers()[0].clone();
-        let name = gone.settings.name.clone();
+        let reclaimed_worker = cluster.cloud.workers()[0].clone();
+        let name = reclaimed_worker.settings.name.clone();
         cluster.cloud.reclaim(name.as_str());
         // Waits until the cloud's list of machines no longer contains the machine.
         sleep_s(20.0).await;
-        let copies = gone.sent_heartbeats();
+        let copies = reclaimed_worker.sent_heartbeats();
         let record = format!("{MACHINE_RECORDS_PREFIX}{name}");
-        for restart in [false, true] {
-            if restart {
+        for has_new_leader in [false, true] {
+            if has_new_leader {
                 // The next leader has never received a heartbeat of the machine.
                 let leader = cluster.leader();
                 cluster.restart_controller(leader, 0.1).await;
@@ -77,7 +77,7 @@
                     cluster.request(controller, "POST", PATH_HEARTBEAT, copy).await;
                 }
             }
-            let next = job_spec(if restart { 3 } else { 2 }, 32);
+            let next = job_spec(if has_new_leader { 3 } else { 2 }, 32);
             cluster.submit(&next, 2.0).await;
             cluster.wait_until_done(&next.id, 40.0).await;
             sleep_s(15.0).await;
@@ -216,8 +216,8 @@
                 tokio::task::spawn_local(async move {
                     let started = tokio::time::Instant::now();
                     let answer = cluster.request(controller, "GET", &path, b"").await;
-                    let ok = answer.is_some_and(|(status, _)| status == 200);
-                    if ok && started.elapsed().as_secs_f64() < 2.0 {
+                    let is_answered = answer.is_some_and(|(status, _)| status == 200);
+                    if is_answered && started.elapsed().as_secs_f64() < 2.0 {
                         answered_in_time.set(answered_in_time.get() + 1);
                     }
                 });
@@ -242,11 +242,7 @@
         for controller in 0..CONTROLLERS.len() {
             for body in &bodies {
                 let answer = cluster.request(controller, "POST", PATH_JOBS, body).await;
-                assert_eq!(
-                    answer.map(|(status, _)| status),
-                    Some(200),
-                    "the job is known and final"
-                );
+                assert_eq!(answer.map(|(status, _)| status), Some(200), "the job is known");
             }
             let cancellation = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", done.id);
             let (status, body) =
@@ -287,14 +283,14 @@
             // addition, the isolated controller stops answering its workers soon (S6). Each of the
             // two suffices here.
             let others = cluster.other_controllers(isolated);
-            let mut done = false;
+            let mut is_done = false;
             for _ in 0..100 {
                 sleep_s(1.0).await;
                 let answer = cluster.request(others[0], "GET", &path, b"").await;
                 let view = answer.and_then(|(_, body)| serde_json::from_slice(&body).ok());
-                done |= view.is_some_and(|view: JobView| view.status == JobStatus::Done);
+                is_done |= view.is_some_and(|view: JobView| view.status == JobStatus::Done);
             }
-            assert!(done, "the other controllers report the job as done");
+            assert!(is_done, "the other controllers report the job as done");
             assert!(others.contains(&cluster.leader()));
             for other in ["state", "cloud"].into_iter().chain(CONTROLLERS) {
                 cluster.net.heal(CONTROLLERS[isolated], other);
@@ -320,8 +316,8 @@
             cluster.wait_until_done(&job.id, 200.0).await;
         }
         let seconds = started.elapsed().as_secs_f64();
-        // 8,000 tasks of 2 s run on 480 CPUs, and each claim takes 0.9 s. Writing one
-        // record after another takes 90 s.
+        // 8,000 tasks of 2 s run on 480 CPUs, and each claim takes 0.9 s. Writing one record after
+        // another takes 90 s.
         assert!(seconds < 75.0, "{seconds} s");
     });
 }
--- a/crates/fakes/src/net.rs
+++ b/crates/fakes/src/net.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// The number of connections that a host has open, and the highest number so server_pipe.
+/// The number of connections that a host has open, and the highest number so far.
 #[derive(Default)]
 struct ConnectionCount {
     open: usize,
