--- a/crates/corkfield/src/node.rs
+++ b/crates/corkfield/src/node.rs
@@ -15,7 +15,7 @@
 use crate::users::UserRequests;
 use crate::workers::{RedirectedWorkers, WorkerHeartbeats};
 use corkfield_http::net::LocalFuture;
-use corkfield_http::{serve_counted, Connections, Limits, Listener, Network, Response};
+use corkfield_http::{serve_with_connections, Connections, Limits, Listener, Network, Response};
 use corkfield_wire::records::{JobRecord, Versioned};
 use corkfield_wire::worker::PATH_HEARTBEAT;
 use corkfield_wire::JobId;
@@ -122,10 +122,10 @@
 /// a worker that gets no connection loses its lease and all tasks that it runs.
 fn http_limits(limits: ConnectionLimits) -> Limits {
     Limits {
-        connections: limits.accepted,
-        kept: limits.keep_alive,
-        others: limits.users,
-        kept_for: PATH_HEARTBEAT,
+        max_connections: limits.accepted,
+        max_keep_alive: limits.keep_alive,
+        max_unreserved: limits.users,
+        reserved_path: PATH_HEARTBEAT,
         ..Limits::default()
     }
 }
@@ -180,7 +180,11 @@
 fn serve_requests(components: &Components, listener: Box<dyn Listener>, routes: Routes) {
     let routes = Rc::new(routes);
     let handler = Rc::new(move |request| routes.clone().answer(request));
-    tokio::task::spawn_local(serve_counted(listener, components.connections.clone(), handler));
+    tokio::task::spawn_local(serve_with_connections(
+        listener,
+        components.connections.clone(),
+        handler,
+    ));
 }
 
 /// Starts to serve the links that other controllers open, and to maintain a link to each of them.
--- a/crates/corkfield/src/responses.rs
+++ b/crates/corkfield/src/responses.rs
@@ -16,5 +16,5 @@
 
 /// Builds a 503 response with a `Retry-After` header, which asks the client to retry.
 pub fn retry_later(reason: &str) -> Response {
-    Response { retry_after: Some(1), ..error(503, reason) }
+    Response { retry_after_s: Some(1), ..error(503, reason) }
 }
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -138,7 +138,7 @@
         // no longer runs.
         let found = self.env.state.get(RequestClass::Lease, &key).await?;
         let started = now();
-        let lease_id = self.env.state.grant(ttl).await?;
+        let lease_id = self.env.state.grant_lease(ttl).await?;
         let incarnation = format!("{}-{:08x}", self.env.name, self.env.random() as u32);
         let incarnation = Incarnation::from(incarnation);
         let membership = Membership { incarnation: incarnation.clone(), lease: lease_id };
@@ -158,15 +158,15 @@
         let transaction = Transaction::default()
             .when(key.to_owned(), found.map_or(Revision::NONE, |item| item.version))
             .put_leased(key.to_owned(), value, membership.lease);
-        let error = match self.env.state.transaction(RequestClass::Lease, &transaction).await {
-            Err(StateError::NoAnswer(error)) => error,
+        let error = match self.env.state.commit(RequestClass::Lease, &transaction).await {
+            Err(StateError::NoResponse(error)) => error,
             outcome => return outcome,
         };
         // The transaction may have been executed although its answer was lost.
         let read = self.env.state.get(RequestClass::Lease, key).await?;
         read.filter(|item| item.value["incarnation"] == membership.incarnation.as_str())
             .map(|item| item.version)
-            .ok_or(StateError::NoAnswer(error))
+            .ok_or(StateError::NoResponse(error))
     }
 
     /// Renews the lease; returns when the state service no longer knows the lease.
@@ -174,7 +174,7 @@
         let interval = ttl.mul_f64(RENEWAL_FRACTION);
         loop {
             let started = now();
-            let pause = match self.env.state.renew(lease, interval).await {
+            let pause = match self.env.state.renew_lease(lease, interval).await {
                 Ok(()) => {
                     self.session_lease.extend_validity(started + trusted_duration(ttl));
                     interval
--- a/crates/corkfield/src/users.rs
+++ b/crates/corkfield/src/users.rs
@@ -72,7 +72,7 @@
                     return json(200, &job_view(id, cancelled.status, cancelled.done, 0));
                 }
                 Err(
-                    StateError::Conflict(_) | StateError::NoAnswer(_) | StateError::Refused(429),
+                    StateError::Conflict(_) | StateError::NoResponse(_) | StateError::Refused(429),
                 ) => {
                     self.env.sleep_random(CANCEL_RETRY_MS).await;
                 }
@@ -97,7 +97,7 @@
             .when(final_key(id), Revision::NONE)
             .delete(job_key(id))
             .put(final_key(id), value);
-        self.env.state.transaction(RequestClass::Claim, &transaction).await
+        self.env.state.commit(RequestClass::Claim, &transaction).await
     }
 
     /// Releases a dead-lettered job at the request of an operator, so that the job can be claimed
@@ -112,7 +112,7 @@
         let record = JobRecord { dead_lettered: false, claims: 0, owner: None, ..*record };
         let value = store_value(&record);
         let transaction = Transaction::default().when(job_key(id), version).put(job_key(id), value);
-        match self.env.state.transaction(RequestClass::Submission, &transaction).await {
+        match self.env.state.commit(RequestClass::Submission, &transaction).await {
             Ok(_) => json(200, &job_view(id, JobStatus::Queued, record.done, 0)),
             Err(error) => {
                 tracing::debug!(job = %id, %error, "failed to release a dead-lettered job");
--- a/crates/corkfield/src/users/lookup.rs
+++ b/crates/corkfield/src/users/lookup.rs
@@ -71,7 +71,7 @@
         // The local copy doesn't follow final records. A job that has neither a record of an
         // unfinished job nor a final record was never accepted: the transaction that deletes the
         // former writes the latter.
-        let read = self.env.state.get(RequestClass::Reading, &final_key(id)).await?;
+        let read = self.env.state.get(RequestClass::Query, &final_key(id)).await?;
         let Some(item) = read else {
             return Ok(StoredJob::Unknown);
         };
--- a/crates/corkfield/src/workers.rs
+++ b/crates/corkfield/src/workers.rs
@@ -195,7 +195,7 @@
         let max_hold = Duration::from_secs_f64(self.env.settings.operator.hold_s);
         // While connections are scarce, a delayed answer would occupy a connection that another
         // worker needs.
-        let may_delay_answer = !max_hold.is_zero() && !self.connections.is_short_of_connections();
+        let may_delay_answer = !max_hold.is_zero() && !self.connections.is_above_keep_alive_limit();
         if may_delay_answer && scheduler.borrow().may_delay_answer(machine) {
             let answer_due = self.leadership.hold_answer(machine);
             let _ = tokio::time::timeout(max_hold, answer_due.notified()).await;
