--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -23,9 +23,11 @@
     let name = &worker.settings.name;
     match fault {
         MachineFault::Hung => worker.set_hung(is_active),
-        MachineFault::ReceivesNothing => worker.receives_nothing.set(is_active),
+        MachineFault::ReceivesNothing => worker.is_inbound_blocked.set(is_active),
         MachineFault::Partitioned if is_active => {
-            CONTROLLERS.iter().for_each(|controller| cluster.net.cut(name.as_str(), controller));
+            CONTROLLERS
+                .iter()
+                .for_each(|controller| cluster.net.partition(name.as_str(), controller));
         }
         MachineFault::Partitioned => {
             CONTROLLERS.iter().for_each(|controller| cluster.net.heal(name.as_str(), controller));
@@ -65,15 +67,15 @@
                 unresponsive
                     .iter()
                     .for_each(|worker| set_machine_fault(&cluster, worker, fault, true));
-                cluster.cloud.down.set(true);
+                cluster.cloud.is_down.set(true);
                 if leader_ends_s < 0.0 {
-                    cluster.restart(cluster.leader(), 0.3).await;
+                    cluster.restart_controller(cluster.leader(), 0.3).await;
                     sleep_s(-leader_ends_s).await;
                 }
                 cluster.cancel(&cancelled.id).await;
                 if leader_ends_s >= 0.0 {
                     sleep_s(leader_ends_s).await;
-                    cluster.restart(cluster.leader(), 0.3).await;
+                    cluster.restart_controller(cluster.leader(), 0.3).await;
                 }
                 // No machine can have started a task of this job, so only the quota delays it.
                 cluster.submit(&newest, 3.0).await;
@@ -82,7 +84,7 @@
                 unresponsive
                     .iter()
                     .for_each(|worker| set_machine_fault(&cluster, worker, fault, false));
-                cluster.cloud.down.set(false);
+                cluster.cloud.is_down.set(false);
                 for job in [&next, &newest, &filler] {
                     cluster.wait_until_done(&job.id, 150.0).await;
                 }
@@ -108,22 +110,22 @@
 async fn begin_leader_fault(cluster: &Rc<Cluster>, fault: LeaderFault) {
     let leader = cluster.leader();
     match fault {
-        LeaderFault::Crash => cluster.kill(leader),
-        LeaderFault::RefusedByStore => cluster.store_refuses[leader].set(true),
+        LeaderFault::Crash => cluster.kill_controller(leader),
+        LeaderFault::RefusedByStore => cluster.is_refused_by_store[leader].set(true),
         LeaderFault::CutFromWorkers => {
-            cluster.cut_from_workers(leader);
+            cluster.partition_from_workers(leader);
         }
         LeaderFault::Freeze => {
             let cluster = cluster.clone();
-            tokio::task::spawn_local(async move { cluster.freeze(leader, 14.0).await });
+            tokio::task::spawn_local(async move { cluster.pause_controller(leader, 14.0).await });
         }
     }
 }
 
 fn end_leader_fault(cluster: &Cluster, fault: LeaderFault, leader: usize) {
     match fault {
-        LeaderFault::Crash => cluster.start(leader),
-        LeaderFault::RefusedByStore => cluster.store_refuses[leader].set(false),
+        LeaderFault::Crash => cluster.start_controller(leader),
+        LeaderFault::RefusedByStore => cluster.is_refused_by_store[leader].set(false),
         LeaderFault::CutFromWorkers => cluster.heal_to_workers(leader),
         // The pause ends by itself.
         LeaderFault::Freeze => {}
@@ -155,9 +157,9 @@
                     sleep_s(rng.random_range(0.1..1.1)).await;
                     let controller = others[rng.random_range(0..others.len())];
                     let (cluster, id) = (cluster.clone(), job.id.clone());
-                    tokio::task::spawn_local(async move {
-                        cluster.cancel_through(controller, &id).await
-                    });
+                    tokio::task::spawn_local(
+                        async move { cluster.cancel_at(controller, &id).await },
+                    );
                 }
                 sleep_s(1.0).await;
                 end_leader_fault(&cluster, fault, leader);
@@ -188,7 +190,7 @@
             for (number, job) in jobs.iter().enumerate() {
                 let (cluster, id) = (cluster.clone(), job.id.clone());
                 tokio::task::spawn_local(async move {
-                    cluster.cancel_through(number % CONTROLLERS.len(), &id).await;
+                    cluster.cancel_at(number % CONTROLLERS.len(), &id).await;
                 });
                 sleep_s(0.02).await;
             }
--- a/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
@@ -20,7 +20,7 @@
                     cluster.store.set_down(true);
                 }
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.1 + f64::from(round % 3)).await;
+                cluster.restart_controller(leader, 0.1 + f64::from(round % 3)).await;
                 sleep_s(if has_outage { 4.0 } else { 9.0 }).await;
                 if round == 2 {
                     cluster.cancel(&to_cancel.id).await;
@@ -50,22 +50,22 @@
                 let worker = cluster.worker_of(&task_id(&job, 0));
                 let name = worker.settings.name.to_string();
                 // The cloud is down, so that the leader can't return the machine.
-                cluster.cloud.down.set(true);
+                cluster.cloud.is_down.set(true);
                 match fault {
-                    0 => cluster.net.cut(&name, "*"),
-                    1 => worker.receives_nothing.set(true),
-                    _ => worker.sends_nothing.set(true),
+                    0 => cluster.net.partition(&name, "*"),
+                    1 => worker.is_inbound_blocked.set(true),
+                    _ => worker.is_outbound_blocked.set(true),
                 }
                 sleep_s(0.7).await;
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.5).await;
+                cluster.restart_controller(leader, 0.5).await;
                 sleep_s(fault_s).await;
                 match fault {
                     0 => cluster.net.heal(&name, "*"),
-                    1 => worker.receives_nothing.set(false),
-                    _ => worker.sends_nothing.set(false),
+                    1 => worker.is_inbound_blocked.set(false),
+                    _ => worker.is_outbound_blocked.set(false),
                 }
-                cluster.cloud.down.set(false);
+                cluster.cloud.is_down.set(false);
                 cluster.wait_until_done(&job.id, 150.0).await;
             });
         }
@@ -81,8 +81,8 @@
             cluster.submit(&to_cancel, 300.0).await;
             sleep_s(5.0).await;
             let old_leader = cluster.leader();
-            cluster.net.cut(CONTROLLERS[old_leader], "state");
-            cluster.cut_from_peers(old_leader);
+            cluster.net.partition(CONTROLLERS[old_leader], "state");
+            cluster.partition_from_peers(old_leader);
             sleep_s(LEASE_S).await;
             let new_leader = cluster.leader();
             assert_ne!(new_leader, old_leader);
@@ -94,7 +94,7 @@
                     worker.set_hung(false);
                 });
             }
-            cluster.cancel_through(new_leader, &to_cancel.id).await;
+            cluster.cancel_at(new_leader, &to_cancel.id).await;
             for _ in 0..20 {
                 let answer = cluster.request_about_job(old_leader, &to_cancel.id, None).await;
                 assert_eq!(answer, None, "no answer without the store");
@@ -126,9 +126,9 @@
             // within its lease.
             let hung = cluster.worker_of(&task_id(&job, 0));
             hung.set_hung(true);
-            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill_controller(controller));
             sleep_s(outage_s).await;
-            (0..CONTROLLERS.len()).for_each(|controller| cluster.start(controller));
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.start_controller(controller));
             sleep_s(5.0).await;
             hung.set_hung(false);
             sleep_s(7.0).await;
@@ -153,10 +153,10 @@
                 let (cluster, id) = (cluster.clone(), to_cancel.id.clone());
                 tokio::task::spawn_local(async move {
                     sleep_s(1.0).await;
-                    cluster.cancel_through(cluster.other_controllers(leader)[0], &id).await;
+                    cluster.cancel_at(cluster.other_controllers(leader)[0], &id).await;
                 })
             };
-            cluster.freeze(leader, pause_s).await;
+            cluster.pause_controller(leader, pause_s).await;
             cancelling.await.expect("the job is cancelled");
             // The leader resumes with outdated orders, transactions and heartbeats in flight.
             sleep_s(LEASE_S + 6.0).await;
@@ -180,10 +180,10 @@
         // The paused leader still has the rented machines as booting, while they come up under the
         // next leader.
         let leader = cluster.leader();
-        cluster.freeze(leader, 40.0).await;
+        cluster.pause_controller(leader, 40.0).await;
         assert_ne!(cluster.leader(), leader);
         // The leader resumes without a connection to the store for another 4 s.
-        cluster.net.cut(CONTROLLERS[leader], "state");
+        cluster.net.partition(CONTROLLERS[leader], "state");
         sleep_s(4.0).await;
         cluster.net.heal(CONTROLLERS[leader], "state");
         sleep_s(5.0).await;
@@ -203,8 +203,8 @@
             sleep_s(5.0).await;
             let leader = cluster.leader();
             // The leader receives no heartbeats and requests other machines meanwhile.
-            cluster.cloud.lose_answers.set(true);
-            cluster.net.cut(CONTROLLERS[leader], "*");
+            cluster.cloud.is_losing_answers.set(true);
+            cluster.net.partition(CONTROLLERS[leader], "*");
             sleep_s(partition_s).await;
             assert_ne!(cluster.leader(), leader);
             // The old leader learns at once that another controller owns its jobs, so that the
@@ -216,7 +216,7 @@
             cluster.net.heal(CONTROLLERS[leader], "*");
             sleep_s(3.0).await;
             cluster.store.clear_faults();
-            cluster.cloud.lose_answers.set(false);
+            cluster.cloud.is_losing_answers.set(false);
             sleep_s(5.0).await;
             assert_eq!(cluster.cloud.workers().len(), 4, "no machine was returned");
             cluster.wait_until_done(&job.id, 120.0).await;
@@ -258,9 +258,9 @@
                         hosts_outside.clone().into_iter().map(move |b| (a.clone(), b))
                     })
                 };
-                cut_links().for_each(|(a, b)| cluster.net.cut(&a, &b));
+                cut_links().for_each(|(a, b)| cluster.net.partition(&a, &b));
                 sleep_s(2.0).await;
-                cluster.cancel_through(cluster.other_controllers(inside)[0], &to_cancel.id).await;
+                cluster.cancel_at(cluster.other_controllers(inside)[0], &to_cancel.id).await;
                 sleep_s(partition_s).await;
                 cut_links().for_each(|(a, b)| cluster.net.heal(&a, &b));
                 sleep_s(LEASE_S).await;
@@ -287,21 +287,23 @@
             // The workers are cut off from the leader twice, so that it hands over each time.
             for _ in 0..2 {
                 let leader = cluster.leader();
-                machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
+                machines
+                    .iter()
+                    .for_each(|machine| cluster.net.partition(CONTROLLERS[leader], machine));
                 sleep_s(LEASE_S).await;
                 assert_ne!(cluster.leader(), leader);
                 machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
                 sleep_s(2.0).await;
             }
             let last = cluster.leader();
-            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill(controller));
+            (0..CONTROLLERS.len()).for_each(|controller| cluster.kill_controller(controller));
             sleep_s(restart_s).await;
-            cluster.start(last);
+            cluster.start_controller(last);
             sleep_s(6.0).await;
             cluster
                 .other_controllers(last)
                 .into_iter()
-                .for_each(|controller| cluster.start(controller));
+                .for_each(|controller| cluster.start_controller(controller));
             cluster.wait_until_done(&job.id, 150.0).await;
             cluster.assert_started_once(&job, "no worker lease expired");
         });
@@ -326,7 +328,7 @@
             for round in 0..6u32 {
                 sleep_s(4.0 + f64::from((seed * 7 + round * 5) % 6)).await;
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.1 * f64::from(round)).await;
+                cluster.restart_controller(leader, 0.1 * f64::from(round)).await;
             }
             for job in &jobs {
                 cluster.wait_until_done(&job.id, 120.0).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
@@ -80,7 +80,7 @@
                 if kind == TransactionKind::ControllerRecord
                     || kind == TransactionKind::MachineRecord
                 {
-                    cluster.restart(cluster.leader(), 0.2).await;
+                    cluster.restart_controller(cluster.leader(), 0.2).await;
                     let machine = cluster.cloud.add_machine("z1", false, 0.1);
                     sleep_s(1.0).await;
                     assert!(cluster.cloud.worker(machine.as_str()).is_some());
@@ -97,7 +97,7 @@
                 sleep_s(4.0).await;
                 let (cancelling, id) = (cluster.clone(), cancelled.id.clone());
                 let cancellation = tokio::task::spawn_local(async move {
-                    cancelling.cancel_through(0, &id).await;
+                    cancelling.cancel_at(0, &id).await;
                 });
                 poll_all_controllers(&cluster, &cancelled.id, 2.5).await;
                 cancellation.await.expect("cancelled");
@@ -119,7 +119,7 @@
         sleep_s(4.0).await;
         let lost = lose_answers(&cluster, TransactionKind::HandOver, 2);
         let leader = cluster.leader();
-        cluster.cut_from_workers(leader);
+        cluster.partition_from_workers(leader);
         sleep_s(LEASE_S).await;
         assert!(lost.get() >= 1, "no answer to a hand-over was lost");
         assert_ne!(cluster.leader(), leader);
--- a/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
@@ -17,7 +17,7 @@
 
 /// Submits a one-task job, and cancels every fourth job or waits until the job is done.
 async fn submit_then_cancel_or_wait(cluster: Rc<Cluster>, job: JobSpec, number: u32) {
-    cluster.submit_plan(JobPlan { spec: job.clone(), run_s: 3.0, fails: false }).await;
+    cluster.submit_plan(JobPlan { spec: job.clone(), run_s: 3.0, is_failing: false }).await;
     if number % 4 == 0 {
         sleep_s(f64::from(number % 7) * 0.7).await;
         cluster.cancel(&job.id).await;
@@ -29,7 +29,7 @@
 #[test]
 fn one_task_jobs_at_four_per_second_cost_few_store_changes_and_do_not_starve_an_array() {
     scenario(4, |cluster| async move {
-        let store_load = StoreLoad::count(&cluster.store);
+        let store_load = StoreLoad::start_counting(&cluster.store);
         let array = JobSpec { cpus: 4.0, ..job_spec(1, 30) };
         cluster.submit(&array, 8.0).await;
         let mut submissions = Vec::new();
@@ -41,7 +41,7 @@
                 number,
             )));
             if number == TOTAL_JOBS / 2 {
-                cluster.restart(cluster.leader(), 0.3).await;
+                cluster.restart_controller(cluster.leader(), 0.3).await;
             }
             sleep_s(1.0 / JOBS_PER_S).await;
         }
@@ -73,7 +73,7 @@
         let name = &worker.settings.name;
         let is_recorded = cluster.store.value(&machine_key(name.as_str())).is_some();
         assert!(
-            is_recorded || cluster.history.starts_on(name.as_str()) == 0,
+            is_recorded || cluster.history.start_count_on(name.as_str()) == 0,
             "{name} has no record"
         );
     }
@@ -105,11 +105,11 @@
             for round in 0..400 {
                 sleep_s(0.05).await;
                 assert_machines_recorded(&cluster);
-                let has_rented = cluster.cloud.rentals.get() > 0;
+                let has_rented = cluster.cloud.executed_rentals.get() > 0;
                 if has_rented && !was_restarted && f64::from(round) * 0.05 > 8.0 + restart_s {
                     was_restarted = true;
                     if let Some(leader) = cluster.elected_leader() {
-                        cluster.restart(leader.controller, 0.2).await;
+                        cluster.restart_controller(leader.controller, 0.2).await;
                     }
                 }
             }
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -17,19 +17,19 @@
             sleep_s(5.0).await;
             let worker = cluster.worker_of(&task_id(&job, 0));
             let name = worker.settings.name.to_string();
-            cluster.cloud.down.set(true);
+            cluster.cloud.is_down.set(true);
             // The machine's heartbeats to each controller are in flight when the leader ends.
             for controller in CONTROLLERS {
-                cluster.net.cut(&name, controller);
+                cluster.net.partition(&name, controller);
             }
             sleep_s(1.0).await;
             let leader = cluster.leader();
-            cluster.restart(leader, 0.4).await;
+            cluster.restart_controller(leader, 0.4).await;
             sleep_s(delay_s).await;
             for controller in CONTROLLERS {
                 cluster.net.heal(&name, controller);
             }
-            cluster.cloud.down.set(false);
+            cluster.cloud.is_down.set(false);
             cluster.wait_until_done(&job.id, 150.0).await;
         });
     }
@@ -70,7 +70,7 @@
                     }
                     90 => {
                         let leader = cluster.leader();
-                        cluster.restart(leader, 0.2).await;
+                        cluster.restart_controller(leader, 0.2).await;
                     }
                     _ => {}
                 }
@@ -109,12 +109,12 @@
                 .iter()
                 .map(|worker| worker.settings.name.to_string())
                 .collect();
-            machines.iter().for_each(|machine| cluster.net.cut(CONTROLLERS[leader], machine));
+            machines.iter().for_each(|machine| cluster.net.partition(CONTROLLERS[leader], machine));
             sleep_s(LEASE_S - 1.0).await;
             machines.iter().for_each(|machine| cluster.net.heal(CONTROLLERS[leader], machine));
             cluster.cancel(&to_cancel.id).await;
             let leader = cluster.leader();
-            cluster.restart(leader, 0.3).await;
+            cluster.restart_controller(leader, 0.3).await;
             for job in &jobs {
                 cluster.wait_until_done(&job.id, 250.0).await;
             }
--- a/crates/fakes/src/process.rs
+++ b/crates/fakes/src/process.rs
@@ -1,4 +1,4 @@
-//! A process that can be paused while its clocks run on.
+//! A process that can be paused while time continues to pass.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -7,51 +7,51 @@
 use std::task::{Context, Poll, Waker};
 
 #[derive(Default)]
-struct FreezeState {
-    frozen: Cell<bool>,
-    /// Wakes the process that was polled while it was frozen.
+struct PauseState {
+    is_paused: Cell<bool>,
+    /// Wakes the process if it was polled while it was paused.
     waker: RefCell<Option<Waker>>,
 }
 
-/// Stops and resumes a [`Process`].
+/// Pauses and resumes a [`PausableProcess`].
 #[derive(Clone, Default)]
-pub struct Freezer(Rc<FreezeState>);
+pub struct PauseHandle(Rc<PauseState>);
 
-impl Freezer {
-    /// Stops the process.
-    pub fn freeze(&self) {
-        self.0.frozen.set(true);
+impl PauseHandle {
+    /// Pauses the process.
+    pub fn pause(&self) {
+        self.0.is_paused.set(true);
     }
 
-    /// Lets the process go on.
-    pub fn thaw(&self) {
-        self.0.frozen.set(false);
+    /// Resumes the process.
+    pub fn resume(&self) {
+        self.0.is_paused.set(false);
         if let Some(waker) = self.0.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 }
 
-/// All that a process does. While it is frozen nothing of it is run: its timers have long fired
-/// and its sockets are full when it goes on.
-pub struct Process {
+/// A process that runs one future. While the process is paused, the future is not polled: when the
+/// process resumes, its timers have expired and its sockets have buffered input.
+pub struct PausableProcess {
     future: Pin<Box<dyn Future<Output = ()>>>,
-    freezer: Freezer,
+    pause_handle: PauseHandle,
 }
 
-impl Process {
-    /// A process that the freezer stops and resumes.
-    pub fn new(future: impl Future<Output = ()> + 'static, freezer: Freezer) -> Self {
-        Self { future: Box::pin(future), freezer }
+impl PausableProcess {
+    /// Creates a process that `pause_handle` pauses and resumes.
+    pub fn new(future: impl Future<Output = ()> + 'static, pause_handle: PauseHandle) -> Self {
+        Self { future: Box::pin(future), pause_handle }
     }
 }
 
-impl Future for Process {
+impl Future for PausableProcess {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.freezer.0.frozen.get() {
-            *self.freezer.0.waker.borrow_mut() = Some(context.waker().clone());
+        if self.pause_handle.0.is_paused.get() {
+            *self.pause_handle.0.waker.borrow_mut() = Some(context.waker().clone());
             return Poll::Pending;
         }
         self.future.as_mut().poll(context)
