--- a/crates/corkfield/tests/scenarios/combined_faults/machines.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/machines.rs
@@ -17,12 +17,12 @@
             } else {
                 vec![cluster.worker_of(&task_id(&to_cancel, 0))]
             };
-            affected.iter().for_each(|worker| worker.sends_nothing.set(true));
+            affected.iter().for_each(|worker| worker.is_outbound_blocked.set(true));
             sleep_s(1.0).await;
             cluster.cancel(&to_cancel.id).await;
             if has_failover {
                 let leader = cluster.leader();
-                cluster.restart(leader, 0.3).await;
+                cluster.restart_controller(leader, 0.3).await;
             } else {
                 sleep_s(2.5).await;
                 assert_eq!(
@@ -32,7 +32,7 @@
                 );
             }
             sleep_s(LEASE_S + 8.0).await;
-            affected.iter().for_each(|worker| worker.sends_nothing.set(false));
+            affected.iter().for_each(|worker| worker.is_outbound_blocked.set(false));
             cluster.wait_until_done(&job.id, 120.0).await;
         });
     }
@@ -58,15 +58,15 @@
             sleep_s(1.0).await;
             let worker = cluster.worker_of(&task_id(&second, 0));
             worker.set_hung(true);
-            cluster.cloud.down.set(true);
+            cluster.cloud.is_down.set(true);
             let leader = cluster.leader();
-            cluster.restart(leader, 0.3).await;
+            cluster.restart_controller(leader, 0.3).await;
             sleep_s(cancel_after_s).await;
             // Cancelled tasks count towards the quota until they are known to have ended.
             cluster.cancel(&second.id).await;
             sleep_s(hung_s).await;
             worker.set_hung(false);
-            cluster.cloud.down.set(false);
+            cluster.cloud.is_down.set(false);
             for job in [&first, &third] {
                 cluster.wait_until_done(&job.id, 150.0).await;
             }
@@ -106,16 +106,16 @@
         // There is no free capacity for this job yet.
         cluster.submit(&next, 3.0).await;
         sleep_s(2.0).await;
-        cluster.cloud.down.set(true);
+        cluster.cloud.is_down.set(true);
         let worker = cluster.worker_of(&task_id(&long, 0));
-        worker.receives_nothing.set(true);
+        worker.is_inbound_blocked.set(true);
         let leader = cluster.leader();
-        cluster.restart(leader, 0.2).await;
+        cluster.restart_controller(leader, 0.2).await;
         cluster.cancel(&long.id).await;
         let waited = cluster.wait_until_done(&next.id, 60.0).await;
         assert!(waited < 14.0, "{waited} s: longer than if all machines had answered");
-        worker.receives_nothing.set(false);
-        cluster.cloud.down.set(false);
+        worker.is_inbound_blocked.set(false);
+        cluster.cloud.is_down.set(false);
         sleep_s(LEASE_S + 3.0).await;
     });
 }
@@ -135,7 +135,7 @@
                 [cluster.worker_of(&task_id(&together, 0)), cluster.worker_of(&task_id(&apart, 0))];
             hung.iter().for_each(|worker| worker.set_hung(true));
             let leader = cluster.leader();
-            cluster.restart(leader, 0.3).await;
+            cluster.restart_controller(leader, 0.3).await;
             sleep_s(7.0).await;
             hung.iter().for_each(|worker| worker.set_hung(false));
             sleep_s(4.0).await;
@@ -167,7 +167,7 @@
             cluster.submit(&job, 5.0).await;
         }
         let leader = cluster.leader();
-        cluster.restart(leader, 0.5).await;
+        cluster.restart_controller(leader, 0.5).await;
         let started = tokio::time::Instant::now();
         for job in &urgent {
             cluster.wait_until_done(&job.id, 120.0).await;
@@ -194,7 +194,7 @@
                 sleep_s(2.5).await;
                 let leader = cluster.leader();
                 let name = &workers[number as usize % 2].settings.name;
-                cluster.net.cut(CONTROLLERS[leader], name.as_str());
+                cluster.net.partition(CONTROLLERS[leader], name.as_str());
                 sleep_s(0.2).await;
                 assert_eq!(cluster.cancel(&to_cancel.id).await, Some(JobStatus::Cancelled));
                 sleep_s(delay_s).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
@@ -19,7 +19,7 @@
             let (requester, job) = (cluster.clone(), job.clone());
             requests.push(tokio::task::spawn_local(async move {
                 requester.request_about_job(controller, &job.id, None).await;
-                requester.submit_again(controller, &job).await;
+                requester.submit_to(controller, &job).await;
             }));
         }
     }
@@ -48,15 +48,15 @@
                 cluster.history.add_plan(corkfield_fakes::JobPlan {
                     spec: job.clone(),
                     run_s: if number % 3 == 0 { 120.0 } else { 1.0 },
-                    fails: false,
+                    is_failing: false,
                 });
-                while !matches!(cluster.submit_again(controller, &job).await, Some(200 | 201)) {
+                while !matches!(cluster.submit_to(controller, &job).await, Some(200 | 201)) {
                     sleep_s(0.2).await;
                 }
                 request_from_all(&cluster, &job).await;
                 match number % 3 {
                     0 => {
-                        cluster.cancel_through((controller + 1) % CONTROLLERS.len(), &job.id).await;
+                        cluster.cancel_at((controller + 1) % CONTROLLERS.len(), &job.id).await;
                         request_from_all(&cluster, &job).await;
                     }
                     1 => {
--- a/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
@@ -24,9 +24,9 @@
             cluster.store.set_down(true);
             sleep_s(6.0).await;
             match fault {
-                Some("restart") => cluster.restart(other, 0.1).await,
-                Some("crash") => cluster.kill(other),
-                Some(_) => cluster.net.cut(CONTROLLERS[leader], CONTROLLERS[other]),
+                Some("restart") => cluster.restart_controller(other, 0.1).await,
+                Some("crash") => cluster.kill_controller(other),
+                Some(_) => cluster.net.partition(CONTROLLERS[leader], CONTROLLERS[other]),
                 None => {}
             }
             sleep_s(50.0).await;
@@ -34,12 +34,12 @@
             assert_eq!(running, if fault.is_none() { 12 } else { 0 }, "{fault:?}");
             cluster.net.heal(CONTROLLERS[leader], CONTROLLERS[other]);
             if fault == Some("crash") {
-                cluster.start(other);
+                cluster.start_controller(other);
             }
             cluster.store.set_down(false);
             cluster.wait_until_done(&job.id, 150.0).await;
             let started_once =
-                (0..12).all(|index| cluster.history.starts_of(&task_id(&job, index)) == 1);
+                (0..12).all(|index| cluster.history.start_count(&task_id(&job, index)) == 1);
             assert_eq!(started_once, fault.is_none());
         });
     }
@@ -77,12 +77,12 @@
                 sleep_s(f64::max(leader_ends_s, 0.0)).await;
                 if is_cut_off {
                     for other in cluster.other_controllers(leader) {
-                        cluster.net.cut(CONTROLLERS[other], isolated.settings.name.as_str());
+                        cluster.net.partition(CONTROLLERS[other], isolated.settings.name.as_str());
                     }
-                    cluster.cut_from_peers(leader);
-                    cluster.store_refuses[leader].set(true);
+                    cluster.partition_from_peers(leader);
+                    cluster.is_refused_by_store[leader].set(true);
                 } else {
-                    cluster.restart(leader, 0.2).await;
+                    cluster.restart_controller(leader, 0.2).await;
                 }
             };
             tokio::join!(outage_ends, leader_ends);
@@ -93,7 +93,7 @@
                 cluster.net.heal(CONTROLLERS[other], isolated.settings.name.as_str());
             }
             cluster.heal_to_peers(leader);
-            cluster.store_refuses[leader].set(false);
+            cluster.is_refused_by_store[leader].set(false);
             for job in jobs.iter().chain([&long]) {
                 cluster.wait_until_done(&job.id, 150.0).await;
             }
@@ -113,19 +113,19 @@
                 sleep_s(5.0).await;
                 let leader = cluster.leader();
                 let other = cluster.other_controllers(leader)[0];
-                cluster.cut_from_peers(leader);
-                cluster.store_refuses[leader].set(true);
+                cluster.partition_from_peers(leader);
+                cluster.is_refused_by_store[leader].set(true);
                 sleep_s(0.3).await;
-                cluster.cancel_through(other, &job.id).await;
+                cluster.cancel_at(other, &job.id).await;
                 let confirmed_at = tokio::time::Instant::now();
                 if has_restart {
                     // The new process reads the store, but does not know which cancellations the
                     // previous process confirmed.
-                    cluster.restart(other, 0.05).await;
+                    cluster.restart_controller(other, 0.05).await;
                     sleep_s(2.5).await;
                 }
                 cluster.store.set_down(true);
-                cluster.store_refuses[leader].set(false);
+                cluster.is_refused_by_store[leader].set(false);
                 sleep_s(heal_after_s).await;
                 cluster.heal_to_peers(leader);
                 sleep_s(CANCEL_S - confirmed_at.elapsed().as_secs_f64() - 0.1).await;
@@ -151,8 +151,8 @@
         }
         sleep_s(5.0).await;
         let leader = cluster.leader();
-        cluster.cut_from_peers(leader);
-        cluster.store_refuses[leader].set(true);
+        cluster.partition_from_peers(leader);
+        cluster.is_refused_by_store[leader].set(true);
         sleep_s(1.6).await;
         let starts = cluster.history.total_starts();
         sleep_s(4.0).await;
@@ -161,7 +161,7 @@
             cluster.history.total_starts() <= starts + 16,
             "the leader keeps its lease but starts no task"
         );
-        cluster.store_refuses[leader].set(false);
+        cluster.is_refused_by_store[leader].set(false);
         cluster.heal_to_peers(leader);
         for job in &jobs {
             cluster.wait_until_done(&job.id, 150.0).await;
--- a/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/unread_cancellations.rs
@@ -3,8 +3,8 @@
 //! longer than the cancellation limit.
 
 use crate::cluster::{
-    cancels_job, claims_jobs, job_spec, scenario, sleep_s, task_id, Cluster, CANCEL_S, CONTROLLERS,
-    LEASE_S,
+    is_job_cancellation, is_job_claim, job_spec, scenario, sleep_s, task_id, Cluster, CANCEL_S,
+    CONTROLLERS, LEASE_S,
 };
 use corkfield_fakes::{FakeWorker, Fault};
 use corkfield_wire::peer::Frame;
@@ -58,12 +58,12 @@
     sleep_s(5.0).await;
     let leader = cluster.leader();
     if case.is_cut_from_peers {
-        cluster.cut_from_peers(leader);
+        cluster.partition_from_peers(leader);
     }
     if case.is_cut_from_store {
-        cluster.net.cut(CONTROLLERS[leader], "state");
+        cluster.net.partition(CONTROLLERS[leader], "state");
     } else {
-        cluster.store_refuses[leader].set(true);
+        cluster.is_refused_by_store[leader].set(true);
     }
     sleep_s(case.cancel_after_s).await;
     if case.hung_s > 0.0 {
@@ -71,7 +71,7 @@
     }
     let (other, confirmed_at) = (cluster.other_controllers(leader)[0], tokio::time::Instant::now());
     for id in [&job.id, &stream.id] {
-        cluster.cancel_through(other, id).await;
+        cluster.cancel_at(other, id).await;
     }
     sleep_s(case.outage_after_s).await;
     cluster.store.set_down(true);
@@ -98,7 +98,7 @@
     }
     sleep_s(20.0).await;
     cluster.store.set_down(false);
-    cluster.store_refuses[leader].set(false);
+    cluster.is_refused_by_store[leader].set(false);
     cluster.net.heal(CONTROLLERS[leader], "state");
     cluster.heal_to_peers(leader);
     for id in [&job.id, &stream.id] {
@@ -153,14 +153,14 @@
         sleep_s(9.0).await;
         cluster.store.set_fault_where(Fault::Drop, |request| request.target.contains("prefix=d/"));
         let leader = cluster.leader();
-        cluster.restart(leader, 0.2).await;
+        cluster.restart_controller(leader, 0.2).await;
         sleep_s(12.0).await;
         // The leader learns of cancellations only from its reads of the store.
         let leader = cluster.leader();
-        cluster.cut_from_peers(leader);
+        cluster.partition_from_peers(leader);
         for to_cancel in &jobs[..3] {
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 2);
-            cluster.cancel_through(cluster.other_controllers(leader)[0], &to_cancel.id).await;
+            cluster.cancel_at(cluster.other_controllers(leader)[0], &to_cancel.id).await;
             sleep_s(3.0).await;
             assert_eq!(cluster.history.running_tasks(&to_cancel.id), 0);
         }
@@ -183,7 +183,7 @@
         let job = job_spec(1, 4);
         cluster.submit(&job, 25.0).await;
         sleep_s(5.0).await;
-        cluster.store.set_fault_where(Fault::Drop, cancels_job);
+        cluster.store.set_fault_where(Fault::Drop, is_job_cancellation);
         let other = cluster.other_controllers(cluster.leader())[0];
         let path = format!("{PATH_JOBS}/{}/{PATH_CANCEL}", job.id);
         let (status, _) = cluster.request(other, "POST", &path, b"").await.expect("an answer");
@@ -200,7 +200,7 @@
 /// the controller answers, or `None` without an answer within 2 s.
 async fn send_to_peer_port(cluster: &Cluster, controller: usize, bytes: &[u8]) -> Option<Frame> {
     let addr = SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8081));
-    let host: Rc<dyn corkfield_http::Network> = cluster.net.host("unknown");
+    let host: Rc<dyn corkfield_http::Network> = cluster.net.host_network("unknown");
     let mut stream = host.connect(addr).await.ok()?;
     stream.write_all(bytes).await.ok()?;
     let answer = async {
@@ -248,7 +248,7 @@
     // or from the store while the leader is cut off from the other controllers.
     for is_refused_by_store in [true, false] {
         scenario(2, |cluster| async move {
-            cluster.store.set_fault_where(Fault::DelayAnswer(0.6), claims_jobs);
+            cluster.store.set_fault_where(Fault::DelayAnswer(0.6), is_job_claim);
             let leader = cluster.leader();
             let other = cluster.other_controllers(leader)[0];
             for number in 1..6 {
@@ -256,14 +256,14 @@
                 cluster.submit(&job, 30.0).await;
                 sleep_s(0.2).await;
                 if is_refused_by_store {
-                    cluster.store_refuses[leader].set(true);
+                    cluster.is_refused_by_store[leader].set(true);
                 } else {
-                    cluster.cut_from_peers(leader);
+                    cluster.partition_from_peers(leader);
                 }
-                cluster.cancel_through(other, &job.id).await;
+                cluster.cancel_at(other, &job.id).await;
                 sleep_s(2.5).await;
                 assert_eq!(cluster.history.running_tasks(&job.id), 0);
-                cluster.store_refuses[leader].set(false);
+                cluster.is_refused_by_store[leader].set(false);
                 cluster.heal_to_peers(leader);
                 sleep_s(1.0).await;
             }
@@ -283,9 +283,9 @@
         // Direct orders to the worker are lost with the connection. Another controller relays the
         // worker's heartbeats.
         let name = worker.settings.name.to_string();
-        cluster.net.cut(CONTROLLERS[leader], &name);
+        cluster.net.partition(CONTROLLERS[leader], &name);
         sleep_s(1.0).await;
-        cluster.cancel_through(cluster.other_controllers(leader)[0], &job.id).await;
+        cluster.cancel_at(cluster.other_controllers(leader)[0], &job.id).await;
         sleep_s(LEASE_S + 2.0).await;
         assert_eq!(
             cluster.history.running_tasks(&job.id),
--- a/crates/corkfield/tests/scenarios/combined_faults/users.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/users.rs
@@ -1,7 +1,7 @@
 //! User requests that arrive while a job ends, and many jobs under frequent polls.
 
 use crate::cluster::{
-    cancels_job, is_transaction, job_spec, scenario, sleep_s, StoreLoad, CONTROLLERS,
+    is_job_cancellation, is_transaction, job_spec, scenario, sleep_s, StoreLoad, CONTROLLERS,
 };
 use corkfield_fakes::Fault;
 use corkfield_wire::user::PATH_CANCEL;
@@ -46,7 +46,7 @@
                                 id,
                                 None
                             ),
-                            requester.submit_again((controller + 2) % CONTROLLERS.len(), &job),
+                            requester.submit_to((controller + 2) % CONTROLLERS.len(), &job),
                         );
                         for wait in [0.03, 0.04, 0.04, 0.04] {
                             sleep_s(wait).await;
@@ -65,7 +65,7 @@
                 sleep_s(0.3).await;
                 if has_failover && number == 12 {
                     let leader = cluster.leader();
-                    cluster.restart(leader, 0.2).await;
+                    cluster.restart_controller(leader, 0.2).await;
                 }
             }
             for request in requests {
@@ -78,7 +78,7 @@
 #[test]
 fn a_cancellation_executed_after_the_job_ended_is_answered_with_the_final_status() {
     scenario(2, |cluster| async move {
-        cluster.store.set_fault_where(Fault::Delay(1.2), cancels_job);
+        cluster.store.set_fault_where(Fault::Delay(1.2), is_job_cancellation);
         for number in 1..=8u32 {
             let job = job_spec(number, 2);
             cluster.submit(&job, 2.0).await;
@@ -103,7 +103,7 @@
 #[test]
 fn small_jobs_a_large_array_and_low_priority_work_starve_no_job_under_frequent_polls() {
     scenario(4, |cluster| async move {
-        let store_load = StoreLoad::count(&cluster.store);
+        let store_load = StoreLoad::start_counting(&cluster.store);
         let mut large_array = job_spec(1, 2000);
         (large_array.cpus, large_array.memory_gb) = (0.25, 0.2);
         cluster.submit(&large_array, 1.0).await;
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a machine's worker: it runs tasks, heartbeats to the controllers, and takes
-//! direct orders. Tests make it hang, cut it off, or let it fail.
+//! A fake worker of a machine: it runs tasks, sends heartbeats to the controllers and executes
+//! direct orders. Tests can make the worker hang, block its messages, or make its tasks fail.
 
 mod commands;
 mod execution;
@@ -17,35 +17,37 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How many of its heartbeats a worker keeps for copies that come late.
-const KEPT_HEARTBEATS: usize = 64;
+/// The number of sent heartbeats that a worker keeps, so that tests can deliver late copies.
+const MAX_KEPT_HEARTBEATS: usize = 64;
 
-/// How long a task waits for its image unless a test sets another time.
-const DEFAULT_IMAGE_FETCH: Duration = Duration::from_millis(200);
+/// The time that a task takes to fetch its image, unless a test sets another time.
+const DEFAULT_IMAGE_FETCH_DURATION: Duration = Duration::from_millis(200);
 
-/// What a worker is started with.
+/// The settings of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerSettings {
-    /// The machine by name.
+    /// The name of the machine.
     pub name: MachineName,
-    /// Where it takes direct orders.
+    /// The address at which the worker receives direct orders.
     pub addr: SocketAddr,
-    /// Its machine type by name.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// The zone that it is in.
+    /// The zone of the machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// How many CPUs its tasks may use.
+    /// The CPUs that tasks may use.
     pub cpus: f64,
-    /// The time between two heartbeats without changes.
-    pub heartbeat: Duration,
-    /// How long it keeps its tasks after the heartbeat that was answered last.
-    pub lease: Duration,
-    /// Heartbeats again after each answer, as if something had changed, not only after changes: a
-    /// scenario then takes less simulated time. A measure of load needs the protocol's own rate.
-    pub heartbeats_after_answers: bool,
-    /// All controllers, by name.
+    /// The time between two heartbeats if nothing changes.
+    pub heartbeat_interval: Duration,
+    /// The time for which the worker keeps its tasks after it sent the last heartbeat that was
+    /// answered.
+    pub lease_duration: Duration,
+    /// Whether the worker treats each reply as a change and sends the next heartbeat soon after it.
+    /// Scenarios set this to take less simulated time; a load measurement must not, because it
+    /// needs the rate of the protocol.
+    pub heartbeat_after_each_reply: bool,
+    /// The names and addresses of all controllers.
     pub controllers: Vec<(ControllerName, SocketAddr)>,
 }
 
@@ -53,20 +55,21 @@
     attempt: Attempt,
     phase: TaskPhase,
     cause: Option<ExitCause>,
-    /// When its present phase ends.
-    until: Instant,
+    /// The time at which the current phase ends.
+    phase_ends_at: Instant,
 }
 
-/// What the worker knows; it loses its tasks when its machine is gone or its lease expires.
+/// The state of the worker. The tasks are dropped when the machine is killed or the worker's lease
+/// expires.
 struct WorkerState {
     agent_epoch: AgentEpoch,
     sequence: u64,
-    /// The highest term it has seen.
+    /// The highest term that the worker has seen.
     term: Term,
-    /// When its lease was renewed: the moment it sent the heartbeat that was answered last.
-    renewed: Instant,
+    /// The time from which the lease runs: when the last answered heartbeat was sent.
+    renewed_at: Instant,
     tasks: BTreeMap<TaskId, Task>,
-    /// Seconds until its machine is taken away, if it was given notice.
+    /// The time until the machine is terminated, in seconds, if a termination notice was given.
     notice_s: Option<f64>,
 }
 
@@ -76,65 +79,66 @@
             agent_epoch: AgentEpoch::FIRST,
             sequence: 0,
             term: Term::default(),
-            renewed: now(),
+            renewed_at: now(),
             tasks: BTreeMap::new(),
             notice_s: None,
         }
     }
 }
 
-/// A machine's worker.
+/// A fake worker of a machine.
 pub struct FakeWorker {
-    /// What it was started with.
+    /// The settings that the worker was started with.
     pub settings: WorkerSettings,
     history: Rc<ExecutionHistory>,
     state: RefCell<WorkerState>,
-    /// Something has changed that the next heartbeat tells.
-    changed: Notify,
-    hung: Cell<bool>,
+    /// Is notified when the state has changed, so that a heartbeat is due.
+    state_changed: Notify,
+    is_hung: Cell<bool>,
     resumed: Notify,
-    /// Its machine is gone.
-    pub dead: Cell<bool>,
-    /// Every task that it starts fails.
-    pub fails_all_tasks: Cell<bool>,
-    /// Its heartbeats arrive, but neither replies nor direct orders reach it.
-    pub receives_nothing: Cell<bool>,
-    /// It reaches no controller, while direct orders reach it.
-    pub sends_nothing: Cell<bool>,
-    /// Its heartbeats are held back on their way: they are kept, and it gives them up one by one.
-    pub heartbeats_held_back: Cell<bool>,
-    /// How long a task waits for its image.
-    pub image_fetch: Cell<Duration>,
-    /// Direct orders are not answered, and executed once after this many seconds.
+    /// Whether the machine has been killed.
+    pub is_dead: Cell<bool>,
+    /// Whether every task that the worker starts fails.
+    pub is_faulty: Cell<bool>,
+    /// Whether replies and direct orders to the worker are lost. Its heartbeats still arrive.
+    pub is_inbound_blocked: Cell<bool>,
+    /// Whether the worker can reach no controller. Direct orders still reach the worker.
+    pub is_outbound_blocked: Cell<bool>,
+    /// Whether heartbeats are held back by the network. The worker records each heartbeat as sent,
+    /// waits for a reply until the timeout, and tries the next controller.
+    pub is_holding_heartbeats: Cell<bool>,
+    /// The time that a task takes to fetch its image.
+    pub image_fetch_duration: Cell<Duration>,
+    /// If set, direct orders are executed after this many seconds and never answered.
     pub command_delay_s: Cell<Option<f64>>,
     delayed_commands: Cell<u32>,
-    /// Counts its processes: one more with each restart.
+    /// The number of restarts; identifies the current process.
     process: Cell<u32>,
     sent_heartbeats: RefCell<VecDeque<Vec<u8>>>,
     undelivered_starts: Cell<u32>,
 }
 
 impl FakeWorker {
-    /// Starts a worker on its machine's network.
+    /// Starts a worker on the network of its machine.
     pub fn start(
         settings: WorkerSettings,
         network: Rc<dyn Network>,
         history: Rc<ExecutionHistory>,
     ) -> Rc<Self> {
-        history.on_machine_up(&settings);
+        history.record_machine(&settings);
         let worker = Rc::new(Self {
             settings,
             history,
             state: RefCell::new(WorkerState::new()),
-            changed: Notify::new(),
-            hung: Cell::new(false),
+            state_changed: Notify::new(),
+            is_hung: Cell::new(false),
             resumed: Notify::new(),
-            dead: Cell::new(false),
-            fails_all_tasks: Cell::new(false),
-            receives_nothing: Cell::new(false),
-            sends_nothing: Cell::new(false),
-            heartbeats_held_back: Cell::new(false),
-            image_fetch: Cell::new(DEFAULT_IMAGE_FETCH),
+            is_dead: Cell::new(false),
+            is_faulty: Cell::new(false),
+            is_inbound_blocked: Cell::new(false),
+            is_outbound_blocked: Cell::new(false),
+            is_holding_heartbeats: Cell::new(false),
+            image_fetch_duration: Cell::new(DEFAULT_IMAGE_FETCH_DURATION),
             command_delay_s: Cell::new(None),
             delayed_commands: Cell::new(0),
             process: Cell::new(0),
@@ -147,74 +151,76 @@
         worker
     }
 
-    /// Lets the machine hang, or go on. While it hangs, its tasks stand still as well.
-    pub fn set_hung(&self, hung: bool) {
-        self.hung.set(hung);
+    /// Makes the machine hang or resume. While the machine hangs, its tasks make no progress.
+    pub fn set_hung(&self, is_hung: bool) {
+        self.is_hung.set(is_hung);
         self.resumed.notify_waiters();
     }
 
-    /// Gives notice that the machine will be taken away.
-    pub fn give_notice(&self, seconds: f64) {
+    /// Gives a termination notice: the machine will be terminated after this many seconds.
+    pub fn give_termination_notice(&self, seconds: f64) {
         self.state.borrow_mut().notice_s = Some(seconds);
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// Heartbeats that it sent, the oldest first, as they were.
+    /// Returns the bodies of the latest heartbeats that the worker sent, the oldest first.
     pub fn sent_heartbeats(&self) -> Vec<Vec<u8>> {
         self.sent_heartbeats.borrow().iter().cloned().collect()
     }
 
-    /// The highest term that it has seen.
+    /// Returns the highest term that the worker has seen.
     pub fn term(&self) -> Term {
         self.state.borrow().term
     }
 
-    /// Whether any task is on it, be it only fetching its image.
-    pub fn holds_tasks(&self) -> bool {
+    /// Returns whether the worker has any task, including exited tasks and tasks that are fetching
+    /// their image.
+    pub fn has_tasks(&self) -> bool {
         !self.state.borrow().tasks.is_empty()
     }
 
-    /// Starts in replies that did not reach it.
+    /// Returns the number of start orders in replies that were lost.
     pub fn undelivered_starts(&self) -> u32 {
         self.undelivered_starts.get()
     }
 
-    /// The machine is back within an instant: its worker counts anew and knows nothing.
+    /// Restarts the machine within an instant: the worker loses its tasks, and its agent epoch,
+    /// sequence number and term start from their initial values.
     pub fn restart(&self) {
         self.drop_tasks();
         let mut state = self.state.borrow_mut();
         (state.agent_epoch, state.sequence, state.term) = (AgentEpoch::FIRST, 0, Term::default());
-        state.renewed = now();
+        state.renewed_at = now();
         self.process.set(self.process.get() + 1);
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 
-    /// Delayed direct orders that were executed in the end.
+    /// Returns the number of delayed messages of direct orders that were executed.
     pub fn delayed_commands(&self) -> u32 {
         self.delayed_commands.get()
     }
 
-    /// Its agent epoch: 1, and one more after each lease that expired.
+    /// Returns the agent epoch, which starts at 1 and increases with each expired lease.
     pub fn agent_epoch(&self) -> AgentEpoch {
         self.state.borrow().agent_epoch
     }
 
-    /// The machine is gone, with all that is on it.
+    /// Kills the machine with all its tasks.
     pub fn kill(&self) {
-        self.dead.set(true);
+        self.is_dead.set(true);
         self.drop_tasks();
     }
 
     fn drop_tasks(&self) {
         for (task, _) in std::mem::take(&mut self.state.borrow_mut().tasks) {
-            self.history.on_end(&task, self.settings.name.as_str());
+            self.history.record_end(&task, self.settings.name.as_str());
         }
     }
 
     async fn wait_while_hung(&self) {
         loop {
             let resumed = self.resumed.notified();
-            if !self.hung.get() {
+            if !self.is_hung.get() {
                 return;
             }
             resumed.await;
@@ -222,23 +228,23 @@
     }
 
     async fn wait_until_dead(&self) {
-        while !self.dead.get() {
+        while !self.is_dead.get() {
             sleep(0.1).await;
         }
     }
 
-    /// A lease that has expired takes all tasks with it, and a new agent epoch begins.
+    /// Drops all tasks and begins a new agent epoch if the lease has expired.
     fn check_lease(&self) {
-        if now() > self.state.borrow().renewed + self.settings.lease {
+        if now() > self.state.borrow().renewed_at + self.settings.lease_duration {
             self.drop_tasks();
             let mut state = self.state.borrow_mut();
             state.agent_epoch = state.agent_epoch.next();
-            state.renewed = now();
-            self.changed.notify_one();
+            state.renewed_at = now();
+            self.state_changed.notify_one();
         }
     }
 
-    /// The next heartbeat, with a new sequence number.
+    /// Returns the next heartbeat, with a new sequence number.
     fn next_heartbeat(&self) -> WorkerHeartbeat {
         let mut state = self.state.borrow_mut();
         state.sequence += 1;
