--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -31,7 +31,7 @@
     // minutes.
     scheduler.on_heartbeat(&heartbeat(8, 6, Vec::new()), true, now);
     scheduler.run_placement_pass(now);
-    assert!(!scheduler.is_reconciled(), "S7");
+    assert!(!scheduler.is_reconciled(), "S7: the heartbeat has an earlier term");
     assert!(placed_tasks(&scheduler).is_empty());
     let running = task_status(Attempt::new((1 << 24) | 1), TaskPhase::Running, None);
     scheduler.on_heartbeat(&heartbeat(9, 7, vec![running]), false, now);
@@ -227,7 +227,11 @@
     scheduler.on_job_claimed(job, TaskSet::default(), Revision::new(5), Duration::ZERO, now);
     scheduler.run_placement_pass(now);
     let placed = placed_tasks(&scheduler);
-    assert_eq!(placed.keys().copied().collect::<Vec<_>>(), [70, 71, 72, 73], "S7");
+    assert_eq!(
+        placed.keys().copied().collect::<Vec<_>>(),
+        [70, 71, 72, 73],
+        "S7: the tasks above the earlier watermark"
+    );
     scheduler.on_machines_deleted(&["host-2".into()]);
     scheduler.on_heartbeat(&heartbeat(10, 7, Vec::new()), true, now);
     assert!(scheduler.is_reconciled());
--- a/crates/core/tests/scheduler/fairness.rs
+++ b/crates/core/tests/scheduler/fairness.rs
@@ -11,7 +11,7 @@
 use corkfield_wire::{AgentEpoch, Attempt, JobId, Priority, Revision, TaskId, TaskSet, Term};
 use std::time::{Duration, Instant};
 
-/// Executes an order at once on a machine without resource limits. Returns whether the order
+/// Executes an order immediately on a machine without resource limits. Returns whether the order
 /// started a task.
 fn execute_order(tasks: &mut Vec<TaskStatus>, order: Order) -> bool {
     match order {
--- a/crates/core/tests/scheduler/machines.rs
+++ b/crates/core/tests/scheduler/machines.rs
@@ -101,10 +101,11 @@
 fn a_machine_missing_from_a_list_is_removed_only_if_the_list_was_requested_late_enough() {
     let now = Instant::now();
     let (mut scheduler, _) = scheduler_with_start_sent(now);
-    // Requested soon after the machine became known: the list may describe an earlier moment.
+    // The list was requested soon after the machine became known, and may describe the state
+    // before that.
     let soon = now + Duration::from_secs(3);
     scheduler.on_machine_list(&[], soon, soon);
-    assert!(scheduler.machine("host-1").is_some(), "S5");
+    assert!(scheduler.machine("host-1").is_some(), "S5: the list may be outdated");
     let later = now + Duration::from_secs(5);
     scheduler.on_machine_list(&[], later, later);
     assert!(scheduler.machine("host-1").is_none());
--- a/crates/core/tests/scheduler/random_faults/restarts.rs
+++ b/crates/core/tests/scheduler/random_faults/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that restart at once, and heartbeats that are delayed beyond the restart.
+//! Workers that restart without downtime, and heartbeats that are delayed beyond the restart.
 
 use super::driver::Driver;
 use super::workers::Worker;
@@ -28,7 +28,7 @@
 }
 
 impl Driver {
-    /// Restarts a random worker at once; it loses its tasks.
+    /// Restarts a random worker without downtime; the worker loses its tasks.
     pub(super) fn restart_random_worker(&mut self) {
         let Some(name) = self.random_machine() else { return };
         let now = self.now;
@@ -53,14 +53,15 @@
         self.delayed_heartbeats.drain(..excess);
     }
 
-    /// Returns that of two random machines whose worker has sent fewer messages since its last
-    /// restart. Its message numbers are low, so the numbers of a new process pass them soon.
+    /// Chooses two random machines and returns the one whose worker has sent fewer messages since
+    /// its last restart. The message numbers of that worker are low, so the numbers of a new
+    /// process soon exceed them.
     fn random_machine_with_few_messages(&mut self) -> Option<MachineName> {
         let names = [self.random_machine()?, self.random_machine()?];
         names.into_iter().min_by_key(|name| self.workers[name].messages_sent())
     }
 
-    /// Delivers a random delayed heartbeat; nobody receives the answer to it.
+    /// Delivers a random delayed heartbeat; its answer is discarded.
     pub(super) fn deliver_random_delayed_heartbeat(&mut self) {
         if self.delayed_heartbeats.is_empty() {
             return;
--- a/crates/core/tests/scheduler/random_faults/workers.rs
+++ b/crates/core/tests/scheduler/random_faults/workers.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Restarts the worker at once: it loses its tasks and its term, and numbers its messages from
-    /// the beginning.
+    /// Restarts the worker without downtime: the worker loses its tasks and its term, and numbers
+    /// its messages from the beginning.
     pub fn restart(&mut self, now: Instant) {
         self.agent_epoch = AgentEpoch::FIRST;
         (self.sequence, self.term) = (0, Term::default());
--- a/crates/core/tests/scheduler/random_faults/writes.rs
+++ b/crates/core/tests/scheduler/random_faults/writes.rs
@@ -25,7 +25,7 @@
 pub(super) struct PendingWrite {
     pub(super) write: Write,
     pub(super) state: WriteState,
-    /// Whether nobody waits for the answer any more.
+    /// Whether the leader no longer waits for the answer.
     pub(super) is_abandoned: bool,
 }
 
--- a/crates/core/tests/scheduler/restarts.rs
+++ b/crates/core/tests/scheduler/restarts.rs
@@ -1,5 +1,5 @@
-//! Tests of workers that restart at once and number their messages from the beginning, while
-//! heartbeats of the previous process are delayed.
+//! Tests of workers that restart without downtime and number their messages from the beginning,
+//! while heartbeats of the previous process are delayed.
 
 use crate::support::{
     config, empty_scheduler, first_job_id, heartbeat, heartbeat_from, heartbeat_over_connection,
@@ -13,9 +13,10 @@
 use std::time::{Duration, Instant};
 
 /// Creates a scheduler with two machines and a job of one task. The worker of `host-1` sent its
-/// first heartbeat and then others, which are delayed. It restarted at once, and heartbeat 2 of the
-/// new process arrived first. Nothing distinguishes that heartbeat from one of the previous
-/// process. Its answer carried the start of the task. Also returns the attempt of that start.
+/// first heartbeat and then others, which are delayed. The worker restarted without downtime, and
+/// heartbeat 2 of the new process arrived first. Nothing distinguishes that heartbeat from one of
+/// the previous process. The answer to heartbeat 2 carried the start of the task. Also returns the
+/// attempt of that start.
 fn scheduler_with_start_sent_after_restart(now: Instant) -> (Scheduler, Attempt) {
     let (mut scheduler, attempt) = scheduler_with_start_sent(now);
     scheduler.on_heartbeat(&heartbeat_from("host-2", 1, Vec::new()), true, now);
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -16,7 +16,8 @@
 fn only_the_workers_next_own_heartbeat_proves_that_a_start_was_lost() {
     let now = Instant::now();
     let (mut scheduler, attempt) = scheduler_with_start_sent_to(heartbeat_over_connection(1), now);
-    // The worker wrote this direct answer while the answer with the start was still in transit.
+    // The worker wrote this answer to a direct request while the answer with the start was still in
+    // transit.
     scheduler.on_heartbeat(&heartbeat(3, 1, Vec::new()), false, now);
     let placement = placed_tasks(&scheduler).get(&0).cloned();
     assert_eq!(
@@ -40,7 +41,7 @@
     scheduler.on_heartbeat(&heartbeat(2, 1, Vec::new()), true, now);
     assert!(
         scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 2, false, now).is_empty(),
-        "S4"
+        "S4: the leader's lease may have expired"
     );
     assert!(
         scheduler.orders_for_answer("host-1", AgentEpoch::new(1), 1, true, now).is_empty(),
@@ -71,7 +72,7 @@
     let (mut scheduler, _) = scheduler_with_start_sent(now);
     let before_expiry = now + Duration::from_secs(12);
     scheduler.tick(before_expiry);
-    assert_eq!(placed_task_count(&scheduler), 1, "S5");
+    assert_eq!(placed_task_count(&scheduler), 1, "S5: the worker's lease may still be valid");
     scheduler.tick(now + Duration::from_secs(15));
     assert!(placed_tasks(&scheduler).is_empty());
     // Later heartbeats of that agent epoch are rejected.
@@ -237,7 +238,7 @@
     let status = task_status(attempt, TaskPhase::Exited, Some(ExitCause::NoSuchTask));
     let refused = TaskStatus { task, ..status };
     scheduler.on_heartbeat(&heartbeat_from("host-0", 3, vec![refused]), true, now);
-    assert!(!scheduler.has_assigned_tasks("host-1"), "the tasks are released at once");
+    assert!(!scheduler.has_assigned_tasks("host-1"), "the tasks are released immediately");
     assert_eq!(placed_task_count(&scheduler), 0);
     claim_job(&mut scheduler, 2, Priority::Normal, 8, now);
     scheduler.run_placement_pass(now);
--- a/crates/corkfield/tests/scenarios/cluster/mod.rs
+++ b/crates/corkfield/tests/scenarios/cluster/mod.rs
@@ -189,7 +189,7 @@
         self.processes.borrow_mut()[controller] = Some(ControllerProcess { handle, pause_handle });
     }
 
-    /// Kills a controller at once, with all its tasks.
+    /// Kills a controller immediately, with all its tasks.
     pub fn kill_controller(&self, controller: usize) {
         if let Some(process) = self.processes.borrow_mut()[controller].take() {
             process.handle.abort();
--- a/crates/corkfield/tests/scenarios/cluster/settings.rs
+++ b/crates/corkfield/tests/scenarios/cluster/settings.rs
@@ -32,8 +32,8 @@
     SocketAddr::from(([10, 0, 0, controller as u8 + 1], 8080))
 }
 
-/// Returns the address at which a controller reaches the state service. Each controller has its
-/// own, so that the state service can refuse a single controller.
+/// Returns the address at which a controller reaches the state service. Each controller uses
+/// an address of its own, so that the state service can refuse a single controller.
 pub fn store_addr(controller: usize) -> SocketAddr {
     SocketAddr::from(([10, 2, 0, controller as u8 + 1], 2379))
 }
--- a/crates/corkfield/tests/scenarios/cluster/store_load.rs
+++ b/crates/corkfield/tests/scenarios/cluster/store_load.rs
@@ -42,7 +42,7 @@
 
 impl StoreLoad {
     /// Counts requests from now on. This replaces the fault chooser of the store, so that all
-    /// requests are executed and answered at once.
+    /// requests are executed and answered immediately.
     pub fn start_counting(store: &FakeStore) -> Self {
         let load = Self { requests: Rc::default(), changes: Rc::default() };
         let (requests, changes) = (load.requests.clone(), load.changes.clone());
--- a/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/back_offs.rs
@@ -101,11 +101,11 @@
 
 /// Guards against a late answer that overwrites newer state. A job fails on three machines and
 /// backs off while one of its tasks completes on a fourth. The store executes the completion commit
-/// at once and answers late, after the leader has claimed the job again, based on the watched
-/// record. Before the fix, the leader took the record of the commit for the newest one and returned
-/// to the generation and version before the claim. Every later commit was conditional on that
-/// version and was refused ("completion commit failed" with a conflict), so the job never completed
-/// under that leader.
+/// immediately and answers late, after the leader has claimed the job again, based on the watched
+/// record. Before the fix, the leader treated the record of the commit as the newest one and
+/// returned to the generation and version before the claim. Every later commit was conditional on
+/// that version and was refused ("completion commit failed" with a conflict), so the job never
+/// completed under that leader.
 #[test]
 fn a_job_completes_when_a_commit_is_answered_after_the_next_claim() {
     for run_s in [1.0, 1.4, 1.8, 2.2, 2.6, 3.0] {
@@ -159,9 +159,9 @@
 /// Guards against a released job that is never claimed. A job is dead-lettered while one of its
 /// tasks runs; the task is stopped, and the write of the job's record is delayed. Meanwhile an
 /// operator releases the job, and the first claim after the release is lost. The delayed write is
-/// refused, and the record read afterwards has the same generation. Before the fix, the leader took
-/// that record for its own write and did not claim the job again, because it knew the version: the
-/// overview listed no dead-lettered job, but no task of the job ran under that leader.
+/// refused, and the record read afterwards has the same generation. Before the fix, the leader
+/// treated that record as its own write and did not claim the job again, because it knew the
+/// version: the overview listed no dead-lettered job, but no task of the job ran under that leader.
 #[test]
 fn a_job_released_while_its_record_is_written_runs_again() {
     for release_after_s in [0.0, 0.2, 0.4, 0.6, 0.8, 1.0, 1.2, 1.4] {
@@ -190,8 +190,8 @@
 /// Guards against a released job that stays dead-lettered in the leader's memory. The store
 /// executes the claim of the released job late, after the leader has read the record and not found
 /// the claim, and refuses the next claim as a conflict. The record then names the leader as owner,
-/// at a generation that the leader does not know. Before the fix, the leader took the job for
-/// claimed and did not claim it again.
+/// at a generation that the leader does not know. Before the fix, the leader considered the
+/// job claimed and did not claim it again.
 #[test]
 fn a_released_job_whose_claim_is_executed_late_runs_again() {
     // The claim that is executed late counts towards the limit.
--- a/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/cancellations.rs
@@ -43,9 +43,9 @@
 #[test]
 fn a_quota_counts_cancelled_tasks_on_unresponsive_machines_while_the_leader_changes() {
     for fault in [MachineFault::Hung, MachineFault::Partitioned, MachineFault::ReceivesNothing] {
-        // Seconds from the cancellation to the end of the leader; negative: before the
-        // cancellation.
-        for leader_ends_s in [-1.0, 0.0, 1.5, 6.0] {
+        // Seconds from the cancellation to the restart of the leader. If the value is negative, the
+        // leader restarts that long before the cancellation.
+        for restart_after_s in [-1.0, 0.0, 1.5, 6.0] {
             scenario(4, |cluster| async move {
                 let (cancelled, next) = (capped_job(1, 6, 1.0), capped_job(2, 12, 2.0));
                 let newest = capped_job(3, 6, 2.0);
@@ -68,19 +68,19 @@
                     .iter()
                     .for_each(|worker| set_machine_fault(&cluster, worker, fault, true));
                 cluster.cloud.is_down.set(true);
-                if leader_ends_s < 0.0 {
+                if restart_after_s < 0.0 {
                     cluster.restart_controller(cluster.leader(), 0.3).await;
-                    sleep_s(-leader_ends_s).await;
+                    sleep_s(-restart_after_s).await;
                 }
                 cluster.cancel(&cancelled.id).await;
-                if leader_ends_s >= 0.0 {
-                    sleep_s(leader_ends_s).await;
+                if restart_after_s >= 0.0 {
+                    sleep_s(restart_after_s).await;
                     cluster.restart_controller(cluster.leader(), 0.3).await;
                 }
                 // No machine can have started a task of this job, so only the quota delays it.
                 cluster.submit(&newest, 3.0).await;
                 // A machine that resumes within its lease still runs its cancelled tasks at first.
-                sleep_s(LEASE_S - 3.0 - f64::max(leader_ends_s, 0.0)).await;
+                sleep_s(LEASE_S - 3.0 - f64::max(restart_after_s, 0.0)).await;
                 unresponsive
                     .iter()
                     .for_each(|worker| set_machine_fault(&cluster, worker, fault, false));
@@ -99,7 +99,7 @@
 enum LeaderFault {
     /// The leader's process ends.
     Crash,
-    /// The leader is cut off from all workers and hands over.
+    /// The leader is cut off from all workers and hands over the leadership.
     CutFromWorkers,
     /// The store refuses the leader's requests.
     RefusedByStore,
--- a/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/leader_changes.rs
@@ -177,8 +177,8 @@
         job.estimate_s = 60.0;
         cluster.submit(&job, 60.0).await;
         sleep_s(3.0).await;
-        // The paused leader still has the rented machines as booting, while they come up under the
-        // next leader.
+        // The paused leader still considers the rented machines to be booting, while they come up
+        // under the next leader.
         let leader = cluster.leader();
         cluster.pause_controller(leader, 40.0).await;
         assert_ne!(cluster.leader(), leader);
@@ -207,7 +207,7 @@
             cluster.net.partition(CONTROLLERS[leader], "*");
             sleep_s(partition_s).await;
             assert_ne!(cluster.leader(), leader);
-            // The old leader learns at once that another controller owns its jobs, so that the
+            // The old leader learns immediately that another controller owns its jobs, so that the
             // machines seem unused. Only 3 s later it learns that another controller leads and
             // that its own lease is lost.
             cluster.store.set_fault_where(Fault::Drop, |request| {
@@ -284,7 +284,8 @@
                 .iter()
                 .map(|worker| worker.settings.name.to_string())
                 .collect();
-            // The workers are cut off from the leader twice, so that it hands over each time.
+            // The workers are cut off from the leader twice, so that the leader hands over
+            // the leadership each time.
             for _ in 0..2 {
                 let leader = cluster.leader();
                 machines
--- a/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Transactions that the store executes at once while only their answers are lost.
+//! Transactions that the store executes immediately while only their answers are lost.
 
 use crate::cluster::{job_spec, scenario, sleep_s, Cluster, CONTROLLERS, LEASE_S};
 use corkfield_fakes::Fault;
@@ -45,7 +45,7 @@
 }
 
 /// Makes the store lose its answers to the next transactions of a kind, up to `max_lost` of them.
-/// The store executes these transactions at once. Returns the number of answers lost so far.
+/// The store executes these transactions immediately. Returns a counter of the lost answers.
 fn lose_answers(cluster: &Cluster, kind: TransactionKind, max_lost: u32) -> Rc<Cell<u32>> {
     let lost = Rc::new(Cell::new(0));
     let counter = lost.clone();
--- a/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/many_small_jobs.rs
@@ -1,4 +1,4 @@
-//! One-task jobs in quick succession, and machines that boot almost at once.
+//! One-task jobs in quick succession, and machines that boot almost immediately.
 
 use crate::cluster::{job_spec, scenario, sleep_s, Cluster, StoreLoad};
 use corkfield_fakes::{Fault, JobPlan};
--- a/crates/corkfield/tests/scenarios/combined_faults/messages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/messages.rs
@@ -18,7 +18,8 @@
             let worker = cluster.worker_of(&task_id(&job, 0));
             let name = worker.settings.name.to_string();
             cluster.cloud.is_down.set(true);
-            // The machine's heartbeats to each controller are in flight when the leader ends.
+            // The machine's heartbeats to each controller are in flight when the leader
+            // restarts.
             for controller in CONTROLLERS {
                 cluster.net.partition(&name, controller);
             }
--- a/crates/corkfield/tests/scenarios/combined_faults/mod.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios in which two faults occur at once. `docs/fault-combinations.md` lists the combinations
-//! and their scenarios.
+//! Scenarios in which two faults occur at the same time. `docs/fault-combinations.md` lists the
+//! combinations and their scenarios.
 
 mod back_offs;
 mod cancellations;
--- a/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/read_consistency.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn no_controller_answers_with_a_status_older_than_another_has_answered() {
-    // The store answers at once, or after a random delay of up to `slowest_s` seconds.
+    // The store answers immediately, or after a random delay of up to `slowest_s` seconds.
     for (seed, slowest_s) in [(0, 0.0), (1, 0.03), (2, 0.3), (3, 0.9)] {
         scenario(3, |cluster| async move {
             let rng = RefCell::new(SmallRng::seed_from_u64(seed));
--- a/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
+++ b/crates/corkfield/tests/scenarios/combined_faults/store_outages.rs
@@ -12,8 +12,8 @@
 
 #[test]
 fn tasks_keep_running_in_a_store_outage_only_while_all_controllers_attest() {
-    // A controller that has restarted, has ended or is cut off from the leader does not attest, and
-    // all tasks end.
+    // A controller that has restarted, has crashed or is cut off from the leader does not attest,
+    // and all tasks end.
     for fault in [None, Some("restart"), Some("crash"), Some("cut")] {
         scenario(2, |cluster| async move {
             let job = job_spec(1, 12);
--- a/crates/corkfield/tests/scenarios/delayed_heartbeats.rs
+++ b/crates/corkfield/tests/scenarios/delayed_heartbeats.rs
@@ -92,8 +92,8 @@
     let body = serde_json::to_vec(heartbeat).expect("serializable");
     let leader = cluster.leader();
     let standby = (leader + 1) % CONTROLLERS.len();
-    // A standby relays the heartbeat of a worker that comes twice, because the worker apparently
-    // cannot reach the leader.
+    // The heartbeat is sent to the standby twice: a standby relays the heartbeat of a worker that
+    // returns to the standby, because the worker apparently cannot reach the leader.
     let controllers = if route == Route::Direct { vec![leader] } else { vec![standby, standby] };
     for controller in controllers {
         cluster.request(controller, "POST", PATH_HEARTBEAT, &body).await;
@@ -132,8 +132,8 @@
 }
 
 /// Guards against a task that runs on two machines. A delayed heartbeat of the previous process
-/// does not report a task that the new process is fetching or running; the leader took the task for
-/// lost and started it on another machine.
+/// does not report a task that the new process is fetching or running; the leader considered
+/// the task lost and started it on another machine.
 #[test]
 fn a_delayed_heartbeat_with_a_higher_sequence_number_starts_no_task_twice() {
     for route in [Route::Direct, Route::Relayed] {
--- a/crates/corkfield/tests/scenarios/fleet/mod.rs
+++ b/crates/corkfield/tests/scenarios/fleet/mod.rs
@@ -71,8 +71,8 @@
             cluster.submit(job, 20.0).await;
         }
         wait_until_started(&cluster, 12_000, 30.0).await;
-        // This covers 34 rentals, a record for each machine, and a write for each raise of a job's
-        // start watermark.
+        // The bounds cover 34 rentals, a record for each machine, and a write for each raise of a
+        // job's start watermark.
         let boot_load = counter.take_counts().await;
         assert!(
             boot_load.cloud_requests < 120
@@ -100,7 +100,7 @@
         );
         hung.iter().for_each(|worker| worker.set_hung(false));
         sleep_s(3.0).await;
-        assert!(hung.iter().all(|worker| !worker.is_dead.get()), "no hung machine is given up");
+        assert!(hung.iter().all(|worker| !worker.is_dead.get()), "no hung machine was returned");
         // A third of the machines is reclaimed without notice.
         for worker in cluster.cloud.workers().into_iter().step_by(3) {
             cluster.cloud.reclaim(worker.settings.name.as_str());
--- a/crates/corkfield/tests/scenarios/leadership.rs
+++ b/crates/corkfield/tests/scenarios/leadership.rs
@@ -101,7 +101,7 @@
         sleep_s(1.5).await;
         assert!(
             cluster.elected_leader().expect("there is a leader").term > term,
-            "the session lease of the killed leader ended at once"
+            "the session lease of the killed leader ended before its expiry"
         );
         cluster.wait_until_done(&job.id, 45.0).await;
         sleep_s(45.0).await;
--- a/crates/corkfield/tests/scenarios/message_faults.rs
+++ b/crates/corkfield/tests/scenarios/message_faults.rs
@@ -1,4 +1,4 @@
-//! Lost, delayed and copied messages, workers and controllers that restart at once, and the load of
+//! Lost, delayed and copied messages, quick restarts of workers and controllers, and the load of
 //! hundreds of machines and jobs.
 
 use crate::cluster::{
@@ -43,11 +43,12 @@
         sleep_s(5.0).await;
         let blocked_worker = cluster.cloud.workers()[0].clone();
         blocked_worker.is_inbound_blocked.set(true);
-        // With the cloud down, the machine cannot be returned either.
+        // With the cloud down, the leader cannot return the machine instead of waiting.
         cluster.cloud.is_down.set(true);
         let leader = cluster.leader();
         cluster.restart_controller(leader, 0.2).await;
-        // This covers the answer limit, a worker's lease and the remaining run time of the tasks.
+        // The timeout covers the answer limit, a worker's lease and the remaining run time of the
+        // tasks.
         cluster.wait_until_done(&job.id, 100.0).await;
     });
 }
@@ -305,8 +306,8 @@
 fn records_of_many_jobs_are_written_concurrently_while_the_store_is_slow() {
     scenario(60, |cluster| async move {
         cluster.store.set_fault_where(Fault::Delay(0.9), is_transaction);
-        // The first 128 tasks of each job may start at once; the others require a write of the
-        // job's record first.
+        // The first 128 tasks of each job may start immediately; the others require a write
+        // of the job's record first.
         let jobs: Vec<_> = (1..=40).map(|number| job_spec(number, 200)).collect();
         let started = tokio::time::Instant::now();
         for job in &jobs {
--- a/crates/corkfield/tests/scenarios/store_faults.rs
+++ b/crates/corkfield/tests/scenarios/store_faults.rs
@@ -103,8 +103,8 @@
             cluster.request(0, "GET", PATH_READY, b"").await.map(|(status, _)| status),
             Some(200)
         );
-        // A controller that restarts during the outage is ready, as the others are, once their last
-        // proof of fresh state is old.
+        // While no controller reaches the store, a controller that has restarted reports ready,
+        // although it has no recent proof of fresh state.
         cluster.restart_controller(2, 0.5).await;
         sleep_s(10.0).await;
         assert_eq!(
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -39,7 +39,7 @@
     worker_template: WorkerSettings,
     /// The machine types that the cloud lists.
     pub machine_types: Vec<MachineType>,
-    /// The largest number of machines that can exist at once.
+    /// The largest number of machines that can exist at the same time.
     pub capacity: Cell<usize>,
     /// Whether the cloud answers every request with 503.
     pub is_down: Cell<bool>,
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -92,7 +92,8 @@
     spot: bool,
 }
 
-/// Is called with each start order when a worker receives it.
+/// A function that is called with the task and the attempt of each start order that a worker
+/// receives.
 type StartOrderObserver = Box<dyn Fn(&TaskId, Attempt)>;
 
 /// Records the tasks that workers run and the answers that users get, and collects each
--- a/crates/fakes/src/net.rs
+++ b/crates/fakes/src/net.rs
@@ -189,7 +189,7 @@
         self.0.latency.set(latency);
     }
 
-    /// Returns the highest number of connections that a host had open at once.
+    /// Returns the highest number of connections that a host had open at the same time.
     pub fn peak_connections(&self, host: &str) -> usize {
         self.0.connections.borrow().get(host).map_or(0, |count| count.peak)
     }
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -29,11 +29,11 @@
 /// The fault that is injected into a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The request is executed and answered at once.
+    /// The request is executed and answered immediately.
     None,
     /// The request is executed after this many seconds, then answered.
     Delay(f64),
-    /// The request is executed at once and answered after this many seconds.
+    /// The request is executed immediately and answered after this many seconds.
     DelayAnswer(f64),
     /// The request is executed, but its answer is lost.
     LoseAnswer,
@@ -103,7 +103,7 @@
         self.set_faults(move |request| if is_match(request) { fault } else { Fault::None });
     }
 
-    /// Injects no more faults: all requests from now on are executed and answered at once.
+    /// Stops injecting faults: all requests from now on are executed and answered immediately.
     pub fn clear_faults(&self) {
         *self.fault_chooser.borrow_mut() = None;
     }
--- a/crates/fakes/src/worker/heartbeats.rs
+++ b/crates/fakes/src/worker/heartbeats.rs
@@ -1,5 +1,6 @@
-//! The worker's side of the heartbeat protocol. The worker sends one heartbeat at a time. All go to
-//! the same controller until a redirect or a failure makes the worker switch to another one.
+//! The worker's side of the heartbeat protocol. The worker sends one heartbeat at a time. All
+//! heartbeats go to the same controller until a redirect or a failure makes the worker switch to
+//! another one.
 
 use super::{FakeWorker, MAX_KEPT_HEARTBEATS};
 use crate::{now, sleep};
@@ -33,7 +34,8 @@
             } else {
                 self.send_heartbeat(&client, controller).await
             };
-            // The connection is kept only while the worker stays with the same controller.
+            // An error means that the worker needs a new connection: to another controller, or to
+            // the same controller after a restart of the worker.
             if let Err(next) = next {
                 controller = next;
                 client = self.create_client(controller, &network);
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -66,7 +66,8 @@
     sequence: u64,
     /// The highest term that the worker has seen.
     term: Term,
-    /// The time from which the lease runs: when the last answered heartbeat was sent.
+    /// The start of the current lease period: the time at which the last answered heartbeat was
+    /// sent.
     renewed_at: Instant,
     tasks: BTreeMap<TaskId, Task>,
     /// The time until the machine is terminated, in seconds, if a termination notice was given.
@@ -92,7 +93,8 @@
     pub settings: WorkerSettings,
     history: Rc<ExecutionHistory>,
     state: RefCell<WorkerState>,
-    /// Is notified when the state has changed, so that a heartbeat is due.
+    /// Wakes the task that sends heartbeats when the state has changed, so that it sends the next
+    /// heartbeat early.
     state_changed: Notify,
     is_hung: Cell<bool>,
     resumed: Notify,
@@ -184,7 +186,7 @@
         self.undelivered_starts.get()
     }
 
-    /// Restarts the machine within an instant: the worker loses its tasks, and its agent epoch,
+    /// Restarts the machine without downtime: the worker loses its tasks, and its agent epoch,
     /// sequence number and term start from their initial values.
     pub fn restart(&self) {
         self.drop_tasks();
