--- a/crates/core/tests/scheduler/failover.rs
+++ b/crates/core/tests/scheduler/failover.rs
@@ -230,7 +230,7 @@
     assert_eq!(
         placed.keys().copied().collect::<Vec<_>>(),
         [70, 71, 72, 73],
-        "S7: the tasks above the earlier watermark"
+        "S7: tasks at or above the earlier watermark"
     );
     scheduler.on_machines_deleted(&["host-2".into()]);
     scheduler.on_heartbeat(&heartbeat(10, 7, Vec::new()), true, now);
