--- a/crates/core/src/machine/message_processing.rs
+++ b/crates/core/src/machine/message_processing.rs
@@ -77,7 +77,7 @@
         self.addr.clone_from(&heartbeat.addr);
         let gap = self.last_message_at.map(|at| now.saturating_duration_since(at));
         self.last_message_at = Some(now);
-        self.has_interruption_notice = heartbeat.termination_notice_s.is_some();
+        self.has_interruption_notice = heartbeat.interruption_notice_s.is_some();
         if self.state == MachineState::Booting {
             self.transition_to(MachineState::Up);
             self.lease.assume_renewed_at(now);
--- a/crates/core/src/scheduler/heartbeats/mod.rs
+++ b/crates/core/src/scheduler/heartbeats/mod.rs
@@ -146,7 +146,7 @@
         }
         self.sync_tasks(heartbeat, context);
         self.reconciliation.mark_reconciled(name.as_str(), context.received_at);
-        if heartbeat.termination_notice_s.is_some() {
+        if heartbeat.interruption_notice_s.is_some() {
             self.stop_tasks_with_checkpoints(name.as_str());
         }
     }
--- a/crates/core/tests/scheduler/random_faults/workers.rs
+++ b/crates/core/tests/scheduler/random_faults/workers.rs
@@ -156,7 +156,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             term: self.term,
-            termination_notice_s: self.has_interruption_notice.then_some(30.0),
+            interruption_notice_s: self.has_interruption_notice.then_some(30.0),
             tasks: tasks.collect(),
         }
     }
--- a/crates/core/tests/scheduler/starts.rs
+++ b/crates/core/tests/scheduler/starts.rs
@@ -104,8 +104,10 @@
         // Before the start is sent, for example during an outage of the store, the cloud announces
         // that it reclaims the machine, or the machine is drained.
         if has_interruption_notice {
-            let heartbeat =
-                WorkerHeartbeat { termination_notice_s: Some(30.0), ..heartbeat(2, 1, Vec::new()) };
+            let heartbeat = WorkerHeartbeat {
+                interruption_notice_s: Some(30.0),
+                ..heartbeat(2, 1, Vec::new())
+            };
             scheduler.on_heartbeat(&heartbeat, true, later);
         } else {
             scheduler.drain_machine("host-1");
--- a/crates/core/tests/scheduler/support.rs
+++ b/crates/core/tests/scheduler/support.rs
@@ -101,7 +101,7 @@
         agent_epoch: AgentEpoch::new(1),
         sequence,
         term: Term::new(term),
-        termination_notice_s: None,
+        interruption_notice_s: None,
         tasks,
     }
 }
--- a/crates/corkfield/examples/load/worker.rs
+++ b/crates/corkfield/examples/load/worker.rs
@@ -132,7 +132,7 @@
             agent_epoch: AgentEpoch::new(1),
             sequence: self.sequence,
             term: self.term,
-            termination_notice_s: None,
+            interruption_notice_s: None,
             tasks: tasks.collect(),
         };
         serde_json::to_vec(&heartbeat).unwrap_or_default()
--- a/crates/corkfield/src/leadership/active_leader.rs
+++ b/crates/corkfield/src/leadership/active_leader.rs
@@ -45,7 +45,7 @@
             membership: won.membership,
             record_version: Cell::new(won.record_version),
         });
-        context.leadership.enter_state(LeadershipState::Preparing(claim.clone()));
+        context.leadership.transition_to(LeadershipState::Preparing(claim.clone()));
         if let Some(types) = context.replica.contents.borrow().machine_types.clone() {
             scheduler.set_machine_types(types);
         }
@@ -92,7 +92,7 @@
         self.claim_next_batch().await;
         let leadership = &self.context.leadership;
         leadership
-            .enter_state(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
+            .transition_to(LeadershipState::leading(self.claim.clone(), self.scheduler.clone()));
         leadership.close_ended_jobs(&self.context.replica.contents.borrow().jobs);
     }
 
--- a/crates/corkfield/src/leadership/election.rs
+++ b/crates/corkfield/src/leadership/election.rs
@@ -57,7 +57,7 @@
 /// it now, or if the claim failed.
 pub(super) async fn try_claim_leadership(context: &LeadershipContext) -> Option<WonElection> {
     let Candidacy { membership, previous, conditions } = prepare_candidacy(context)?;
-    context.leadership.enter_state(LeadershipState::Electing);
+    context.leadership.transition_to(LeadershipState::Electing);
     wait_before_claim(context, previous.as_ref()).await;
     let previous_term = previous.map_or(Term::default(), |record| record.term);
     let term = previous_term.max(context.leadership.highest_seen_term()).next();
@@ -72,7 +72,7 @@
         Ok(record_version) => Some(WonElection { membership, record_version, term }),
         Err(error) => {
             tracing::debug!(term = term.get(), %error, "claim of the leader record failed");
-            context.leadership.enter_state(LeadershipState::Standby);
+            context.leadership.transition_to(LeadershipState::Standby);
             None
         }
     }
--- a/crates/corkfield/src/leadership/mod.rs
+++ b/crates/corkfield/src/leadership/mod.rs
@@ -99,7 +99,7 @@
 
 /// Enters the standby state and applies the standby's rate limits.
 fn enter_standby(context: &LeadershipContext) {
-    context.leadership.enter_state(LeadershipState::Standby);
+    context.leadership.transition_to(LeadershipState::Standby);
     context.env.state.set_budget(standby_budget(&context.env));
 }
 
--- a/crates/corkfield/src/leadership/shared_state.rs
+++ b/crates/corkfield/src/leadership/shared_state.rs
@@ -52,7 +52,7 @@
 impl Leadership {
     /// Changes the state. When this controller stops leading, all held answers are released and all
     /// tasks that wait for preparation or for a placement pass are woken.
-    pub(super) fn enter_state(&self, next: LeadershipState) {
+    pub(super) fn transition_to(&self, next: LeadershipState) {
         let has_scheduler = next.scheduler().is_some();
         let is_without_claim = next.claim().is_none();
         let previous = self.state.replace(next);
--- a/crates/corkfield/src/leadership/shared_state/tests.rs
+++ b/crates/corkfield/src/leadership/shared_state/tests.rs
@@ -41,15 +41,15 @@
     let leadership = Leadership::default();
     let observed = || (leadership.is_leading(), leadership.is_ready(), leadership.term());
     assert_eq!(observed(), (false, false, None));
-    leadership.enter_state(LeadershipState::Electing);
+    leadership.transition_to(LeadershipState::Electing);
     assert_eq!(observed(), (false, false, None));
-    leadership.enter_state(LeadershipState::Preparing(claim("a-1")));
+    leadership.transition_to(LeadershipState::Preparing(claim("a-1")));
     assert_eq!(observed(), (true, false, None));
     assert_eq!(leadership.time_since_heartbeat(), None);
-    leadership.enter_state(leading_state(3));
+    leadership.transition_to(leading_state(3));
     assert_eq!(observed(), (true, true, Some(Term::new(3))));
     assert!(leadership.time_since_heartbeat().is_some());
-    leadership.enter_state(LeadershipState::Standby);
+    leadership.transition_to(LeadershipState::Standby);
     assert_eq!(observed(), (false, false, None));
 }
 
@@ -58,7 +58,7 @@
     let leadership = Leadership::default();
     let mut contents = ReplicaContents::default();
     assert!(leadership.is_replaced(&contents), "no claim of the leader record");
-    leadership.enter_state(LeadershipState::Preparing(claim("a-1")));
+    leadership.transition_to(LeadershipState::Preparing(claim("a-1")));
     assert!(!leadership.is_replaced(&contents));
     for (incarnation, version, is_replaced) in
         [("b-1", 49, false), ("b-1", 51, true), ("a-1", 51, false)]
@@ -73,15 +73,15 @@
 #[tokio::test]
 async fn held_answers_are_released_when_leadership_ends_but_not_when_an_election_fails() {
     let leadership = Leadership::default();
-    leadership.enter_state(leading_state(3));
+    leadership.transition_to(leading_state(3));
     let held = leadership.hold_answer("m-1");
     assert!(!is_notified(&held).await);
-    leadership.enter_state(LeadershipState::Standby);
+    leadership.transition_to(LeadershipState::Standby);
     assert!(is_notified(&held).await);
 
     let held = leadership.hold_answer("m-1");
-    leadership.enter_state(LeadershipState::Electing);
-    leadership.enter_state(LeadershipState::Standby);
+    leadership.transition_to(LeadershipState::Electing);
+    leadership.transition_to(LeadershipState::Standby);
     assert!(!is_notified(&held).await);
 }
 
--- a/crates/corkfield/src/session_lease.rs
+++ b/crates/corkfield/src/session_lease.rs
@@ -86,7 +86,7 @@
     }
 
     /// Changes the state and notifies the waiters of [`SessionLease::changed`].
-    fn enter_state(&self, state: LeaseState) {
+    fn transition_to(&self, state: LeaseState) {
         *self.state.borrow_mut() = state;
         self.changed.notify_waiters();
     }
@@ -127,9 +127,9 @@
     async fn publish_and_renew(&self, held: HeldLease, ttl: Duration) {
         let lease = held.lease.lease_id;
         tracing::info!(incarnation = %held.lease.incarnation, lease, "lease taken");
-        self.session_lease.enter_state(LeaseState::Held(held));
+        self.session_lease.transition_to(LeaseState::Held(held));
         self.renew_until_lost(lease, ttl).await;
-        self.session_lease.enter_state(LeaseState::Absent);
+        self.session_lease.transition_to(LeaseState::Absent);
         tracing::warn!(lease, "lease lost");
     }
 
--- a/crates/corkfield/src/session_lease/tests.rs
+++ b/crates/corkfield/src/session_lease/tests.rs
@@ -11,14 +11,14 @@
         membership_version: Revision::new(3),
     };
     let valid_until = now() + trusted_duration(ttl);
-    session_lease.enter_state(LeaseState::Held(HeldLease { lease, valid_until }));
+    session_lease.transition_to(LeaseState::Held(HeldLease { lease, valid_until }));
     assert!(session_lease.is_valid());
     tokio::time::advance(trusted_duration(ttl)).await;
     assert!(!session_lease.is_valid(), "the lease may have expired");
     assert!(session_lease.current().is_some(), "the loss of the lease is not known yet");
     session_lease.extend_validity(now() + trusted_duration(ttl));
     assert!(session_lease.is_valid(), "a late renewal makes the lease valid again");
-    session_lease.enter_state(LeaseState::Absent);
+    session_lease.transition_to(LeaseState::Absent);
     assert!(!session_lease.is_valid() && session_lease.current().is_none());
     session_lease.extend_validity(now() + trusted_duration(ttl));
     assert!(!session_lease.is_valid(), "a lost lease is not renewed");
--- a/crates/corkfield/tests/scenarios/delayed_heartbeats.rs
+++ b/crates/corkfield/tests/scenarios/delayed_heartbeats.rs
@@ -78,14 +78,14 @@
 }
 
 /// Returns the newest heartbeat of the previous process, in `agent_epoch` and with a sequence
-/// number above all others. The heartbeat has a termination notice, so that the leader starts tasks
+/// number above all others. The heartbeat has an interruption notice, so that the leader starts tasks
 /// that it considers lost on other machines.
 fn delayed_heartbeat(held_heartbeats: &[Vec<u8>], agent_epoch: AgentEpoch) -> WorkerHeartbeat {
     let newest = held_heartbeats.last().expect("the worker sent heartbeats");
     let newest: WorkerHeartbeat = serde_json::from_slice(newest).expect("a heartbeat");
     assert!(newest.tasks.is_empty() && newest.term != Term::default());
-    let (sequence, termination_notice_s) = (newest.sequence + SEQUENCE_INCREASE, Some(NOTICE_S));
-    WorkerHeartbeat { sequence, agent_epoch, termination_notice_s, ..newest }
+    let (sequence, interruption_notice_s) = (newest.sequence + SEQUENCE_INCREASE, Some(NOTICE_S));
+    WorkerHeartbeat { sequence, agent_epoch, interruption_notice_s, ..newest }
 }
 
 async fn deliver_heartbeat(cluster: &Cluster, heartbeat: &WorkerHeartbeat, route: Route) {
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -159,7 +159,7 @@
         self.machines.borrow().values().filter_map(|machine| machine.worker.clone()).collect()
     }
 
-    /// Reclaims a machine without a termination notice.
+    /// Reclaims a machine without an interruption notice.
     pub fn reclaim(&self, name: &str) {
         if let Some(machine) = self.machines.borrow_mut().remove(name) {
             if let Some(worker) = machine.worker {
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -69,7 +69,7 @@
     /// The time from which the lease runs: when the last answered heartbeat was sent.
     renewed_at: Instant,
     tasks: BTreeMap<TaskId, Task>,
-    /// The time until the machine is terminated, in seconds, if a termination notice was given.
+    /// The time until the machine is terminated, in seconds, if an interruption notice was given.
     notice_s: Option<f64>,
 }
 
@@ -157,8 +157,8 @@
         self.resumed.notify_waiters();
     }
 
-    /// Gives a termination notice: the machine will be terminated after this many seconds.
-    pub fn give_termination_notice(&self, seconds: f64) {
+    /// Gives an interruption notice: the machine will be terminated after this many seconds.
+    pub fn give_interruption_notice(&self, seconds: f64) {
         self.state.borrow_mut().notice_s = Some(seconds);
         self.state_changed.notify_one();
     }
@@ -264,7 +264,7 @@
             agent_epoch: state.agent_epoch,
             sequence: state.sequence,
             term: state.term,
-            termination_notice_s: state.notice_s,
+            interruption_notice_s: state.notice_s,
             tasks: tasks.collect(),
         }
     }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -142,10 +142,10 @@
     /// Highest term that the worker has seen (`epoch`). The worker drops orders of lower terms.
     #[serde(rename = "epoch", default)]
     pub term: Term,
-    /// Time until the cloud reclaims the machine, in seconds; `None` without such a notice
-    /// (`warning_s`).
+    /// Time until the cloud reclaims the machine, in seconds, if the cloud has given an interruption
+    /// notice (`warning_s`).
     #[serde(rename = "warning_s", default)]
-    pub termination_notice_s: Option<f64>,
+    pub interruption_notice_s: Option<f64>,
     /// All tasks on the machine, including exited tasks that were not yet forgotten (`pieces`).
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
--- a/crates/wire/tests/protocol.rs
+++ b/crates/wire/tests/protocol.rs
@@ -121,7 +121,7 @@
     let minimal: WorkerHeartbeat =
         read(r#"{"host":"h","addr":"a","flavour":"g8","site":"a","tenure":1,"serial":2}"#);
     assert_eq!(
-        (minimal.spot, minimal.term, minimal.termination_notice_s),
+        (minimal.spot, minimal.term, minimal.interruption_notice_s),
         (false, Term::new(0), None)
     );
     assert!(minimal.tasks.is_empty());
