--- a/crates/cloud/src/client.rs
+++ b/crates/cloud/src/client.rs
@@ -29,7 +29,11 @@
 /// Maximum burst of requests: as many as the cloud's rate limit allows in this number of seconds.
 const BURST_S: f64 = 1.5;
 
-/// Sends requests to the cloud within the share of its rate limit that one leader uses.
+/// Sends requests to the cloud within the share of the cloud's rate limit that one leader uses.
+///
+/// The classes of requests are those of the state service and only serve as priorities here:
+/// rentals precede requests for machine types, deletions and requests for the machine list, in this
+/// order.
 pub struct CloudClient {
     http: Client,
     /// Limits the requests to [`RATE_SHARE`] of the cloud's rate limit.
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -118,7 +118,8 @@
     ///
     /// Returns an error if the maximum number of requests is in flight, no complete response is
     /// received within `time_limit`, the connection fails, or the response is malformed. After any
-    /// error except [`ClientError::Busy`] the request may have been executed.
+    /// error except [`ClientError::Busy`] the request may have been executed, even twice if an idle
+    /// connection failed.
     pub async fn request(
         &self,
         method: &str,
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -19,13 +19,13 @@
     /// The peer closed the connection.
     #[error("connection closed")]
     Closed,
-    /// The head exceeds the maximum size.
+    /// The head exceeds the maximum size, or a request has too many headers.
     #[error("head over {MAX_HEAD} bytes")]
     HeadTooLarge,
-    /// The body exceeds the maximum size of the reader.
+    /// The body exceeds the maximum size that the reader accepts.
     #[error("body too large")]
     BodyTooLarge,
-    /// The bytes are not a valid HTTP message.
+    /// The bytes are not a valid HTTP message, or a response has too many headers.
     #[error("malformed message")]
     Malformed,
     /// The transfer encoding is not `chunked`, the only one that is supported.
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -36,7 +36,8 @@
         Self { slot, stream, buffer: Vec::new() }
     }
 
-    /// Serves requests until the client closes the connection or a limit ends it.
+    /// Serves requests until the client closes the connection, the connection fails, or the server
+    /// closes it because of a malformed request or one of its [`Limits`](super::Limits).
     pub async fn serve<H, F>(mut self, handler: &H) -> Result<(), ReadError>
     where
         H: Fn(Request) -> F,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Reads a request and passes it to the handler. Returns `None` if the request is not received
-    /// completely, because of a timeout or because the connection ends.
+    /// Reads a request, passes it to the handler and returns the response. Returns `None` if the
+    /// request is not received completely, because of a timeout or because the connection ends.
     async fn handle_next_request<H, F>(&mut self, handler: &H) -> Option<OutgoingResponse>
     where
         H: Fn(Request) -> F,
@@ -115,8 +116,8 @@
     OutgoingResponse { response, must_close: true }
 }
 
-/// Returns the response to a malformed request. It closes the connection, because the start of the
-/// next request can't be determined.
+/// Returns the response to a malformed request. The connection is closed after the response,
+/// because the start of the next request can't be determined.
 fn bad_request(error: &ReadError) -> OutgoingResponse {
     let body = format!("{{\"error\":\"{error}\"}}").into_bytes();
     OutgoingResponse { response: Response::new(400, body), must_close: true }
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -128,9 +128,9 @@
     ///
     /// # Errors
     ///
-    /// After [`StateError::Conflict`] and [`StateError::NoSuchLease`] the transaction was not
-    /// executed. After [`StateError::NoResponse`] the transaction may have been executed, or may
-    /// still be executed later (S10).
+    /// After [`StateError::Conflict`], [`StateError::NoSuchLease`] and [`StateError::Refused`] the
+    /// transaction was not executed. After [`StateError::NoResponse`] the transaction may have been
+    /// executed, or may still be executed later (S10).
     pub async fn commit(
         &self,
         class: RequestClass,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Requests a new lease with this time to live and returns its id.
+    /// Requests a new lease with this time to live and returns the lease's number.
     ///
     /// # Errors
     ///
@@ -162,7 +162,7 @@
         Ok(response.decode_success::<LeaseAnswer>()?.lease)
     }
 
-    /// Renews the lease with this id. Waits for the response for at most `time_limit`.
+    /// Renews the lease with this number. Waits for the response for at most `time_limit`.
     ///
     /// # Errors
     ///
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -5,7 +5,8 @@
 /// Why a request to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// The transaction was not executed: these keys have other versions than it requires.
+    /// The transaction was not executed, because these keys have other versions than the
+    /// transaction requires.
     #[error("conditions failed: {0:?}")]
     Conflict(Vec<String>),
     /// The lease has expired or does not exist.
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -129,10 +129,11 @@
 }
 
 number_type! {
-    /// The number of an attempt to run a task, unique for the task.
+    /// The number of an attempt to run a task, unique among all attempts at the task.
     ///
     /// The high bits hold the generation of the claim under which the attempt was made, and the
-    /// low 24 bits a count. As every claim raises the generation, numbers never repeat.
+    /// low 24 bits count the attempts under this claim. As every claim raises the generation,
+    /// attempts under different claims never have the same number.
     Attempt
 }
 
@@ -149,8 +150,8 @@
 }
 
 number_type! {
-    /// A revision of the state service's store. The version of a key is the revision that last
-    /// wrote the key.
+    /// A revision of the state service's store. The version of a key is the revision at which the
+    /// key was last written.
     Revision
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -26,12 +26,13 @@
     pub last_received_number: u64,
     /// Process that sent the last heartbeat received from the receiver; 0 if none.
     pub last_received_process: u64,
-    /// Whether the sender attests to the receiver, as the leader, that the state service is out
-    /// (S6, S11). The sender attests this if it has had no answer from the state service for a
-    /// while, knows of no other leader, and the receiver has acknowledged every cancellation that
-    /// the sender confirmed to a user.
+    /// Whether the sender attests to an outage of the state service, with the receiver as the
+    /// leader. The leader needs attestations to keep answering workers during an outage without
+    /// missing a cancellation (S6, S11). The sender attests only if the state service has not
+    /// answered it for a while, it knows of no leader other than the receiver, and the receiver has
+    /// acknowledged every cancellation that the sender confirmed to a user.
     pub is_outage_attestation: bool,
-    /// Whether the sender is the leader or believes to be the leader.
+    /// Whether the sender leads or believes that it leads.
     pub is_leader: bool,
     /// Whether the sender recently had an answer from the state service.
     pub is_store_reachable: bool,
@@ -62,8 +63,9 @@
         /// JSON body of the response to the worker.
         body: Vec<u8>,
     },
-    /// The state service has recorded the cancellation of these jobs, as the sender knows from its
-    /// own write or from a read (S11).
+    /// The cancellation of these jobs is recorded in the state service, so a leader that receives
+    /// the frame stops their tasks (S11). The sender knows of the record from its own write or from
+    /// a read.
     Cancelled {
         /// Ids of the cancelled jobs.
         jobs: Vec<String>,
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -5,15 +5,16 @@
 use crate::user::{JobSpec, JobStatus};
 use serde::{Deserialize, Serialize};
 
-/// Number of tasks whose completion is stored in one value, for jobs that are too large to store it
-/// in their record. The text of such a chunk is shorter than 4 KiB, which is below the value limit
-/// of the state service.
+/// Number of tasks in one chunk. Jobs with more tasks store their finished tasks not in the job
+/// record but in chunks, one value for each. The text of a chunk is shorter than 4 KiB, which is
+/// below the value limit of the state service.
 pub const CHUNK_TASKS: u32 = 1024;
 
 /// Smallest step by which the start watermark of a job is raised, in tasks.
 pub const MIN_START_WATERMARK_STEP: u32 = 128;
 
-/// Start watermark of records that don't store one: any of the tasks may have been started.
+/// Returns the start watermark of records that don't store one. It is above all task indices,
+/// because any of the tasks may have been started.
 fn default_start_watermark() -> u32 {
     u32::MAX
 }
@@ -31,7 +32,8 @@
     pub owner: Option<Incarnation>,
     /// Generation of the job, raised by every claim. It is the job's fencing token.
     pub generation: Generation,
-    /// Number of claims since the job last made progress (S12).
+    /// Number of claims since the job last made progress. At the claim limit, the job is
+    /// dead-lettered (S12).
     pub claims: u32,
     /// Unix time at which the job was accepted, in milliseconds.
     pub accepted_ms: u64,
@@ -44,16 +46,17 @@
     /// Number of tasks that were running at the last write, for display (`running`).
     #[serde(rename = "running", default)]
     pub running_count: u32,
-    /// Lowest index from which on no task was ever ordered to start (`begun`). The watermark is
-    /// raised in the store before a start at or above it is ordered (S7).
+    /// Upper bound of the tasks that may have been started (`begun`): no task with this index or a
+    /// higher one was ever ordered to start. The watermark is raised in the store before such a
+    /// task is ordered to start, so that a new leader knows which tasks may already run (S7).
     #[serde(rename = "begun", default = "default_start_watermark")]
     pub start_watermark: u32,
     /// Start watermark at the last claim (`begun_before`). Earlier owners can't have started tasks
     /// from this index on.
     #[serde(rename = "begun_before", default = "default_start_watermark")]
     pub previous_start_watermark: u32,
-    /// Whether the job is dead-lettered (`set_aside`). This happens at the claim limit and lasts
-    /// until an operator releases the job or its user cancels it (S12).
+    /// Whether the job is dead-lettered (`set_aside`). A job is dead-lettered at the claim limit,
+    /// until an operator releases it or its user cancels it (S12).
     #[serde(rename = "set_aside", default)]
     pub dead_lettered: bool,
 }
@@ -119,7 +122,7 @@
     }
 }
 
-/// The final state of a job, which is never deleted.
+/// The final state of a job. The record is never deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
     /// [`JobStatus::Done`] or [`JobStatus::Cancelled`].
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -175,7 +175,7 @@
     pub list_lag_s: f64,
 }
 
-/// Limits of a controller's process. A limit that is 0 or missing is unknown.
+/// Limits of a controller's process. With 0 or without a value, the platform states no limit.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(expecting = "struct Limits")]
 pub struct ProcessLimits {
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -7,11 +7,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Path of reads: a page of keys with a prefix or, followed by a key, that key.
+/// Path that reads a page of the keys with a prefix (GET). With `/{key}` appended, the path that
+/// reads one key.
 pub const PATH_KEYS: &str = "/kv";
 /// Path that executes a transaction (POST).
 pub const PATH_TXN: &str = "/txn";
-/// Path that grants a lease (POST). Followed by a lease's number, the path of that lease.
+/// Path that grants a lease (POST). With `/{number}` appended, the path of one lease.
 pub const PATH_LEASES: &str = "/grants";
 /// Last segment of the path that renews a lease.
 pub const PATH_RENEW: &str = "extend";
@@ -85,7 +86,8 @@
 }
 
 /// An atomic compare-and-swap over several keys: if all conditions hold, all changes are made,
-/// otherwise none (S10).
+/// otherwise none. A transaction that is executed late therefore fails if a key of its conditions
+/// has changed in the meantime (S10).
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions that must all hold (`when`).
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -45,7 +45,7 @@
 /// The specification of a job, as submitted by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id of the job, chosen by the user (`name_id`). A repeated submission has the same id.
+    /// Id of the job, chosen by the user (`name_id`). A user repeats a submission with the same id.
     #[serde(rename = "name_id")]
     pub id: JobId,
     /// Class of the job, for which objectives are set (`pool`).
--- a/crates/wire/src/user/submission.rs
+++ b/crates/wire/src/user/submission.rs
@@ -10,8 +10,8 @@
 /// Maximum value of an amount, in any unit.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// The error of an invalid submission. It contains the job's id where the id could be parsed, so
-/// that a repetition of an accepted submission is still recognized (S2).
+/// The error of an invalid submission. The error contains the job's id if the id could be parsed,
+/// so that a repetition of an accepted submission is still recognized (S2).
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
 pub struct SubmissionError {
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -136,7 +136,7 @@
     #[serde(rename = "tenure")]
     pub agent_epoch: AgentEpoch,
     /// Sequence number of this message, raised with each message of the worker (`serial`). Messages
-    /// are ordered by agent epoch, then by sequence number (S10).
+    /// are ordered by agent epoch, then by sequence number; outdated messages are ignored (S10).
     #[serde(rename = "serial")]
     pub sequence: u64,
     /// Highest term that the worker has seen (`epoch`). The worker drops orders of lower terms.
@@ -151,8 +151,9 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// The id of a connection over which a controller receives a worker's heartbeats. Ids are unique
-/// during the time of one leader, and each connection belongs to one process of one worker.
+/// The id of a connection over which a controller receives a worker's heartbeats. No two
+/// connections have the same id during one term, and each connection belongs to one process of one
+/// worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionId {
     /// Random number of the controller process that accepted the connection.
@@ -197,12 +198,14 @@
         /// Attempt to stop (`try`).
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Time that the task may take to save a checkpoint, in seconds (`wind_down_s`). The task
-        /// exits at once if this is less than it needs; 0 also ends a task that is already saving.
+        /// Time that the task may take to save a checkpoint, in seconds (`wind_down_s`). A task
+        /// that needs more time exits at once. With 0, a task that is already saving exits at once,
+        /// too.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Drops an exited task from the worker's heartbeats (`reap`, S9).
+    /// Drops an exited task from the worker's heartbeats (`reap`). A finished task is forgotten
+    /// only after its result is stored (S9).
     #[serde(rename = "reap")]
     Forget {
         /// Id of the task (`piece`).
@@ -235,8 +238,9 @@
 
 /// Orders that the leader sends directly to a worker, outside the responses to heartbeats.
 ///
-/// They may be executed late, and therefore never start a task (S3). The worker rejects them if the
-/// term is lower than the highest that it has seen, or the agent epoch is not its own.
+/// Direct orders may be executed late, and therefore never start a task (S3). The worker rejects
+/// direct orders whose term is lower than the highest term that the worker has seen, or whose agent
+/// epoch is not the worker's own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectOrders {
     /// Term of the leader (`epoch`).
