--- a/crates/http/src/client_response.rs
+++ b/crates/http/src/client_response.rs
@@ -23,8 +23,8 @@
 }
 
 impl ClientResponse {
-    /// Returns whether the status guarantees that the request was not executed: too many requests
-    /// (429) or a server error (5xx).
+    /// Returns whether the server refused the request: too many requests (429) or a server error
+    /// (5xx). The services that corkfield uses guarantee that they don't execute such a request.
     pub fn is_refusal(&self) -> bool {
         matches!(self.status, 429 | 500..=599)
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! A small HTTP/1.1 server and client with bounded message sizes and timeouts, without pipelining.
+//! A small HTTP/1.1 server and client with bounded message sizes and timeouts. The client has one
+//! request at a time on a connection; the server serves pipelined requests one after the other.
 //!
 //! Architecture invariant: this crate does not depend on corkfield's messages, and it opens
 //! connections only through [`Network`], which tests replace by an in-memory implementation.
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -20,7 +20,7 @@
     pub reserved_path: &'static str,
     /// Maximum size of a request's body, in bytes.
     pub max_body: usize,
-    /// Time after which a connection is closed if it has not sent any request.
+    /// Time after which a new connection is closed if it has not begun to send a request.
     pub first_request_timeout: Duration,
     /// Time after which a connection is closed if it sends no further request.
     pub idle_timeout: Duration,
