--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -70,7 +70,7 @@
     /// sent.
     renewed_at: Instant,
     tasks: BTreeMap<TaskId, Task>,
-    /// The time until the machine is terminated, in seconds, if a termination notice was given.
+    /// The time until the machine is terminated, in seconds, if an interruption notice was given.
     notice_s: Option<f64>,
 }
 
@@ -159,8 +159,8 @@
         self.resumed.notify_waiters();
     }
 
-    /// Gives a termination notice: the machine will be terminated after this many seconds.
-    pub fn give_termination_notice(&self, seconds: f64) {
+    /// Gives an interruption notice: the machine will be terminated after this many seconds.
+    pub fn give_interruption_notice(&self, seconds: f64) {
         self.state.borrow_mut().notice_s = Some(seconds);
         self.state_changed.notify_one();
     }
@@ -266,7 +266,7 @@
             agent_epoch: state.agent_epoch,
             sequence: state.sequence,
             term: state.term,
-            termination_notice_s: state.notice_s,
+            interruption_notice_s: state.notice_s,
             tasks: tasks.collect(),
         }
     }
