--- a/crates/core/tests/scheduler/random_faults/workers.rs
+++ b/crates/core/tests/scheduler/random_faults/workers.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Restarts the worker at once: it loses its tasks and its term, and numbers its messages from
-    /// the beginning.
+    /// Restarts the worker without downtime: the worker loses its tasks and its term, and numbers
+    /// its messages from the beginning.
     pub fn restart(&mut self, now: Instant) {
         self.agent_epoch = AgentEpoch::FIRST;
         (self.sequence, self.term) = (0, Term::default());
@@ -156,7 +156,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             term: self.term,
-            termination_notice_s: self.has_interruption_notice.then_some(30.0),
+            interruption_notice_s: self.has_interruption_notice.then_some(30.0),
             tasks: tasks.collect(),
         }
     }
--- a/crates/fakes/src/worker/mod.rs
+++ b/crates/fakes/src/worker/mod.rs
@@ -66,10 +66,11 @@
     sequence: u64,
     /// The highest term that the worker has seen.
     term: Term,
-    /// The time from which the lease runs: when the last answered heartbeat was sent.
+    /// The start of the current lease period: the time at which the last answered heartbeat was
+    /// sent.
     renewed_at: Instant,
     tasks: BTreeMap<TaskId, Task>,
-    /// The time until the machine is terminated, in seconds, if a termination notice was given.
+    /// The time until the machine is terminated, in seconds, if an interruption notice was given.
     notice_s: Option<f64>,
 }
 
@@ -92,7 +93,8 @@
     pub settings: WorkerSettings,
     history: Rc<ExecutionHistory>,
     state: RefCell<WorkerState>,
-    /// Is notified when the state has changed, so that a heartbeat is due.
+    /// Wakes the task that sends heartbeats when the state has changed, so that it sends the next
+    /// heartbeat early.
     state_changed: Notify,
     is_hung: Cell<bool>,
     resumed: Notify,
@@ -157,8 +159,8 @@
         self.resumed.notify_waiters();
     }
 
-    /// Gives a termination notice: the machine will be terminated after this many seconds.
-    pub fn give_termination_notice(&self, seconds: f64) {
+    /// Gives an interruption notice: the machine will be terminated after this many seconds.
+    pub fn give_interruption_notice(&self, seconds: f64) {
         self.state.borrow_mut().notice_s = Some(seconds);
         self.state_changed.notify_one();
     }
@@ -184,7 +186,7 @@
         self.undelivered_starts.get()
     }
 
-    /// Restarts the machine within an instant: the worker loses its tasks, and its agent epoch,
+    /// Restarts the machine without downtime: the worker loses its tasks, and its agent epoch,
     /// sequence number and term start from their initial values.
     pub fn restart(&self) {
         self.drop_tasks();
@@ -264,7 +266,7 @@
             agent_epoch: state.agent_epoch,
             sequence: state.sequence,
             term: state.term,
-            termination_notice_s: state.notice_s,
+            interruption_notice_s: state.notice_s,
             tasks: tasks.collect(),
         }
     }
